--- a/choice/account/account.go
+++ b/choice/account/account.go
@@ -34,9 +34,9 @@
 	Rung     int
 	Seconds  float64 // a SETUP's wait, a busy reply's advice
 	Outcome  choice.Outcome
-	Word     string          // of an end
-	Standing choice.Standing // at a SETUP and at an answer; holders by most room, mostHolders of them
-	Holders  int             // in all
+	Word     string              // of an end
+	Standing choice.SessionState // at a SETUP and at an answer; holders by most room, mostHolders of them
+	Holders  int                 // in all
 }
 
 const (
@@ -55,11 +55,11 @@
 // Note keeps one.
 func (r *Ring) Note(e Entry) {
 	e.Holders = len(e.Standing.Holders)
-	slices.SortStableFunc(e.Standing.Holders, func(a, b choice.View) int {
+	slices.SortStableFunc(e.Standing.Holders, func(a, b choice.HolderState) int {
 		switch {
-		case a.Room > b.Room:
+		case a.Headroom > b.Headroom:
 			return -1
-		case a.Room < b.Room:
+		case a.Headroom < b.Headroom:
 			return 1
 		}
 		return 0
@@ -96,7 +96,7 @@
 var outcomes = map[choice.Outcome]string{choice.Served: "served", choice.ServerError: "the box failed; it may have run", choice.Full: "the box is full; it never ran",
 	choice.TimedOut: "no answer within its wait; it may have run", choice.NoConnection: "no connection; it never ran", choice.Reset: "the connection broke; it may have run",
 	choice.Cancelled: "given up", choice.Unsent: "not sent, the box left the list",
-	choice.Departed: "ended before its answer came"}
+	choice.EndedUnanswered: "ended before its answer came"}
 
 // Say puts a session's entries into words, a line each, instants from the first one on.
 func Say(list []Entry) (lines []string) {
@@ -131,8 +131,8 @@
 // pressure is that of the session's own box.
 func (e Entry) pressure() string {
 	for _, v := range e.Standing.Holders {
-		if v.Box == e.Box {
-			return fmt.Sprintf("%.2f on its link and %.2f on its uplink", v.Link, v.Uplink)
+		if v.Server == e.Box {
+			return fmt.Sprintf("%.2f on its link and %.2f on its uplink", v.LinkPressure, v.UplinkPressure)
 		}
 	}
 	return "not kept"
@@ -143,20 +143,20 @@
 	s := e.Standing
 	free := 0
 	for _, v := range s.Holders {
-		if v.State == choice.Ready && !v.Aside && !v.Full && !v.Waits && !v.Tried {
+		if v.State == choice.Ready && !v.Ejected && !v.Full && !v.NoSlot && !v.Tried {
 			free++
 		}
 	}
 	switch {
-	case s.Seats:
+	case s.SeatsTaken:
 		return "all seats of its title are taken"
-	case s.Sent > 0 && s.Spent:
+	case s.SetupsSent > 0 && s.RetriesSpent:
 		return "the ration of further SETUPs is spent"
 	case e.Holders == 0:
 		return "no box of the list holds its title"
 	case free == 0:
 		return "no holder may get it"
-	case s.Sent > 0:
+	case s.SetupsSent > 0:
 		return "its SETUPs or its time are used up"
 	}
 	return "holders that may get it are past twice their target"
@@ -165,7 +165,7 @@
 // holders counts what stands against holders and names those with most room.
 func (e Entry) holders() string {
 	var not []string
-	count := func(what string, is func(v choice.View) bool) {
+	count := func(what string, is func(v choice.HolderState) bool) {
 		n := 0
 		for _, v := range e.Standing.Holders {
 			if is(v) {
@@ -176,17 +176,17 @@
 			not = append(not, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	count("draining or gone", func(v choice.View) bool { return v.State != choice.Ready })
-	count("set aside", func(v choice.View) bool { return v.Aside })
-	count("full", func(v choice.View) bool { return v.Full })
-	count("cold, in another front's turn", func(v choice.View) bool { return v.Waits })
-	count("tried", func(v choice.View) bool { return v.Tried })
+	count("draining or gone", func(v choice.HolderState) bool { return v.State != choice.Ready })
+	count("set aside", func(v choice.HolderState) bool { return v.Ejected })
+	count("full", func(v choice.HolderState) bool { return v.Full })
+	count("cold, in another front's turn", func(v choice.HolderState) bool { return v.NoSlot })
+	count("tried", func(v choice.HolderState) bool { return v.Tried })
 	s := fmt.Sprintf("%d holders", e.Holders)
 	if len(not) > 0 {
 		s += " (" + strings.Join(not, ", ") + ")"
 	}
 	for i, v := range e.Standing.Holders[:min(len(e.Standing.Holders), 3)] {
-		s += fmt.Sprintf("%s box %d has room for %.0f kB/s at %.2f/%.2f of its targets", [...]string{":", ",", ","}[i], v.Box, v.Room, v.Link, v.Uplink)
+		s += fmt.Sprintf("%s box %d has room for %.0f kB/s at %.2f/%.2f of its targets", [...]string{":", ",", ","}[i], v.Server, v.Headroom, v.LinkPressure, v.UplinkPressure)
 	}
 	return s
 }
--- a/choice/account/account_test.go
+++ b/choice/account/account_test.go
@@ -33,14 +33,14 @@
 }
 
 func TestWhyBusy(t *testing.T) {
-	free := choice.View{State: choice.Ready, Room: 5}
+	free := choice.HolderState{State: choice.Ready, Headroom: 5}
 	for want, e := range map[string]Entry{
-		"all seats":            {Standing: choice.Standing{Seats: true, Holders: []choice.View{free}}},
-		"the ration":           {Standing: choice.Standing{Sent: 1, Spent: true, Holders: []choice.View{free}}},
+		"all seats":            {Standing: choice.SessionState{SeatsTaken: true, Holders: []choice.HolderState{free}}},
+		"the ration":           {Standing: choice.SessionState{SetupsSent: 1, RetriesSpent: true, Holders: []choice.HolderState{free}}},
 		"no box of the list":   {},
-		"no holder may get it": {Standing: choice.Standing{Holders: []choice.View{{State: choice.Ready, Aside: true}, {State: choice.Ready, Full: true}, {State: choice.Ready, Waits: true}}}},
-		"used up":              {Standing: choice.Standing{Sent: 3, Holders: []choice.View{free}}},
-		"past twice":           {Standing: choice.Standing{Holders: []choice.View{free}}},
+		"no holder may get it": {Standing: choice.SessionState{Holders: []choice.HolderState{{State: choice.Ready, Ejected: true}, {State: choice.Ready, Full: true}, {State: choice.Ready, NoSlot: true}}}},
+		"used up":              {Standing: choice.SessionState{SetupsSent: 3, Holders: []choice.HolderState{free}}},
+		"past twice":           {Standing: choice.SessionState{Holders: []choice.HolderState{free}}},
 	} {
 		var r Ring
 		e.Act, e.Sess = Busy, "s"
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -24,7 +24,7 @@
 )
 
 type Front struct {
-	acts   Acts
+	acts   Actions
 	now    float64
 	mwc    uint64
 	groups []group
@@ -97,15 +97,15 @@
 	g.mean += (x - g.mean) / 8
 }
 
-func New(now float64, s StartFigures, acts Acts) *Front {
-	f := &Front{acts: acts, now: now, mwc: s.Seed%0xfffffffe + 1, places: s.Places, fleet: s.FleetLinks,
-		cells: max(s.Cells, 1), racks: max(s.Racks, 1), fronts: max(s.Fronts, 1), me: s.Me, zone: s.Zone,
-		most: max(s.MostSetups, 1), lag: s.NoteLag, every: s.NoteEvery, advice: s.Advice, warmUp: s.WarmUp,
-		coldest: s.ColdShare, probes: s.Probes, peers: s.Peers && s.Fronts > 1,
-		spare: s.SpareSetups, share: s.SetupShare,
-		fullAt: cmp.Or(s.FullAt, -1), window: s.SetupWindow, settled: now + 20,
+func New(now float64, s Config, acts Actions) *Front {
+	f := &Front{acts: acts, now: now, mwc: s.Seed%0xfffffffe + 1, places: s.MaxStreams, fleet: s.FleetLinkCapacity,
+		cells: max(s.Cells, 1), racks: max(s.Racks, 1), fronts: max(s.Fronts, 1), me: s.FrontIndex, zone: s.Zone,
+		most: max(s.MaxSetups, 1), lag: s.NoteLag, every: s.NoteInterval, advice: s.MaxRetryAfter, warmUp: s.WarmUp,
+		coldest: s.ColdShare, probes: s.Probes, peers: s.PeerMessages && s.Fronts > 1,
+		spare: s.BaseRetries, share: s.RetriesPerSession,
+		fullAt: cmp.Or(s.FullThreshold, -1), window: s.RetryWindow, settled: now + 20,
 		sess: map[SessID]*sess{}, seats: map[seat]int{}}
-	f.lines = max(s.UplinkMean*float64(f.racks), 1)
+	f.lines = max(s.MeanUplinkCapacity*float64(f.racks), 1)
 	if len(f.places) == 0 {
 		f.places = []float64{1}
 	}
@@ -118,20 +118,20 @@
 		for i, r := range s.Ladder {
 			rates[i] = r * g.Scale
 		}
-		g.Adds = cmp.Or(g.Adds, 1)
+		g.AddedRateShare = cmp.Or(g.AddedRateShare, 1)
 		f.groups = append(f.groups, group{g, rates, 0})
 		if g.Utility > lowest {
 			f.groups[len(f.groups)-1].premium = 1
 		}
 	}
 	for range f.racks {
-		f.uplinks = append(f.uplinks, &link{told: s.UplinkMean, size: s.UplinkMean, kind: 1})
+		f.uplinks = append(f.uplinks, &link{told: s.MeanUplinkCapacity, size: s.MeanUplinkCapacity, kind: 1})
 	}
 	// Coarse rungs come to rest below the target by themselves, so it is near the size; of 0.78 to 1.05
 	// tried. What others send is known late, the more of them the later, unless servers turn the excess away;
 	// 0.08 of 0 to 0.16 tried.
 	f.mark = 0.97
-	if s.FullAt == 0 {
+	if s.FullThreshold == 0 {
 		f.mark -= 0.08 * math.Pow(1-1/float64(f.fronts), 3)
 	}
 	// Where crossing zones has a price, a tenth of a session settles near ties; more costs room than it saves.
@@ -141,26 +141,26 @@
 	// A look must earn what a probe costs: at 0.01 of a session it does; at 0.08, among 300 fronts, it earned
 	// nothing; in between nothing was tried. Harm: what is known of a link comes later.
 	f.looks = s.Probes && s.ProbePrice < 0.04
-	f.ownClock, f.seed = s.OwnClock, s.Seed
+	f.ownClock, f.seed = s.UnsyncedClock, s.Seed
 	// The least that any kind may be sent within the fall time, a quarter kept for set-ups of more work.
-	budget := s.FallFactor * slices.Min(f.places) / max(s.WarmUp, 1e-3) * s.ColdShare * s.FallTime
+	budget := s.OverloadFactor * slices.Min(f.places) / max(s.WarmUp, 1e-3) * s.ColdShare * s.OverloadTime
 	if budget > 0 {
 		// A window touches one slot more than fit in it; where that leaves none, half of each slot stays shut.
-		f.slot = s.FallTime / max(math.Floor(budget*0.75)-1, 0.5)
+		f.slot = s.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
 		f.half = budget*0.75 < 2
 		if f.ownClock {
 			f.budget, f.slots = budget, slowstart.Slots(budget)
-			f.slot = s.FallTime / f.slots
+			f.slot = s.OverloadTime / f.slots
 		}
 	}
 	return f
 }
 
-// At sets the clock; it comes before each batch of events.
-func (f *Front) At(now float64) { f.now = now }
+// SetTime sets the clock; it comes before each batch of events.
+func (f *Front) SetTime(now float64) { f.now = now }
 
-// Directory takes the list of servers, whole or changed entries only.
-func (f *Front) Directory(whole bool, list []Listing) {
+// UpdateDirectory takes the list of servers, whole or changed entries only.
+func (f *Front) UpdateDirectory(whole bool, list []Listing) {
 	first := f.perPlace == 0
 	if first {
 		// Heft is flat, so the fleet's links are split by the streams that each kind may run.
@@ -182,11 +182,11 @@
 		s := f.servers[i]
 		// Against a start told without its instant: a server first named later than the first list is cold from
 		// now. It could keep a warm server slow for one warm-up.
-		if !found && !first && e.Born == 0 {
+		if !found && !first && e.StartedAt == 0 {
 			s.born = f.now
 		}
-		if e.Born > s.born {
-			s.born, s.aside, s.heard, s.link.read = e.Born, false, 0, 0
+		if e.StartedAt > s.born {
+			s.born, s.aside, s.heard, s.link.read = e.StartedAt, false, 0, 0
 		}
 		s.zone, s.cell, s.state = e.Zone, e.Cell, e.State
 		s.link.told = f.perPlace * f.places[min(e.Kind, len(f.places)-1)]
@@ -203,15 +203,15 @@
 	})
 }
 
-func (f *Front) Ask(r Request) {
+func (f *Front) RequestSession(r Request) {
 	f.telling = f.peers
 	f.place(f.admit(r))
 }
 
-// Told takes another front's sums of its sessions and of its words of links: against chance in the few own
+// ReceiveMessage takes another front's sums of its sessions and of its words of links: against chance in the few own
 // ones. A lying front could make this one play too high or low; no rule depends on it. Lost ones leave the
 // own sums. Words of single links are not told: fronts would all go to the same ones.
-func (f *Front) Told(words []byte) {
+func (f *Front) ReceiveMessage(words []byte) {
 	if m, ok := openMix(words); ok && f.peers && m[2] <= m[0] && m[3] <= m[1] {
 		f.fade()
 		for i := range m {
@@ -254,7 +254,7 @@
 	f.answered()
 }
 
-func (f *Front) Handed(r Request, id ServerID) {
+func (f *Front) AddHandedOver(r Request, id ServerID) {
 	s := f.admit(r)
 	s.plays, s.sent = true, 1
 	f.settled = f.now // its own sessions are here already
@@ -266,7 +266,7 @@
 
 func (f *Front) admit(r Request) *sess {
 	g := &f.groups[r.Group]
-	s := &sess{id: r.ID, group: g, seat: seat{r.Title, r.Group}, start: r.StartCell, span: r.Span,
+	s := &sess{id: r.ID, group: g, seat: seat{r.Title, r.Group}, start: r.StartCell, span: r.CellCount,
 		best: max(min(r.BestRung, g.Top, len(g.rates)-1), g.Floor), asked: f.now, setupTimeout: r.SetupTimeout,
 		rung: g.Floor, wantRung: g.Floor, part: 1}
 	if r.Length > 0 {
@@ -406,9 +406,9 @@
 // 16 alike; without any preference 0.02 less). Viewers crowd on these; room and reports send them on.
 func (f *Front) part(s *sess, sv *server) float64 {
 	const among = 8
-	if s.group.Adds < 1 && (hash(s.seat.title, sv.id)%among == 0 ||
+	if s.group.AddedRateShare < 1 && (hash(s.seat.title, sv.id)%among == 0 ||
 		slices.ContainsFunc(sv.link.sess, func(o *sess) bool { return o.seat == s.seat })) {
-		return s.group.Adds
+		return s.group.AddedRateShare
 	}
 	return 1
 }
@@ -532,16 +532,16 @@
 	}
 }
 
-// Playing tells that a session's set-up is done.
-func (f *Front) Playing(id SessID) {
+// SetupDone tells that a session's set-up is done.
+func (f *Front) SetupDone(id SessID) {
 	if s := f.sess[id]; s != nil && s.holder != nil {
 		s.plays, s.switched = true, f.now
 		f.alive(s.holder)
 	}
 }
 
-// Ended tells how a SETUP ended; final means that no answer is owed.
-func (f *Front) Ended(id SessID, on ServerID, o Outcome, final bool, rep Report) {
+// SetupEnded tells how a SETUP ended; final means that no answer is owed.
+func (f *Front) SetupEnded(id SessID, on ServerID, o Outcome, final bool, rep LoadReport) {
 	sv := f.server(on)
 	if sv != nil {
 		switch o {
@@ -553,7 +553,7 @@
 		}
 		if o == Full {
 			sv.full = f.now + 1 // a second is about how long a report takes to change
-			f.report(sv, Report{Link: f.fullAt, Uplink: -1}, 0)
+			f.report(sv, LoadReport{Link: f.fullAt, Uplink: -1}, 0)
 		}
 	}
 	s := f.sess[id]
@@ -571,7 +571,7 @@
 		s.mayRan = true
 	}
 	s.tried = append(s.tried, sv)
-	if o == Departed { // its viewer has had its session: another one would be forwarded after its end
+	if o == EndedUnanswered { // its viewer has had its session: another one would be forwarded after its end
 		f.touched = append(f.touched, s)
 		f.giveUp(s)
 		return
@@ -579,8 +579,8 @@
 	f.place(s)
 }
 
-// Left tells that the viewer gave up or that the request is over.
-func (f *Front) Left(id SessID) {
+// RequestClosed tells that the viewer gave up or that the request is over.
+func (f *Front) RequestClosed(id SessID) {
 	if s := f.sess[id]; s != nil {
 		if s.answer, s.wantOut = over, false; !s.out {
 			f.leave(s)
@@ -589,15 +589,15 @@
 	}
 }
 
-// InForce tells the rung of a session handed over.
-func (f *Front) InForce(id SessID, rung int) {
+// SetCurrentRung tells the rung of a session handed over.
+func (f *Front) SetCurrentRung(id SessID, rung int) {
 	if s := f.sess[id]; s != nil {
 		s.rung, s.wantRung = rung, rung
 	}
 }
 
-// Load takes a note of what is asked of a server's link, or its rack's uplink, over what that gives.
-func (f *Front) Load(id SessID, on ServerID, x float64, uplink bool) {
+// LoadNote takes a note of what is asked of a server's link, or its rack's uplink, over what that gives.
+func (f *Front) LoadNote(id SessID, on ServerID, x float64, uplink bool) {
 	sv := f.server(on)
 	if sv == nil {
 		return
@@ -614,7 +614,7 @@
 	}
 }
 
-func (f *Front) report(sv *server, r Report, lag float64) {
+func (f *Front) report(sv *server, r LoadReport, lag float64) {
 	// A capped figure near its cap may, with its noise, stand for any excess: it counts where it tells of more.
 	known := sv.link.asks(false) + f.others(sv.link)
 	if r.Link >= 0 && (!r.Capped || r.Link < 0.9 || r.Link*sv.link.size > known) {
@@ -651,8 +651,8 @@
 	l.read, l.fresh, l.at = f.now, true, f.asked
 }
 
-// Short takes a note of the share of the rate delivered at a server; 0.98 and more means that it is over.
-func (f *Front) Short(on ServerID, share float64) {
+// ShortDelivery takes a note of the share of the rate delivered at a server; 0.98 and more means that it is over.
+func (f *Front) ShortDelivery(on ServerID, share float64) {
 	sv := f.server(on)
 	if sv == nil || share >= 0.98 {
 		return
@@ -672,7 +672,7 @@
 	f.reckon(l, 1/max(share, 0.1), f.lag)
 }
 
-func (f *Front) Probed(on ServerID, o Outcome, rep Report) {
+func (f *Front) ProbeEnded(on ServerID, o Outcome, rep LoadReport) {
 	sv := f.server(on)
 	if sv == nil {
 		return
@@ -721,7 +721,7 @@
 // tick is the pace at which playing sessions are looked at.
 const tick = 0.25
 
-func (f *Front) Due() {
+func (f *Front) HandleTimer() {
 	if f.now+1e-6 < f.nextDue {
 		return
 	}
@@ -879,8 +879,8 @@
 	return min(s.setupTimeout-f.now, 0.4*s.group.StartTarget)
 }
 
-// Settle emits the difference between the wanted state and the present one. Nothing else emits acts.
-func (f *Front) Settle() {
+// Reconcile emits the difference between the wanted state and the present one. Nothing else emits acts.
+func (f *Front) Reconcile() {
 	for _, s := range f.touched {
 		switch s.answer {
 		case over:
@@ -888,7 +888,7 @@
 		case busy:
 			f.acts.BusyReply(s.id, f.advice)
 		case tornDown:
-			f.acts.TearDown(s.id)
+			f.acts.FailureReply(s.id)
 		}
 		if s.answer != none {
 			s.answer = over
@@ -896,7 +896,7 @@
 			continue
 		}
 		if s.wantRung != s.rung {
-			f.acts.Rung(s.id, s.wantRung)
+			f.acts.SetRung(s.id, s.wantRung)
 			s.rung = s.wantRung
 		}
 		if s.wantOut && !s.out {
@@ -921,12 +921,12 @@
 		f.pool()
 		words := sealMix(mix{f.tops[0], f.tops[1], f.rungs[0], f.rungs[1], f.words[0], f.words[1]})
 		for range 6 { // others by chance; three gain less, twelve cost what they gain
-			f.acts.Tell((f.me+1+int(f.chance()*float64(f.fronts-1)))%f.fronts, words)
+			f.acts.SendMessage((f.me+1+int(f.chance()*float64(f.fronts-1)))%f.fronts, words)
 		}
 		f.telling = false
 	}
 	if f.nextDue == 0 {
 		f.nextDue = f.now + tick
-		f.acts.Wake(tick)
+		f.acts.SetTimer(tick)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -27,11 +27,11 @@
 }
 
 func plain(group int) Request {
-	return Request{Group: group, Title: "t", Span: 3, BestRung: 3, SetupTimeout: 104}
+	return Request{Group: group, Title: "t", CellCount: 3, BestRung: 3, SetupTimeout: 104}
 }
 
 // alone is one front on an idle fleet.
-func alone(change func(*StartFigures)) *mock {
+func alone(change func(*Config)) *mock {
 	w := newWorld(1, 1)
 	if change != nil {
 		change(&w.fig)
@@ -43,7 +43,7 @@
 func (m *mock) play(q *req) {
 	m.settle()
 	q.out, q.plays = false, true
-	m.f.Playing(q.ID)
+	m.f.SetupDone(q.ID)
 }
 
 func TestIdleFleetGivesTheTopRung(t *testing.T) {
@@ -55,7 +55,7 @@
 }
 
 func TestCrowdedLinksScaleTheOthersFirst(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.FleetLinks, s.Groups[0].Seats = 24000, 0 })
+	m := alone(func(s *Config) { s.FleetLinkCapacity, s.Groups[0].Seats = 24000, 0 })
 	var last [2]*req
 	for range 4 {
 		for g := range last {
@@ -69,7 +69,7 @@
 }
 
 func TestPastDoubleOnlyWhatFitsIsLetIn(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.FleetLinks = 6000 })
+	m := alone(func(s *Config) { s.FleetLinkCapacity = 6000 })
 	for range 30 {
 		q := m.ask(plain(1))
 		if m.settle(); !q.done {
@@ -88,9 +88,9 @@
 	run := func(seconds, load float64) {
 		for range int(seconds * 4) {
 			m.w.now += 0.25
-			m.f.At(m.w.now)
-			m.f.Load(q.ID, q.on, load, false)
-			m.f.Due()
+			m.f.SetTime(m.w.now)
+			m.f.LoadNote(q.ID, q.on, load, false)
+			m.f.HandleTimer()
 			m.settle()
 		}
 	}
@@ -108,11 +108,11 @@
 	m.settle()
 	bad := q.on
 	m.end(q, TimedOut, false)
-	if m.f.Settle(); len(m.probes) != 1 || m.probes[0] != bad {
+	if m.f.Reconcile(); len(m.probes) != 1 || m.probes[0] != bad {
 		t.Fatalf("probed %v, not %d", m.probes, bad)
 	}
 	m.probes = nil
-	m.f.Probed(bad, TimedOut, Report{Link: -1, Uplink: -1})
+	m.f.ProbeEnded(bad, TimedOut, LoadReport{Link: -1, Uplink: -1})
 	for range 12 {
 		p := m.ask(plain(1))
 		if m.settle(); p.on == bad {
@@ -121,8 +121,8 @@
 	}
 	for range 20 {
 		m.w.now += 0.25
-		m.f.At(m.w.now)
-		m.f.Due()
+		m.f.SetTime(m.w.now)
+		m.f.HandleTimer()
 		m.ask(plain(1))
 		m.settle()
 	}
@@ -144,10 +144,10 @@
 		m.settle()
 		sv := m.f.server(q.on)
 		m.end(q, c.o, false)
-		m.f.Settle()
+		m.f.Reconcile()
 		m.w.now += c.later
-		m.f.At(m.w.now)
-		m.f.Probed(sv.id, Served, Report{Link: -1, Uplink: -1})
+		m.f.SetTime(m.w.now)
+		m.f.ProbeEnded(sv.id, Served, LoadReport{Link: -1, Uplink: -1})
 		if sv.aside == c.back || sv.born > 0 {
 			t.Errorf("%s: set aside %v, cold since %v", name, sv.aside, sv.born)
 		}
@@ -169,7 +169,7 @@
 	for load, want := range map[float64]bool{0.5: false, 1.1: true} {
 		m := alone(nil)
 		m.f.hear(m.f.uplinks[0], load, 0)
-		if m.f.Short(10, 0.8); (m.f.uplinks[0].lift > 0) != want || (m.f.server(10).link.lift > 0) == want {
+		if m.f.ShortDelivery(10, 0.8); (m.f.uplinks[0].lift > 0) != want || (m.f.server(10).link.lift > 0) == want {
 			t.Errorf("uplink told %.1f: lifted to %.0f, the link to %.0f", load, m.f.uplinks[0].lift, m.f.server(10).link.lift)
 		}
 	}
@@ -177,7 +177,7 @@
 
 func TestNextToNothingDeliveredSetsAside(t *testing.T) {
 	m := alone(nil)
-	m.f.Short(10, 0.1)
+	m.f.ShortDelivery(10, 0.1)
 	if s := m.f.server(10); !s.aside || s.link.read > 0 {
 		t.Error("a server that hangs is taken for a crowded link")
 	}
@@ -205,7 +205,7 @@
 		t.Errorf("target %.0f of a cold link told as %.0f", told, s.link.told)
 	}
 	m.w.now++
-	m.f.At(m.w.now)
+	m.f.SetTime(m.w.now)
 	m.f.hear(s.link, 0.5, 0)
 	if seen := m.f.target(s.link, s); seen < 0.9*s.link.told {
 		t.Errorf("target %.0f of a link told as %.0f and read since", seen, s.link.told)
@@ -213,7 +213,7 @@
 }
 
 func TestInACrushPremiumLeadsABoundedCut(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Groups[0].Seats = 0 })
+	m := alone(func(s *Config) { s.Groups[0].Seats = 0 })
 	// Others are read to ask nothing.
 	l, s := &link{told: 1000, size: 1000, smoothed: m.w.now, read: m.w.now}, &sess{group: &m.f.groups[0]}
 	cases := []struct{ others, premium, want float64 }{{0, 500, 0.5}, {900, 900, 1.4}, {9000, 900, 7.6}}
@@ -241,11 +241,11 @@
 // Among many fronts what others ask shows in a link's load alone, over the fraction sessions play at.
 func TestOthersDemandIsReckonedFromALinksLoad(t *testing.T) {
 	for _, fronts := range []int{2, 300} {
-		m := alone(func(s *StartFigures) { s.Fronts = fronts })
+		m := alone(func(s *Config) { s.Fronts = fronts })
 		r := plain(1)
 		r.ID = "x"
-		m.f.Handed(r, 10)
-		m.f.InForce("x", 2)
+		m.f.AddHandedOver(r, 10)
+		m.f.SetCurrentRung("x", 2)
 		sv := m.f.server(10)
 		m.f.hear(sv.link, 0.9, 0)
 		s := m.f.sess["x"]
@@ -262,12 +262,12 @@
 func TestFrontsThatHearTheSameStepByChance(t *testing.T) {
 	stepped, n := 0, 200
 	for i := range n {
-		m := alone(func(s *StartFigures) { s.Fronts = n })
+		m := alone(func(s *Config) { s.Fronts = n })
 		m.f.mwc = uint64(i*7919 + 1)
 		r := plain(1)
 		r.ID = "x"
-		m.f.Handed(r, 10)
-		m.f.InForce("x", 3)
+		m.f.AddHandedOver(r, 10)
+		m.f.SetCurrentRung("x", 3)
 		m.f.hear(m.f.server(10).link, 1.2, 0)
 		m.f.lower(m.f.server(10).link, m.f.server(10))
 		if m.f.sess["x"].wantRung < 3 {
@@ -284,19 +284,19 @@
 func TestAnUnheardHolderIsProbedFirst(t *testing.T) {
 	m := alone(nil)
 	q := m.ask(plain(1))
-	if m.f.Settle(); len(m.probes) != 1 || q.out {
+	if m.f.Reconcile(); len(m.probes) != 1 || q.out {
 		t.Fatalf("%d probes, out %v", len(m.probes), q.out)
 	}
-	m.f.Probed(m.probes[0], Served, Report{Link: 1.4, Uplink: -1})
-	if m.f.Settle(); !q.out || q.on == m.probes[0] {
+	m.f.ProbeEnded(m.probes[0], Served, LoadReport{Link: 1.4, Uplink: -1})
+	if m.f.Reconcile(); !q.out || q.on == m.probes[0] {
 		t.Errorf("out %v on %d", q.out, q.on)
 	}
 	p := m.ask(plain(1))
-	m.f.Settle()
+	m.f.Reconcile()
 	m.w.now += 0.3
-	m.f.At(m.w.now)
-	m.f.Due()
-	if m.f.Settle(); !p.out {
+	m.f.SetTime(m.w.now)
+	m.f.HandleTimer()
+	if m.f.Reconcile(); !p.out {
 		t.Error("a request waits on for a probe that is not answered")
 	}
 }
@@ -304,9 +304,9 @@
 // Where a probe costs more than it can earn, no request waits for one: its SETUP goes out at once.
 func TestNoLookWhereProbesAreDear(t *testing.T) {
 	for price, want := range map[float64]int{0: 1, 0.014: 1, 0.08: 0} {
-		m := alone(func(s *StartFigures) { s.ProbePrice = price })
+		m := alone(func(s *Config) { s.ProbePrice = price })
 		q := m.ask(plain(1))
-		if m.f.Settle(); len(m.probes) != want || q.out == (want > 0) {
+		if m.f.Reconcile(); len(m.probes) != want || q.out == (want > 0) {
 			t.Errorf("at a price of %v: %d probes, out %v", price, len(m.probes), q.out)
 		}
 	}
@@ -314,14 +314,14 @@
 
 // A capped reading near its cap tells that a link is full, but not that it is less than was known.
 func TestACappedReadingOnlyRaisesWhatIsKnown(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Fronts = 50 })
+	m := alone(func(s *Config) { s.Fronts = 50 })
 	s := m.f.server(10)
-	m.f.report(s, Report{Link: 0.98, Capped: true, Uplink: -1}, 0)
+	m.f.report(s, LoadReport{Link: 0.98, Capped: true, Uplink: -1}, 0)
 	if x := m.f.others(s.link) / s.link.size; x < 0.9 {
 		t.Errorf("a link told full is known at %.2f", x)
 	}
 	m.f.hear(s.link, 1.6, 0)
-	m.f.report(s, Report{Link: 0.98, Capped: true, Uplink: -1}, 0)
+	m.f.report(s, LoadReport{Link: 0.98, Capped: true, Uplink: -1}, 0)
 	if x := m.f.others(s.link) / s.link.size; x < 1.2 {
 		t.Errorf("a link known over full is lowered to %.2f by a capped reading", x)
 	}
@@ -329,24 +329,24 @@
 
 // A crowd comes faster than readings tell: others' demand grows with the front's own, at most double.
 func TestACrowdRaisesOthersDemandBetweenReadings(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Fronts = 50 })
+	m := alone(func(s *Config) { s.Fronts = 50 })
 	hand := func(n int, name string) {
 		for i := range n {
 			r := plain(1)
 			r.ID = SessID(name + string(rune('a'+i)))
-			m.f.Handed(r, 12)
-			m.f.InForce(r.ID, 2)
+			m.f.AddHandedOver(r, 12)
+			m.f.SetCurrentRung(r.ID, 2)
 		}
 	}
 	hand(4, "few") // a front just started fills of itself, but not one that is handed its sessions
 	l := m.f.server(10).link
 	m.f.hear(l, 0.4, 0)
 	m.w.now += 0.5
-	m.f.At(m.w.now)
+	m.f.SetTime(m.w.now)
 	before := m.f.others(l)
 	hand(12, "crowd")
 	m.w.now += 0.5
-	m.f.At(m.w.now)
+	m.f.SetTime(m.w.now)
 	if after := m.f.others(l); after < 1.3*before || after > 2.1*before {
 		t.Errorf("others ask %.0f, then %.0f with four times the own sessions", before, after)
 	}
@@ -355,7 +355,7 @@
 		s.wantRung = 0
 	}
 	m.w.now += 0.5
-	m.f.At(m.w.now)
+	m.f.SetTime(m.w.now)
 	if after := m.f.others(l); after > 0.7*before {
 		t.Errorf("others ask %.0f, then %.0f with the own sessions at the lowest rung", before, after)
 	}
@@ -363,20 +363,20 @@
 
 // Other fronts' sums count beside the own ones; what is malformed, forbidden or at odds with itself doesn't.
 func TestMessagesOfOtherFronts(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Fronts, s.Peers = 50, true })
+	m := alone(func(s *Config) { s.Fronts, s.PeerMessages = 50, true })
 	part := func() float64 { m.f.pooled = 0; m.f.pool(); return m.f.fraction }
 	was := part()
 	low := sealMix(mix{40000, 0, 4000, 0, 3, 10})
 	for _, words := range [][]byte{nil, {}, low[:12], append([]byte{9}, low[1:]...), append(low[:13:13], 0),
 		sealMix(mix{1000, 0, 4000, 0, 3, 10})} {
-		if m.f.Told(words); part() != was {
+		if m.f.ReceiveMessage(words); part() != was {
 			t.Errorf("% x counts", words)
 		}
 	}
-	if m.f.Told(low); part() > 0.7*was {
+	if m.f.ReceiveMessage(low); part() > 0.7*was {
 		t.Errorf("others play at %.2f, was %.2f", part(), was)
 	}
-	if m.f.At(m.w.now + 100); math.Abs(part()-was) > 0.01 {
+	if m.f.SetTime(m.w.now + 100); math.Abs(part()-was) > 0.01 {
 		t.Errorf("others play at %.2f long after the last message", part())
 	}
 	if big, ok := openMix(sealMix(mix{4e6, 2e6, 2e6, 1e6, 50, 100})); !ok || math.Abs(big[2]/big[0]-0.5) > 0.01 || big[0] > 7e5 {
@@ -386,8 +386,8 @@
 	if m.settle(); len(m.told) != 6 || len(m.told[0]) != 13 {
 		t.Errorf("%d messages for a request", len(m.told))
 	}
-	quiet := alone(func(s *StartFigures) { s.Fronts = 50 })
-	quiet.f.Told(low)
+	quiet := alone(func(s *Config) { s.Fronts = 50 })
+	quiet.f.ReceiveMessage(low)
 	quiet.ask(plain(1))
 	if quiet.settle(); len(quiet.told) > 0 || quiet.f.heard != (mix{}) {
 		t.Error("messages where none are allowed")
@@ -397,12 +397,12 @@
 // Viewers of a live title share a stream: each further one adds a part of the rate, and a server that has the
 // stream is worth what joining saves there.
 func TestLiveViewersShareAStream(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Groups[1].Adds = 0.3 })
+	m := alone(func(s *Config) { s.Groups[1].AddedRateShare = 0.3 })
 	for _, id := range []SessID{"a", "b"} {
 		r := plain(1)
 		r.ID = id
-		m.f.Handed(r, 11)
-		m.f.InForce(id, 3)
+		m.f.AddHandedOver(r, 11)
+		m.f.SetCurrentRung(id, 3)
 	}
 	sv := m.f.server(11)
 	if first := m.f.sess["a"].part; sv.link.asks(false) != (first+0.3)*2000 {
@@ -419,7 +419,7 @@
 
 // A server that none prefers is as good as a preferred one to a front that has a viewer of the title there.
 func TestOwnViewersMakeAStream(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Groups[1].Adds = 0.3 })
+	m := alone(func(s *Config) { s.Groups[1].AddedRateShare = 0.3 })
 	r := plain(1)
 	sv := m.f.servers[slices.IndexFunc(m.f.servers, func(s *server) bool { return hash(r.Title, s.id)%8 != 0 })]
 	s := m.f.admit(r)
@@ -427,26 +427,26 @@
 		t.Fatalf("a first viewer adds %.1f of its rate", p)
 	}
 	r.ID = "there"
-	if m.f.Handed(r, sv.id); m.f.part(s, sv) != 0.3 {
+	if m.f.AddHandedOver(r, sv.id); m.f.part(s, sv) != 0.3 {
 		t.Errorf("a second viewer adds %.1f of its rate", m.f.part(s, sv))
 	}
 }
 
 // Where no load is told while sessions play, they rise by the usual load; old words of links make way for new ones.
 func TestSessionsOfLinksNotHeardOfRise(t *testing.T) {
-	m := alone(func(s *StartFigures) { s.Fronts, s.Probes, s.NoteEvery, s.FleetLinks = 50, false, 0, 120000 })
+	m := alone(func(s *Config) { s.Fronts, s.Probes, s.NoteInterval, s.FleetLinkCapacity = 50, false, 0, 120000 })
 	r := plain(1)
 	r.ID = "low"
-	m.f.Handed(r, 10)
+	m.f.AddHandedOver(r, 10)
 	m.f.hear(m.f.server(11).link, 2, 0)
 	for range 240 {
 		m.w.now += 0.25
-		m.f.At(m.w.now)
+		m.f.SetTime(m.w.now)
 		if m.w.now > 115 {
 			m.f.hear(m.f.server(12).link, 0.1, 0)
 		}
-		m.f.Due()
-		m.f.Settle()
+		m.f.HandleTimer()
+		m.f.Reconcile()
 	}
 	if u := m.f.usual[0]; u > 0.5 {
 		t.Errorf("usual load %.2f, 60 s after a word of 2 and with 0.1 since", u)
@@ -459,9 +459,9 @@
 // Requests withdrawn before any SETUP left earn no further SETUPs; those that had one earn their share.
 func TestOnlyFirstSetupsEarnFurtherOnes(t *testing.T) {
 	further := func(withdrawn int) int {
-		m := alone(func(s *StartFigures) { s.SpareSetups, s.SetupShare, s.MostSetups, s.Probes = 2, 0.5, 4, false })
+		m := alone(func(s *Config) { s.BaseRetries, s.RetriesPerSession, s.MaxSetups, s.Probes = 2, 0.5, 4, false })
 		for range withdrawn {
-			m.f.Left(m.ask(plain(1)).ID)
+			m.f.RequestClosed(m.ask(plain(1)).ID)
 		}
 		m.settle()
 		for range 4 {
@@ -487,11 +487,11 @@
 		o     Outcome
 		busy  bool
 	}{{0, Full, true}, {0, TimedOut, false}, {0, Unsent, true}, {1, TimedOut, true}} {
-		m := alone(func(s *StartFigures) { s.MostSetups = 4 })
+		m := alone(func(s *Config) { s.MaxSetups = 4 })
 		out := m.ask(plain(c.group))
 		m.settle()
-		waits := m.ask(Request{Group: 0, Title: "u", StartCell: 3, Span: 3, BestRung: 3, SetupTimeout: 104})
-		m.f.Settle()
+		waits := m.ask(Request{Group: 0, Title: "u", StartCell: 3, CellCount: 3, BestRung: 3, SetupTimeout: 104})
+		m.f.Reconcile()
 		if !out.out || waits.out || len(m.f.waiting) != 1 {
 			t.Fatal("one is to be out, one to wait for a probe")
 		}
--- a/choice/hearing/hearing.go
+++ b/choice/hearing/hearing.go
@@ -173,8 +173,8 @@
 func sane(x float64) bool { return x >= 0 && x <= 100 }
 
 // Report makes a report of figures that a box sent; what can't be true counts as not told.
-func Report(link, uplink float64, capped bool) choice.Report {
-	r := choice.Report{Link: -1, Uplink: -1}
+func Report(link, uplink float64, capped bool) choice.LoadReport {
+	r := choice.LoadReport{Link: -1, Uplink: -1}
 	if sane(link) {
 		r.Link, r.Capped = link, capped
 	}
--- a/choice/recall/recall.go
+++ b/choice/recall/recall.go
@@ -17,7 +17,7 @@
 type Stored struct {
 	Saved  float64 // instant of the keeping
 	Clean  bool    // the front had ended in order: nothing came after it
-	Memory choice.Memory
+	Memory choice.Snapshot
 }
 
 // Terms are the figures of the front that starts.
@@ -43,7 +43,7 @@
 )
 
 // Believe gives what the front starts with, and what there is to say of it.
-func Believe(now float64, s Stored, t Terms) (m choice.Memory, say []string) {
+func Believe(now float64, s Stored, t Terms) (m choice.Snapshot, say []string) {
 	age := now - s.Saved
 	if age < -setBack {
 		// The clock was set back between the runs: instants of before can't be told from ones to come. What makes
@@ -53,17 +53,17 @@
 	}
 	age = max(age, 0)
 	m = ration(now, s, t)
-	if added := len(m.Further) - len(s.Memory.Further); added > 0 && !s.Clean {
+	if added := len(m.Retries) - len(s.Memory.Retries); added > 0 && !s.Clean {
 		say = append(say, fmt.Sprintf("the last front did not end in order: no further SETUPs for %.0f s, it may have used the ration up", t.Window))
 	}
 	for _, r := range s.Memory.Servers {
-		b := choice.Remembered{ID: r.ID, Born: born(now, r.Born), Slot: -1}
+		b := choice.ServerSnapshot{ID: r.ID, StartedAt: born(now, r.StartedAt), Slot: -1}
 		if age < asideTime {
-			b.Aside, b.Full = r.Aside, min(r.Full, now+1)
+			b.Ejected, b.FullUntil = r.Ejected, min(r.FullUntil, now+1)
 		}
-		if age < learnedTime && positive(r.Gap) && positive(r.Dev) {
+		if age < learnedTime && positive(r.MeanGap) && positive(r.GapDeviation) {
 			// Silence is judged from now on: nobody listened meanwhile.
-			b.Gap, b.Dev, b.Heard = r.Gap, r.Dev, now
+			b.MeanGap, b.GapDeviation, b.LastHeardAt = r.MeanGap, r.GapDeviation, now
 		}
 		b.Link = reading(now, age, r.Link)
 		m.Servers = append(m.Servers, b)
@@ -71,8 +71,8 @@
 	for _, r := range s.Memory.Uplinks {
 		m.Uplinks = append(m.Uplinks, reading(now, age, r))
 	}
-	if age < usualTime && sound(s.Memory.Usual[0]) && sound(s.Memory.Usual[1]) && sound(s.Memory.UsualAt) {
-		m.Usual = s.Memory.Usual // UsualAt goes with this front's own sessions, of which there are none
+	if age < usualTime && sound(s.Memory.MeanLoad[0]) && sound(s.Memory.MeanLoad[1]) && sound(s.Memory.MeanLoadDemand) {
+		m.MeanLoad = s.Memory.MeanLoad // UsualAt goes with this front's own sessions, of which there are none
 	}
 	return m, say
 }
@@ -80,7 +80,7 @@
 // ration keeps requests and further SETUPs of the last window. Where the last front was killed, what it did after it had
 // kept them is not known: it may have used what was left, so that much counts as used now. Forgetting would allow the
 // spare ones anew.
-func ration(now float64, s Stored, t Terms) (m choice.Memory) {
+func ration(now float64, s Stored, t Terms) (m choice.Snapshot) {
 	if t.Window <= 0 {
 		return m
 	}
@@ -93,9 +93,9 @@
 		slices.Sort(out)
 		return out
 	}
-	m.Taken, m.Further = within(s.Memory.Taken), within(s.Memory.Further)
+	m.FirstSetups, m.Retries = within(s.Memory.FirstSetups), within(s.Memory.Retries)
 	if !s.Clean && now-s.Saved <= 1.02*t.Window {
-		m.Further = fill(now, m.Further, t.Spare+t.Share*float64(len(m.Taken)))
+		m.Retries = fill(now, m.Retries, t.Spare+t.Share*float64(len(m.FirstSetups)))
 	}
 	return m
 }
@@ -110,14 +110,14 @@
 
 // careful keeps of a memory whose instants mean nothing what makes careful: the ration counts as used, boxes that were
 // cold are cold from now.
-func careful(now float64, s Stored, t Terms) (m choice.Memory) {
+func careful(now float64, s Stored, t Terms) (m choice.Snapshot) {
 	if t.Window > 0 {
-		m.Further = fill(now, nil, t.Spare)
+		m.Retries = fill(now, nil, t.Spare)
 	}
 	for _, r := range s.Memory.Servers {
-		b := choice.Remembered{ID: r.ID, Slot: -1}
-		if r.Born > 0 && s.Saved-r.Born < t.WarmUp {
-			b.Born = now
+		b := choice.ServerSnapshot{ID: r.ID, Slot: -1}
+		if r.StartedAt > 0 && s.Saved-r.StartedAt < t.WarmUp {
+			b.StartedAt = now
 		}
 		m.Servers = append(m.Servers, b)
 	}
@@ -132,21 +132,21 @@
 	return min(at, now)
 }
 
-func reading(now, age float64, r choice.Reading) (b choice.Reading) {
-	for _, x := range []float64{r.Told, r.Size, r.Rest, r.Read, r.Top, r.Load, r.Seen, r.Lift, r.Lifted} {
+func reading(now, age float64, r choice.LinkSnapshot) (b choice.LinkSnapshot) {
+	for _, x := range []float64{r.NominalCapacity, r.Capacity, r.OtherDemand, r.ReadAt, r.OwnDemand, r.ReportedLoad, r.ReportedAt, r.ShortfallDemand, r.ShortfallAt} {
 		if !sound(x) {
 			return b
 		}
 	}
-	if age < learnedTime && r.Told > 0 && r.Size >= r.Told {
-		b.Told, b.Size = r.Told, r.Size
+	if age < learnedTime && r.NominalCapacity > 0 && r.Capacity >= r.NominalCapacity {
+		b.NominalCapacity, b.Capacity = r.NominalCapacity, r.Capacity
 	}
-	if age < readingTime && r.Read <= now {
+	if age < readingTime && r.ReadAt <= now {
 		// Top stays out: own sessions' growth since is told from none, and this front has none.
-		b.Rest, b.Read, b.Load, b.Seen = r.Rest, r.Read, r.Load, min(r.Seen, now)
+		b.OtherDemand, b.ReadAt, b.ReportedLoad, b.ReportedAt = r.OtherDemand, r.ReadAt, r.ReportedLoad, min(r.ReportedAt, now)
 	}
-	if age < liftTime && r.Lifted <= now {
-		b.Lift, b.Lifted = r.Lift, r.Lifted
+	if age < liftTime && r.ShortfallAt <= now {
+		b.ShortfallDemand, b.ShortfallAt = r.ShortfallDemand, r.ShortfallAt
 	}
 	return b
 }
--- a/choice/recall/recall_test.go
+++ b/choice/recall/recall_test.go
@@ -11,10 +11,10 @@
 var terms = Terms{Window: 10, Spare: 5, Share: 0.1, WarmUp: 30}
 
 func TestWhatIsBelieved(t *testing.T) {
-	s := Stored{Saved: 1000, Memory: choice.Memory{Taken: []float64{985, 993, 999}, Further: []float64{980, 995},
-		Servers: []choice.Remembered{{ID: 1, Born: 990, Slot: 5, Used: 1, Aside: true, Full: 1050, Gap: 3, Dev: 1, Heard: 998,
-			Link: choice.Reading{Told: 100, Size: 150, Rest: 40, Read: 997, Top: 60, Load: 0.5, Seen: 999, Lift: 90, Lifted: 999}}},
-		Usual: [2]float64{0.4, 0.5}}}
+	s := Stored{Saved: 1000, Memory: choice.Snapshot{FirstSetups: []float64{985, 993, 999}, Retries: []float64{980, 995},
+		Servers: []choice.ServerSnapshot{{ID: 1, StartedAt: 990, Slot: 5, SlotSetups: 1, Ejected: true, FullUntil: 1050, MeanGap: 3, GapDeviation: 1, LastHeardAt: 998,
+			Link: choice.LinkSnapshot{NominalCapacity: 100, Capacity: 150, OtherDemand: 40, ReadAt: 997, OwnDemand: 60, ReportedLoad: 0.5, ReportedAt: 999, ShortfallDemand: 90, ShortfallAt: 999}}},
+		MeanLoad: [2]float64{0.4, 0.5}}}
 	for name, c := range map[string]struct {
 		now     float64
 		clean   bool
@@ -36,12 +36,12 @@
 		s.Clean = c.clean
 		m, say := Believe(c.now, s, terms)
 		b := m.Servers[0]
-		if len(m.Taken) != c.taken || len(m.Further) != c.further || b.Aside != c.aside || b.Link.Rest != c.rest || b.Link.Size != c.size ||
-			b.Gap != c.gap || m.Usual[0] != c.usual || b.Slot != -1 {
+		if len(m.FirstSetups) != c.taken || len(m.Retries) != c.further || b.Ejected != c.aside || b.Link.OtherDemand != c.rest || b.Link.Capacity != c.size ||
+			b.MeanGap != c.gap || m.MeanLoad[0] != c.usual || b.Slot != -1 {
 			t.Errorf("%s: %+v, said %q", name, m, say)
 		}
-		if b.Born != 990 && b.Born != c.now {
-			t.Errorf("%s: a cold box was born %v", name, b.Born)
+		if b.StartedAt != 990 && b.StartedAt != c.now {
+			t.Errorf("%s: a cold box was born %v", name, b.StartedAt)
 		}
 	}
 }
@@ -53,36 +53,36 @@
 		instant := rapid.Float64Range(900, 1100)
 		any := rapid.OneOf(instant, rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -5, 0}))
 		s := Stored{Saved: instant.Draw(t, "saved"), Clean: rapid.Bool().Draw(t, "clean")}
-		s.Memory.Taken = rapid.SliceOfN(instant, 0, 60).Draw(t, "taken")
-		s.Memory.Further = rapid.SliceOfN(instant, 0, 20).Draw(t, "further")
+		s.Memory.FirstSetups = rapid.SliceOfN(instant, 0, 60).Draw(t, "taken")
+		s.Memory.Retries = rapid.SliceOfN(instant, 0, 20).Draw(t, "further")
 		cold := instant.Draw(t, "born")
-		s.Memory.Servers = []choice.Remembered{{ID: 1, Born: cold, Slot: any.Draw(t, "slot"), Gap: any.Draw(t, "gap"), Dev: any.Draw(t, "dev"),
-			Link: choice.Reading{Told: any.Draw(t, "told"), Size: any.Draw(t, "size"), Rest: any.Draw(t, "rest"), Read: any.Draw(t, "read")}}}
+		s.Memory.Servers = []choice.ServerSnapshot{{ID: 1, StartedAt: cold, Slot: any.Draw(t, "slot"), MeanGap: any.Draw(t, "gap"), GapDeviation: any.Draw(t, "dev"),
+			Link: choice.LinkSnapshot{NominalCapacity: any.Draw(t, "told"), Capacity: any.Draw(t, "size"), OtherDemand: any.Draw(t, "rest"), ReadAt: any.Draw(t, "read")}}}
 		now := instant.Draw(t, "now")
 		m, _ := Believe(now, s, terms)
-		for _, x := range m.Further {
+		for _, x := range m.Retries {
 			if x > now {
 				t.Fatalf("a further SETUP at %v, now is %v", x, now)
 			}
 		}
 		// What may go out within the window from now, with what went out before, stays in the ration of the window's requests.
 		real := 0
-		for _, x := range s.Memory.Further {
+		for _, x := range s.Memory.Retries {
 			if x <= now && now-x <= terms.Window {
 				real++
 			}
 		}
-		if len(m.Further) < real && now-s.Saved >= -1 {
-			t.Fatalf("%d further SETUPs within the window, %d believed", real, len(m.Further))
+		if len(m.Retries) < real && now-s.Saved >= -1 {
+			t.Fatalf("%d further SETUPs within the window, %d believed", real, len(m.Retries))
 		}
-		if !s.Clean && math.Abs(now-s.Saved) < terms.Window && float64(len(m.Further))+1 <= terms.Spare {
-			t.Fatalf("killed within the window, and %d of the ration are believed used", len(m.Further))
+		if !s.Clean && math.Abs(now-s.Saved) < terms.Window && float64(len(m.Retries))+1 <= terms.Spare {
+			t.Fatalf("killed within the window, and %d of the ration are believed used", len(m.Retries))
 		}
 		b := m.Servers[0]
-		if known := now - cold; known < terms.WarmUp && now-s.Saved >= -1 && b.Born != min(cold, now) {
-			t.Fatalf("born %v, was %v", b.Born, cold)
+		if known := now - cold; known < terms.WarmUp && now-s.Saved >= -1 && b.StartedAt != min(cold, now) {
+			t.Fatalf("born %v, was %v", b.StartedAt, cold)
 		}
-		for _, x := range []float64{b.Gap, b.Dev, b.Link.Told, b.Link.Size, b.Link.Rest, b.Link.Read, b.Full, b.Heard} {
+		for _, x := range []float64{b.MeanGap, b.GapDeviation, b.Link.NominalCapacity, b.Link.Capacity, b.Link.OtherDemand, b.Link.ReadAt, b.FullUntil, b.LastHeardAt} {
 			if !sound(x) {
 				t.Fatalf("a figure that can't be counted with: %+v", b)
 			}
--- a/choice/renewal/renewal.go
+++ b/choice/renewal/renewal.go
@@ -122,7 +122,7 @@
 
 // Keep takes out of a module's memory what holds no longer under the new terms. What rules count stays: requests and
 // further SETUPs. A slot that is not known counts as used, which costs a cold box one front's turn.
-func (p Plan) Keep(m choice.Memory) choice.Memory {
+func (p Plan) Keep(m choice.Snapshot) choice.Snapshot {
 	if !p.slots {
 		m.Servers = slices.Clone(m.Servers)
 		for i := range m.Servers {
--- a/choice/renewal/renewal_test.go
+++ b/choice/renewal/renewal_test.go
@@ -46,14 +46,14 @@
 				changed = append(changed, r.Part)
 			}
 		}
-		m := choice.Memory{Taken: []float64{1, 2}, Further: []float64{2}, Servers: []choice.Remembered{{ID: 3, Slot: 7, Used: 2, Born: 5}},
-			Uplinks: []choice.Reading{{Told: 1}}}
+		m := choice.Snapshot{FirstSetups: []float64{1, 2}, Retries: []float64{2}, Servers: []choice.ServerSnapshot{{ID: 3, Slot: 7, SlotSetups: 2, StartedAt: 5}},
+			Uplinks: []choice.LinkSnapshot{{NominalCapacity: 1}}}
 		p := Decide(Terms{Changed: changed})
 		k := p.Keep(m)
-		if !slices.Equal(k.Taken, m.Taken) || !slices.Equal(k.Further, m.Further) || k.Servers[0].Born != 5 || m.Servers[0].Slot != 7 {
+		if !slices.Equal(k.FirstSetups, m.FirstSetups) || !slices.Equal(k.Retries, m.Retries) || k.Servers[0].StartedAt != 5 || m.Servers[0].Slot != 7 {
 			t.Fatalf("%v: %+v of %+v", changed, k, m)
 		}
-		if s := k.Servers[0]; s.Slot >= 0 && s.Used != 2 || (s.Slot < 0) != (slices.Contains(changed, "cold") || slices.Contains(changed, "kind")) {
+		if s := k.Servers[0]; s.Slot >= 0 && s.SlotSetups != 2 || (s.Slot < 0) != (slices.Contains(changed, "cold") || slices.Contains(changed, "kind")) {
 			t.Fatalf("%v: %+v", changed, s)
 		}
 		if len(p.Refused) > 0 && p.Steps != 0 {
--- a/choice/session/renew.go
+++ b/choice/session/renew.go
@@ -8,7 +8,7 @@
 
 // Terms are a table's new ones.
 type Terms struct {
-	Figures choice.StartFigures
+	Figures choice.Config
 	Bounds  Bounds
 	Groups  []int // by a service group's number so far: its new one. None may be missing
 }
@@ -24,9 +24,9 @@
 //	answered otherwise         nothing more is asked
 //
 // No SETUP leaves because of it, so that no number of reloads touches rules 2 and 6.
-func (t *Table) Renew(terms Terms, list []choice.Listing, keep func(choice.Memory) choice.Memory) {
-	t.mod.Settle() // what was decided stands
-	m := keep(t.mod.Memory())
+func (t *Table) Renew(terms Terms, list []choice.Listing, keep func(choice.Snapshot) choice.Snapshot) {
+	t.mod.Reconcile() // what was decided stands
+	m := keep(t.mod.Snapshot())
 	lives := t.inOrder()
 	again := 0
 	for _, l := range lives {
@@ -36,28 +36,28 @@
 		}
 	}
 	// Those asked anew count as taken again; their first count goes, so that the ration grows by nothing.
-	m.Taken = m.Taken[:max(len(m.Taken)-again, 0)]
+	m.FirstSetups = m.FirstSetups[:max(len(m.FirstSetups)-again, 0)]
 	t.bounds = terms.Bounds
 	t.module(terms.Figures)
-	t.mod.Directory(true, list)
-	t.mod.Recall(m)
+	t.mod.UpdateDirectory(true, list)
+	t.mod.Restore(m)
 	// Boxes that have left the list are told of as long as it takes to hand their sessions over: those hold seats.
 	t.Directory(true, list)
 	var left []choice.Listing
 	for id, e := range t.list {
 		if e.State == choice.Gone {
-			left = append(left, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, Born: e.Born})
+			left = append(left, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, StartedAt: e.StartedAt})
 		}
 	}
 	slices.SortFunc(left, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
-	t.mod.Directory(false, left)
+	t.mod.UpdateDirectory(false, left)
 	for _, l := range lives {
 		t.renew(l)
 	}
 	for i := range left {
 		left[i].State = choice.Gone
 	}
-	t.mod.Directory(false, left)
+	t.mod.UpdateDirectory(false, left)
 }
 
 // Bound takes new bounds alone: they hold for what begins from now on.
@@ -65,8 +65,8 @@
 
 // Memory and Recall are the module's: what it learned, and its taking that again after the first list and before any
 // session.
-func (t *Table) Memory() choice.Memory  { return t.mod.Memory() }
-func (t *Table) Recall(m choice.Memory) { t.mod.Recall(m) }
+func (t *Table) Memory() choice.Snapshot  { return t.mod.Snapshot() }
+func (t *Table) Recall(m choice.Snapshot) { t.mod.Restore(m) }
 
 // Boxes is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
 func (t *Table) Boxes() (listed, usable int) {
@@ -83,21 +83,21 @@
 
 // Freeze has no SETUP ordered any more, as another process decides from here on for this front: requests without one are
 // busy-replied, those with one out get what it brings. Sessions go on. It gives what the module has learned.
-func (t *Table) Freeze() choice.Memory {
+func (t *Table) Freeze() choice.Snapshot {
 	t.stop = true
-	t.mod.Settle()
+	t.mod.Reconcile()
 	for _, l := range t.inOrder() {
 		switch {
 		case l.waits():
 			t.mark(l)
 			l.verdict, l.comeBack, l.toldModule = Busy, 1, false
-			t.mod.Left(l.id)
+			t.mod.RequestClosed(l.id)
 		case l.phase == connecting || l.phase == asked:
 			t.mark(l)
 			l.alone, l.until = true, max(l.until, l.giveUp-margin)
 		}
 	}
-	return t.mod.Memory()
+	return t.mod.Snapshot()
 }
 
 // Resume takes new requests again after Freeze: the other process came to nothing.
@@ -111,7 +111,7 @@
 	t.mark(l)
 	switch {
 	case l.waits():
-		t.mod.Ask(l.req)
+		t.mod.RequestSession(l.req)
 		return
 	case !l.toldModule || l.verdict == Busy || l.verdict == TornDown || l.phase == gone:
 		return
@@ -125,7 +125,7 @@
 		// As no other follows, this SETUP may take all the time there is.
 		l.alone, l.until = true, max(l.until, l.giveUp-margin)
 	}
-	t.mod.Handed(l.req, l.box)
+	t.mod.AddHandedOver(l.req, l.box)
 	rung := l.rung
 	if l.phase == connecting || l.phase == asked {
 		rung = l.wantRung
@@ -133,5 +133,5 @@
 	// A step that is out stays out; the one to the new bounds follows it.
 	g := t.groups[l.group]
 	l.wantRung = max(min(rung, g.Top, t.top), g.Floor)
-	t.mod.InForce(l.id, l.wantRung)
+	t.mod.SetCurrentRung(l.id, l.wantRung)
 }
--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -75,7 +75,7 @@
 			return false
 		}
 		w.state[box] = s
-		w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}}) })
+		w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}}) })
 		return true
 	}
 }
@@ -138,7 +138,7 @@
 		if l == nil || l.phase < ready || l.phase > paused || l.wantRung == 0 || l.wantRung != l.rung {
 			return false
 		}
-		w.do(func() { acts{w.t}.Rung(one, l.wantRung-1) })
+		w.do(func() { acts{w.t}.SetRung(one, l.wantRung-1) })
 		return true
 	}},
 	{"probe answered", func(w *world) bool {
@@ -147,7 +147,7 @@
 		}
 		box := w.probes[0]
 		w.probes = w.probes[1:]
-		w.do(func() { w.t.Probed(box, 200, 0, choice.Report{Link: 0.3, Uplink: -1}) })
+		w.do(func() { w.t.Probed(box, 200, 0, choice.LoadReport{Link: 0.3, Uplink: -1}) })
 		return true
 	}},
 	{"time", func(w *world) bool {
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -218,7 +218,7 @@
 }
 
 // New makes a table and its module.
-func New(now float64, fig choice.StartFigures, bounds Bounds, out Orders) *Table {
+func New(now float64, fig choice.Config, bounds Bounds, out Orders) *Table {
 	t := &Table{out: out, bounds: bounds, now: now, lives: map[choice.SessID]*life{},
 		list: map[choice.ServerID]choice.Listing{}, kept: &account.Ring{}}
 	t.module(fig)
@@ -226,7 +226,7 @@
 }
 
 // module makes the table a module of its own.
-func (t *Table) module(fig choice.StartFigures) {
+func (t *Table) module(fig choice.Config) {
 	t.groups, t.top, t.wake = fig.Groups, len(fig.Ladder)-1, 0
 	t.mod = choice.New(t.now, fig, acts{t})
 }
@@ -234,7 +234,7 @@
 // At sets the clock; it comes before each batch of events.
 func (t *Table) At(now float64) {
 	t.now = max(t.now, now)
-	t.mod.At(t.now)
+	t.mod.SetTime(t.now)
 }
 
 // Len is how many sessions there are, those ending included.
@@ -267,13 +267,13 @@
 			delete(t.list, id)
 		}
 	}
-	t.mod.Directory(whole, list)
+	t.mod.UpdateDirectory(whole, list)
 	// Against a SETUP that was ordered before the word came and would reach the box after it: one not yet sent is
 	// taken back and placed anew. It covers addresses that changed too. Harm: none, it provably never ran.
 	for _, l := range t.inOrder() {
 		if l.phase == connecting && !l.wantSetup && t.list[l.box].State != choice.Ready {
 			l.withdraw = append(l.withdraw, l.try)
-			t.setupOver(l, choice.Unsent, choice.Report{Link: -1, Uplink: -1})
+			t.setupOver(l, choice.Unsent, choice.LoadReport{Link: -1, Uplink: -1})
 		}
 	}
 }
@@ -289,7 +289,7 @@
 }
 
 func (r Ask) request(id choice.SessID) choice.Request {
-	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, Span: r.Span, BestRung: r.BestRung,
+	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, CellCount: r.Span, BestRung: r.BestRung,
 		Length: r.Length}
 }
 
@@ -312,7 +312,7 @@
 	t.note(l, account.Entry{Act: account.Asked, Rung: r.BestRung})
 	l.toldModule, l.req = true, r.request(id)
 	l.req.SetupTimeout = l.giveUp - margin
-	t.mod.Ask(l.req)
+	t.mod.RequestSession(l.req)
 }
 
 // Adopt takes over a session that plays already at a box.
@@ -325,8 +325,8 @@
 		verdict: Served, answerGiven: true, req: r.request(id)}
 	t.lives[id] = l
 	t.mark(l)
-	t.mod.Handed(l.req, box)
-	t.mod.InForce(id, rung)
+	t.mod.AddHandedOver(l.req, box)
+	t.mod.SetCurrentRung(id, rung)
 }
 
 // Request takes a later request of a viewer's, by the viewer's own number.
@@ -390,7 +390,7 @@
 }
 
 // BoxAnswered tells a box's answer to a SETUP.
-func (t *Table) BoxAnswered(id choice.SessID, try, status int, rep choice.Report) {
+func (t *Table) BoxAnswered(id choice.SessID, try, status int, rep choice.LoadReport) {
 	l := t.lives[id]
 	if l == nil || l.try != try || l.phase != asked && l.phase != connecting {
 		return
@@ -402,19 +402,19 @@
 		return
 	}
 	l.phase, l.keepAt = ready, t.now+t.bounds.KeepAlive
-	t.mod.Playing(id)
+	t.mod.SetupDone(id)
 	if rep.Link >= 0 {
-		t.mod.Load(id, l.box, rep.Link, false)
+		t.mod.LoadNote(id, l.box, rep.Link, false)
 	}
 	if rep.Uplink >= 0 {
-		t.mod.Load(id, l.box, rep.Uplink, true)
+		t.mod.LoadNote(id, l.box, rep.Uplink, true)
 	}
 	l.verdict = Served
 	t.advance(l)
 }
 
 // setupOver ends a SETUP that brought no session.
-func (t *Table) setupOver(l *life, o choice.Outcome, rep choice.Report) {
+func (t *Table) setupOver(l *life, o choice.Outcome, rep choice.LoadReport) {
 	t.mark(l)
 	l.phase, l.wantSetup = idle, false
 	t.note(l, account.Entry{Act: account.SetupOver, Box: l.box, Outcome: o})
@@ -427,7 +427,7 @@
 		return
 	}
 	if l.toldModule {
-		t.mod.Ended(l.id, l.box, o, false, rep)
+		t.mod.SetupEnded(l.id, l.box, o, false, rep)
 	}
 }
 
@@ -438,7 +438,7 @@
 		return
 	}
 	t.mark(l)
-	none := choice.Report{Link: -1, Uplink: -1}
+	none := choice.LoadReport{Link: -1, Uplink: -1}
 	switch l.phase {
 	case connecting:
 		t.setupOver(l, choice.NoConnection, none)
@@ -455,7 +455,7 @@
 }
 
 // OpAnswered tells a box's answer to an operation; status 0 is none.
-func (t *Table) OpAnswered(id choice.SessID, try int, op Op, arg, status int, rep choice.Report) {
+func (t *Table) OpAnswered(id choice.SessID, try int, op Op, arg, status int, rep choice.LoadReport) {
 	l := t.lives[id]
 	if l == nil || l.try != try {
 		return
@@ -498,15 +498,15 @@
 	l.wantRung = l.rung
 	t.note(l, account.Entry{Act: account.RungRefused, Rung: l.rung})
 	if l.toldModule {
-		t.mod.InForce(l.id, l.rung)
+		t.mod.SetCurrentRung(l.id, l.rung)
 	}
 }
 
 // over tells the module a session's end.
-func (t *Table) over(l *life, o choice.Outcome, rep choice.Report) {
+func (t *Table) over(l *life, o choice.Outcome, rep choice.LoadReport) {
 	if l.toldModule {
 		l.toldModule = false
-		t.mod.Ended(l.id, l.box, o, true, rep)
+		t.mod.SetupEnded(l.id, l.box, o, true, rep)
 	}
 }
 
@@ -539,14 +539,14 @@
 		}
 		l.phase = gone
 		if l.toldModule {
-			t.mod.Left(l.id)
+			t.mod.RequestClosed(l.id)
 		}
-		t.over(l, o, choice.Report{Link: -1, Uplink: -1})
+		t.over(l, o, choice.LoadReport{Link: -1, Uplink: -1})
 	case idle:
 		l.phase = gone
 		if l.toldModule {
 			l.toldModule = false
-			t.mod.Left(l.id)
+			t.mod.RequestClosed(l.id)
 		}
 	case ready, playing, paused:
 		l.phase, l.wantClose, l.until = closing, true, t.now+tearDownTime
@@ -589,20 +589,20 @@
 }
 
 // Probed tells how a probe ended: a status, or 0 with the failure.
-func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, rep choice.Report) {
+func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, rep choice.LoadReport) {
 	o := failure
 	if status != 0 {
 		o = OutcomeOf(status)
 	}
-	t.mod.Probed(box, o, rep)
+	t.mod.ProbeEnded(box, o, rep)
 }
 
 // Short, Load pass on what choice/hearing makes of boxes.
-func (t *Table) Short(box choice.ServerID, share float64) { t.mod.Short(box, share) }
+func (t *Table) Short(box choice.ServerID, share float64) { t.mod.ShortDelivery(box, share) }
 
 // Load passes on a load note that came with a session's media.
 func (t *Table) Load(id choice.SessID, box choice.ServerID, x float64, uplink bool) {
-	t.mod.Load(id, box, x, uplink)
+	t.mod.LoadNote(id, box, x, uplink)
 }
 
 // Stop has new requests busy-replied. Sessions go on.
@@ -650,13 +650,13 @@
 	}
 	if t.wake > 0 && t.now >= t.wake {
 		t.wake = 0
-		t.mod.Due()
+		t.mod.HandleTimer()
 	}
 }
 
 // expire does what one session's clock asks for.
 func (t *Table) expire(l *life) {
-	none := choice.Report{Link: -1, Uplink: -1}
+	none := choice.LoadReport{Link: -1, Uplink: -1}
 	switch l.phase {
 	case connecting, asked:
 		if t.now >= l.until && !l.wantSetup {
@@ -695,7 +695,7 @@
 			t.finish(l, BoxHung)
 		} else if l.toldModule {
 			l.toldModule = false
-			t.mod.Left(l.id)
+			t.mod.RequestClosed(l.id)
 		}
 		l.verdict, l.phase = TornDown, gone
 	}
@@ -744,7 +744,7 @@
 
 // Settle gives the orders that take each session from where it is to where it is wanted.
 func (t *Table) Settle() {
-	t.mod.Settle()
+	t.mod.Reconcile()
 	for _, s := range t.strays {
 		t.out.Reply(s.id, s.n, NoSession)
 	}
@@ -831,7 +831,7 @@
 	}
 }
 
-func (a acts) Rung(id choice.SessID, rung int) {
+func (a acts) SetRung(id choice.SessID, rung int) {
 	a.with(id, func(l *life) {
 		l.wantRung = rung
 		if l.phase >= ready {
@@ -856,8 +856,8 @@
 	})
 }
 
-func (a acts) Tell(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
-func (a acts) TearDown(id choice.SessID) {
+func (a acts) SendMessage(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
+func (a acts) FailureReply(id choice.SessID) {
 	a.with(id, func(l *life) {
 		l.verdict, l.toldModule = TornDown, false
 		a.t.note(l, account.Entry{Act: account.TornDown})
@@ -869,7 +869,7 @@
 	e.At, e.Sess = t.now, l.id
 	switch e.Act {
 	case account.Setup, account.Rung, account.Busy, account.TornDown:
-		e.Standing, _ = t.mod.Standing(l.id)
+		e.Standing, _ = t.mod.Explain(l.id)
 	}
 	t.kept.Note(e)
 }
@@ -885,7 +885,7 @@
 
 func (a acts) Probe(box choice.ServerID) { a.t.out.Probe(box) }
 
-func (a acts) Wake(after float64) { a.t.wake = a.t.now + after }
+func (a acts) SetTimer(after float64) { a.t.wake = a.t.now + after }
 
 func sortByID(list []*life) {
 	slices.SortFunc(list, func(a, b *life) int { return cmp.Compare(a.id, b.id) })
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,13 +10,13 @@
 	"rainhaven/choice"
 )
 
-func figures() (choice.StartFigures, Bounds) {
-	return choice.StartFigures{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
+func figures() (choice.Config, Bounds) {
+	return choice.Config{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
 			{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
-			Ladder: []float64{200, 500, 1000, 2000}, Cells: 4, Racks: 2, FleetLinks: 40000, UplinkMean: 25000,
-			Places: []float64{20}, NoteLag: 1, NoteEvery: 3, MostSetups: 3, Advice: 1, Probes: true,
-			Reporting: choice.ReportsInAnswers, SpareSetups: 50, SetupShare: 0.5, SetupWindow: 10},
+			Ladder: []float64{200, 500, 1000, 2000}, Cells: 4, Racks: 2, FleetLinkCapacity: 40000, MeanUplinkCapacity: 25000,
+			MaxStreams: []float64{20}, NoteLag: 1, NoteInterval: 3, MaxSetups: 3, MaxRetryAfter: 1, Probes: true,
+			Reporting: choice.ReportsInAnswers, BaseRetries: 50, RetriesPerSession: 0.5, RetryWindow: 10},
 		Bounds{SetupTimeout: []float64{3, 5}, Sessions: 50, ViewerIdle: 60, KeepAlive: 20}
 }
 
@@ -127,7 +127,7 @@
 	if op == TearDown {
 		a.held = false
 	}
-	w.ops = append(w.ops, func(status int) { w.t.OpAnswered(id, try, op, arg, status, choice.Report{Link: -1, Uplink: -1}) })
+	w.ops = append(w.ops, func(status int) { w.t.OpAnswered(id, try, op, arg, status, choice.LoadReport{Link: -1, Uplink: -1}) })
 }
 
 func (w *world) Drop(id choice.SessID, try int) { w.viewers[id].tries[try].held = false }
@@ -177,17 +177,17 @@
 	w.reloads++
 	fig, bounds := figures()
 	if w.reloads%2 == 1 {
-		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MostSetups, bounds.SetupTimeout = 3, 1, 2, []float64{2, 4}
+		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MaxSetups, bounds.SetupTimeout = 3, 1, 2, []float64{2, 4}
 	}
 	w.seats = fig.Groups[0].Seats
 	var list []choice.Listing
 	for i := range 4 {
 		if s := w.state[choice.ServerID(10+i)]; s != choice.Gone {
-			list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: s, Heft: 1})
+			list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: s, Weight: 1})
 		}
 	}
 	w.do(func() {
-		w.t.Renew(Terms{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
+		w.t.Renew(Terms{fig, bounds, []int{0, 1}}, list, func(m choice.Snapshot) choice.Snapshot { return m })
 	})
 	for _, l := range w.t.lives {
 		if floor := fig.Groups[l.group].Floor; l.phase >= ready && l.phase <= paused && l.wantRung < floor {
@@ -227,7 +227,7 @@
 			w.t.BoxFailed(id, try)
 			return
 		}
-		w.t.BoxAnswered(id, try, status, choice.Report{Link: 0.4, Uplink: -1})
+		w.t.BoxAnswered(id, try, status, choice.LoadReport{Link: 0.4, Uplink: -1})
 	})
 }
 
@@ -420,8 +420,8 @@
 	w.box(id, 1, 200, true)
 	l := w.t.lives[id]
 	from := l.rung
-	w.do(func() { acts{w.t}.Rung(id, from-1) })
-	w.do(func() { w.t.OpAnswered(id, 1, SetRung, from-1, 451, choice.Report{Link: -1, Uplink: -1}) })
+	w.do(func() { acts{w.t}.SetRung(id, from-1) })
+	w.do(func() { w.t.OpAnswered(id, 1, SetRung, from-1, 451, choice.LoadReport{Link: -1, Uplink: -1}) })
 	if l.rung != from || l.wantRung != from {
 		t.Fatalf("rung %d, wanted %d, of %d", l.rung, l.wantRung, from)
 	}
@@ -432,10 +432,10 @@
 func TestReloadKeepsWhatRulesCount(t *testing.T) {
 	w := newWorld(t)
 	fig, bounds := figures()
-	fig.SpareSetups, fig.SetupShare, fig.Probes = 2, 0, false
+	fig.BaseRetries, fig.RetriesPerSession, fig.Probes = 2, 0, false
 	renew := func() {
 		w.do(func() {
-			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 	}
 	renew()
@@ -488,8 +488,8 @@
 		w.do(func() {
 			w.t.SetupSent(id, 1)
 			a.out, v.mayRan = false, status == 500
-			w.t.BoxAnswered(id, 1, status, choice.Report{Link: -1, Uplink: -1})
-			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+			w.t.BoxAnswered(id, 1, status, choice.LoadReport{Link: -1, Uplink: -1})
+			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
 			t.Errorf("%d and a reload at once: %v after %d SETUPs", status, v.answers, len(v.tries))
@@ -500,7 +500,7 @@
 
 func listed4() (list []choice.Listing) {
 	for i := range 4 {
-		list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: choice.Ready, Heft: 1})
+		list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: choice.Ready, Weight: 1})
 	}
 	return list
 }
@@ -574,13 +574,13 @@
 				box := w.probes[0]
 				w.probes = w.probes[1:]
 				status := rapid.SampledFrom([]int{200, 0}).Draw(t, "status")
-				w.do(func() { w.t.Probed(box, status, choice.TimedOut, choice.Report{Link: 0.3, Uplink: -1}) })
+				w.do(func() { w.t.Probed(box, status, choice.TimedOut, choice.LoadReport{Link: 0.3, Uplink: -1}) })
 			},
 			"list": func(t *rapid.T) {
 				box := choice.ServerID(rapid.IntRange(10, 13).Draw(t, "box"))
 				s := rapid.SampledFrom([]choice.Lifecycle{choice.Ready, choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
 				w.state[box] = s
-				w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}}) })
+				w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}}) })
 			},
 			"reload":    func(*rapid.T) { w.reload() },
 			"time":      func(t *rapid.T) { w.pass(rapid.Float64Range(0, 1.5).Draw(t, "seconds")) },
@@ -619,8 +619,8 @@
 	w.box(served, 1, 453, true)
 	w.box(served, 2, 200, true)
 	l := w.t.lives[served]
-	w.do(func() { acts{w.t}.Rung(served, l.rung-1) })
-	w.do(func() { w.t.OpAnswered(served, 1, SetRung, l.rung-1, 200, choice.Report{Link: -1, Uplink: -1}) })
+	w.do(func() { acts{w.t}.SetRung(served, l.rung-1) })
+	w.do(func() { w.t.OpAnswered(served, 1, SetRung, l.rung-1, 200, choice.LoadReport{Link: -1, Uplink: -1}) })
 	paid := w.ask(0, "exam")
 	w.pass(0.3)
 	w.box(paid, 1, 500, true)
@@ -660,10 +660,10 @@
 func large(b *testing.B) (*world, Terms, []choice.Listing) {
 	w := newWorld(b)
 	fig, bounds := figures()
-	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, bounds.Sessions = 300, 20, 300*20000, 15*20000, 2000
+	fig.Cells, fig.Racks, fig.FleetLinkCapacity, fig.MeanUplinkCapacity, bounds.Sessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
 	for i := range fig.Cells {
-		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Heft: 1})
+		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Weight: 1})
 		w.state[choice.ServerID(100+i)] = choice.Ready
 	}
 	w.t = New(w.now, fig, bounds, deaf{w})
@@ -683,7 +683,7 @@
 	for b.Loop() {
 		w.now++
 		w.t.At(w.now)
-		w.t.Renew(terms, list, func(m choice.Memory) choice.Memory { return m })
+		w.t.Renew(terms, list, func(m choice.Snapshot) choice.Snapshot { return m })
 		w.t.Settle()
 	}
 }
--- a/choice/world_test.go
+++ b/choice/simulation_test.go
@@ -7,19 +7,19 @@
 )
 
 // figures are plain start figures: two service groups, the first paid and premium, with a floor and seats.
-func figures() StartFigures {
-	return StartFigures{Seed: 7, Fronts: 2, Groups: []ServiceGroup{
+func figures() Config {
+	return Config{Seed: 7, Fronts: 2, Groups: []ServiceGroup{
 		{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 6},
 		{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
 		Ladder: []float64{200, 500, 1000, 2000}, Cells: 6, Racks: 2,
-		FleetLinks: 60000, UplinkMean: 25000, Places: []float64{20}, NoteLag: 1, NoteEvery: 3, MostSetups: 2,
-		Advice: 1, Probes: true, Reporting: ReportsInAnswers, WarmUp: 10, ColdShare: 0.4, FallFactor: 3,
-		FallTime: 1, SpareSetups: 2, SetupShare: 0.1, SetupWindow: 5}
+		FleetLinkCapacity: 60000, MeanUplinkCapacity: 25000, MaxStreams: []float64{20}, NoteLag: 1, NoteInterval: 3, MaxSetups: 2,
+		MaxRetryAfter: 1, Probes: true, Reporting: ReportsInAnswers, WarmUp: 10, ColdShare: 0.4, OverloadFactor: 3,
+		OverloadTime: 1, BaseRetries: 2, RetriesPerSession: 0.1, RetryWindow: 5}
 }
 
 func fleet() (list []Listing) {
 	for i := range 6 {
-		list = append(list, Listing{ID: ServerID(10 + i), Cell: i, State: Ready, Heft: 1})
+		list = append(list, Listing{ID: ServerID(10 + i), Cell: i, State: Ready, Weight: 1})
 	}
 	return list
 }
@@ -28,7 +28,7 @@
 type world struct {
 	rand   *rand.Rand
 	now    float64
-	fig    StartFigures
+	fig    Config
 	fronts []*mock
 	state  map[ServerID]Lifecycle
 	born   map[ServerID]float64
@@ -64,7 +64,7 @@
 func newWorld(seed int64, fronts int) *world {
 	w := &world{rand: rand.New(rand.NewSource(seed)), now: 100, fig: figures(), state: map[ServerID]Lifecycle{},
 		born: map[ServerID]float64{}, cold: map[ServerID][]float64{}}
-	w.fig.Fronts, w.fig.Peers = fronts, seed%2 == 0
+	w.fig.Fronts, w.fig.PeerMessages = fronts, seed%2 == 0
 	for _, e := range fleet() {
 		w.state[e.ID] = Ready
 	}
@@ -78,16 +78,16 @@
 
 func (m *mock) start(me int) {
 	fig := m.w.fig
-	fig.Me, fig.Seed = me, uint64(m.w.rand.Int63())
+	fig.FrontIndex, fig.Seed = me, uint64(m.w.rand.Int63())
 	m.reqs, m.order, m.taken, m.further, m.probes = map[SessID]*req{}, nil, nil, nil, nil
 	m.f = New(m.w.now, fig, m)
-	m.f.Directory(true, m.w.listings())
-	m.f.Settle()
+	m.f.UpdateDirectory(true, m.w.listings())
+	m.f.Reconcile()
 }
 
 func (w *world) listings() (list []Listing) {
 	for _, e := range fleet() {
-		if e.State, e.Born = w.state[e.ID], w.born[e.ID]; e.State != Gone {
+		if e.State, e.StartedAt = w.state[e.ID], w.born[e.ID]; e.State != Gone {
 			list = append(list, e)
 		}
 	}
@@ -102,12 +102,12 @@
 	q := &req{Request: r, asked: m.w.now, rung: m.w.fig.Groups[r.Group].Floor}
 	m.reqs[r.ID], m.order = q, append(m.order, r.ID)
 	m.taken = append(m.taken, m.w.now)
-	m.f.At(m.w.now)
-	m.f.Ask(r)
+	m.f.SetTime(m.w.now)
+	m.f.RequestSession(r)
 	return q
 }
 
-func (m *mock) Rung(id SessID, rung int) {
+func (m *mock) SetRung(id SessID, rung int) {
 	q := m.reqs[id]
 	if q == nil || q.done || rung < m.w.fig.Groups[q.Group].Floor || rung > q.BestRung {
 		m.w.fail("rule 5: rung %d for %s", rung, id)
@@ -130,15 +130,15 @@
 		w.fail("rule 3: a SETUP to server %d, which is %d", server, w.state[server])
 	}
 	cell := int(server) - 10
-	if (cell-q.StartCell+w.fig.Cells)%w.fig.Cells >= q.Span {
+	if (cell-q.StartCell+w.fig.Cells)%w.fig.Cells >= q.CellCount {
 		w.fail("a SETUP to a server without the title")
 	}
 	if age := w.now - w.born[server]; w.born[server] > 0 && age < w.fig.WarmUp {
 		sent := append(w.cold[server], w.now)
 		w.cold[server] = sent
-		share := w.fig.ColdShare + (1-w.fig.ColdShare)*max(age-w.fig.FallTime, 0)/w.fig.WarmUp
-		budget := w.fig.FallFactor * w.fig.Places[0] / w.fig.WarmUp * share * w.fig.FallTime
-		if n := recent(sent, w.now, w.fig.FallTime); float64(n) > budget {
+		share := w.fig.ColdShare + (1-w.fig.ColdShare)*max(age-w.fig.OverloadTime, 0)/w.fig.WarmUp
+		budget := w.fig.OverloadFactor * w.fig.MaxStreams[0] / w.fig.WarmUp * share * w.fig.OverloadTime
+		if n := recent(sent, w.now, w.fig.OverloadTime); float64(n) > budget {
 			w.fail("rule 4: %d SETUPs to a cold server within the fall time, %.1f are its budget", n, budget)
 		}
 	}
@@ -147,14 +147,14 @@
 	}
 	if q.sent > 0 {
 		m.further = append(m.further, w.now)
-		n := recent(m.further, w.now, w.fig.SetupWindow)
-		if float64(n) > w.fig.SpareSetups+w.fig.SetupShare*float64(recent(m.taken, w.now, w.fig.SetupWindow)) {
+		n := recent(m.further, w.now, w.fig.RetryWindow)
+		if float64(n) > w.fig.BaseRetries+w.fig.RetriesPerSession*float64(recent(m.taken, w.now, w.fig.RetryWindow)) {
 			w.fail("rule 6: %d further SETUPs", n)
 		}
 	}
 	q.sent++
 	q.out, q.on = true, server
-	if q.sent > w.fig.MostSetups {
+	if q.sent > w.fig.MaxSetups {
 		w.fail("%d SETUPs for one request", q.sent)
 	}
 }
@@ -194,28 +194,28 @@
 	}
 }
 
-func (m *mock) Tell(front int, words []byte) {
+func (m *mock) SendMessage(front int, words []byte) {
 	m.told = append(m.told, words)
 	if w := m.w; front < len(w.fronts) && w.rand.Intn(3) > 0 { // others are lost
 		words = slices.Clone(words)
 		words[w.rand.Intn(len(words))] ^= byte(w.rand.Intn(2) * w.rand.Intn(256))
-		w.fronts[front].f.Told(words)
+		w.fronts[front].f.ReceiveMessage(words)
 	}
 }
-func (m *mock) TearDown(id SessID) { m.torn++; m.final(id) }
+func (m *mock) FailureReply(id SessID) { m.torn++; m.final(id) }
 
 // settle lets the front act and answers its probes at once.
 func (m *mock) settle() {
-	for m.f.Settle(); len(m.probes) > 0; m.f.Settle() {
+	for m.f.Reconcile(); len(m.probes) > 0; m.f.Reconcile() {
 		for _, s := range slices.Clone(m.probes) {
-			m.f.Probed(s, Served, Report{Link: -1, Uplink: -1})
+			m.f.ProbeEnded(s, Served, LoadReport{Link: -1, Uplink: -1})
 		}
 		m.probes = nil
 	}
 }
 
-func (m *mock) Wake(after float64) { m.wake = m.w.now + after }
-func (m *mock) Probe(s ServerID)   { m.probes = append(m.probes, s) }
+func (m *mock) SetTimer(after float64) { m.wake = m.w.now + after }
+func (m *mock) Probe(s ServerID)       { m.probes = append(m.probes, s) }
 
 // end tells the front that a SETUP ended.
 func (m *mock) end(q *req, o Outcome, final bool) {
@@ -227,7 +227,7 @@
 	if !played && o != Full && o != NoConnection && o != Unsent {
 		q.mayRan = true
 	}
-	m.f.Ended(q.ID, q.on, o, final, Report{Link: m.w.rand.Float64() * 1.5, Uplink: m.w.rand.Float64()})
+	m.f.SetupEnded(q.ID, q.on, o, final, LoadReport{Link: m.w.rand.Float64() * 1.5, Uplink: m.w.rand.Float64()})
 }
 
 // step lets some time pass and something happen at each front, then checks that nothing is left unanswered.
@@ -241,23 +241,23 @@
 			m.start(i)
 			continue
 		}
-		m.f.At(w.now)
+		m.f.SetTime(w.now)
 		if w.now >= m.wake {
-			m.f.Due()
+			m.f.HandleTimer()
 		}
 		for _, id := range slices.Clone(m.order) {
 			m.live(m.reqs[id])
 		}
 		m.order = slices.DeleteFunc(m.order, func(id SessID) bool { return m.reqs[id].done })
 		for _, s := range m.probes {
-			m.f.Probed(s, []Outcome{Served, Served, TimedOut}[w.rand.Intn(3)], Report{Link: 0.5, Uplink: -1})
+			m.f.ProbeEnded(s, []Outcome{Served, Served, TimedOut}[w.rand.Intn(3)], LoadReport{Link: 0.5, Uplink: -1})
 		}
 		m.probes = nil
 		for range w.rand.Intn(4) {
 			m.ask(Request{Group: w.rand.Intn(2), Title: fmt.Sprint("t", w.rand.Intn(3)), StartCell: w.rand.Intn(6),
-				Span: 3, BestRung: 1 + w.rand.Intn(3), SetupTimeout: w.now + 0.1 + w.rand.Float64()*4})
+				CellCount: 3, BestRung: 1 + w.rand.Intn(3), SetupTimeout: w.now + 0.1 + w.rand.Float64()*4})
 		}
-		m.f.Settle()
+		m.f.Reconcile()
 		for _, id := range m.order {
 			if q := m.reqs[id]; !q.done && !q.out && !q.plays && w.now-q.asked > 0.6 {
 				w.fail("rule 1: %s is held without a SETUP or an answer", id)
@@ -278,18 +278,18 @@
 			return
 		}
 		q.out, q.plays, q.ends = false, true, w.now+w.rand.Float64()*20
-		m.f.Playing(q.ID)
+		m.f.SetupDone(q.ID)
 	case q.out && w.rand.Intn(60) == 0:
 		q.done = true
-		m.f.Left(q.ID)
-		m.f.Ended(q.ID, q.on, Cancelled, true, Report{Link: -1, Uplink: -1})
+		m.f.RequestClosed(q.ID)
+		m.f.SetupEnded(q.ID, q.on, Cancelled, true, LoadReport{Link: -1, Uplink: -1})
 		q.out = false
 	case q.plays && w.now >= q.ends:
 		m.end(q, Served, true)
 	case q.plays && w.rand.Intn(20) == 0:
-		m.f.Short(q.on, w.rand.Float64())
+		m.f.ShortDelivery(q.on, w.rand.Float64())
 	case q.plays && w.rand.Intn(20) == 0:
-		m.f.Load(q.ID, q.on, w.rand.Float64()*1.5, w.rand.Intn(2) == 0)
+		m.f.LoadNote(q.ID, q.on, w.rand.Float64()*1.5, w.rand.Intn(2) == 0)
 	}
 }
 
@@ -304,8 +304,8 @@
 		w.state[id], w.born[id], w.cold[id] = Ready, w.now, nil
 	}
 	for _, m := range w.fronts {
-		m.f.At(w.now)
-		m.f.Directory(false, []Listing{{ID: id, Cell: int(id) - 10, State: w.state[id], Heft: 1, Born: w.born[id]}})
-		m.f.Settle()
+		m.f.SetTime(w.now)
+		m.f.UpdateDirectory(false, []Listing{{ID: id, Cell: int(id) - 10, State: w.state[id], Weight: 1, StartedAt: w.born[id]}})
+		m.f.Reconcile()
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -137,54 +137,61 @@
 	s.holder = nil
 }
 
-// Memory is what a front has learned and must know again under new terms or after a restart. Instants are At's.
-type Memory struct {
-	Taken, Further []float64 // first and further SETUPs within the ration's window
-	Servers        []Remembered
-	Uplinks        []Reading  // by rack
-	Usual          [2]float64 // mean load of links and of uplinks; 0 is none yet
-	UsualAt        float64    // what all own sessions asked meanwhile, and eight for chance
-	Settled        float64    // when its own sessions had come back
+// Snapshot is what a front has learned and must know again under new terms or after a restart. Instants are At's.
+type Snapshot struct {
+	FirstSetups    []float64        `json:"Taken"`   // first and further SETUPs within the ration's window
+	Retries        []float64        `json:"Further"` // first and further SETUPs within the ration's window
+	Servers        []ServerSnapshot `json:"Servers"`
+	Uplinks        []LinkSnapshot   `json:"Uplinks"` // by rack
+	MeanLoad       [2]float64       `json:"Usual"`   // mean load of links and of uplinks; 0 is none yet
+	MeanLoadDemand float64          `json:"UsualAt"` // what all own sessions asked meanwhile, and eight for chance
+	RefilledAt     float64          `json:"Settled"` // when its own sessions had come back
 }
 
-// Remembered is what was learned of one server.
-type Remembered struct {
-	ID         ServerID
-	Born       float64 // counts as cold from here; 0 is long ago
-	Slot, Used float64 // the slot it last had a SETUP in while cold, and how many; below 0 is not known
-	Aside      bool
-	Full       float64 // full until
-	Gap, Dev   float64 // between signs of life: mean and mean deviation in seconds; 0 is not known
-	Heard      float64 // last sign of life
-	Link       Reading
+// ServerSnapshot is what was learned of one server.
+type ServerSnapshot struct {
+	ID           ServerID     `json:"ID"`
+	StartedAt    float64      `json:"Born"` // counts as cold from here; 0 is long ago
+	Slot         float64      `json:"Slot"` // the slot it last had a SETUP in while cold, and how many; below 0 is not known
+	SlotSetups   float64      `json:"Used"` // the slot it last had a SETUP in while cold, and how many; below 0 is not known
+	Ejected      bool         `json:"Aside"`
+	FullUntil    float64      `json:"Full"`  // full until
+	MeanGap      float64      `json:"Gap"`   // between signs of life: mean and mean deviation in seconds; 0 is not known
+	GapDeviation float64      `json:"Dev"`   // between signs of life: mean and mean deviation in seconds; 0 is not known
+	LastHeardAt  float64      `json:"Heard"` // last sign of life
+	Link         LinkSnapshot `json:"Link"`
 }
 
-// Reading is what was learned of one link. Rates are kB a second.
-type Reading struct {
-	Told, Size   float64 // capacity by the terms; as own sessions show it
-	Rest, Read   float64 // what other fronts asked at the last reading, and when
-	Top          float64 // what all own sessions asked at that reading, and eight for chance
-	Load, Seen   float64 // what a server last said, and when
-	Lift, Lifted float64 // what short-delivery notes lift demand to, and when
+// LinkSnapshot is what was learned of one link. Rates are kB a second.
+type LinkSnapshot struct {
+	NominalCapacity float64 `json:"Told"`   // capacity by the terms; as own sessions show it
+	Capacity        float64 `json:"Size"`   // capacity by the terms; as own sessions show it
+	OtherDemand     float64 `json:"Rest"`   // what other fronts asked at the last reading, and when
+	ReadAt          float64 `json:"Read"`   // what other fronts asked at the last reading, and when
+	OwnDemand       float64 `json:"Top"`    // what all own sessions asked at that reading, and eight for chance
+	ReportedLoad    float64 `json:"Load"`   // what a server last said, and when
+	ReportedAt      float64 `json:"Seen"`   // what a server last said, and when
+	ShortfallDemand float64 `json:"Lift"`   // what short-delivery notes lift demand to, and when
+	ShortfallAt     float64 `json:"Lifted"` // what short-delivery notes lift demand to, and when
 }
 
-func (l *link) memory() Reading {
-	return Reading{l.told, l.size, l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted}
+func (l *link) memory() LinkSnapshot {
+	return LinkSnapshot{l.told, l.size, l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted}
 }
 
 // recall takes a reading again; the size as a part of what is told now.
-func (l *link) recall(r Reading) {
-	if r.Told > 0 {
-		l.size = l.told * r.Size / r.Told
+func (l *link) recall(r LinkSnapshot) {
+	if r.NominalCapacity > 0 {
+		l.size = l.told * r.Capacity / r.NominalCapacity
 	}
-	l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted = r.Rest, r.Read, r.Top, r.Load, r.Seen, r.Lift, r.Lifted
+	l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted = r.OtherDemand, r.ReadAt, r.OwnDemand, r.ReportedLoad, r.ReportedAt, r.ShortfallDemand, r.ShortfallAt
 }
 
-// Memory gives what the front has learned.
-func (f *Front) Memory() Memory {
-	m := Memory{Taken: slices.Clone(f.taken), Further: slices.Clone(f.further), Usual: f.usual, UsualAt: f.usualAt, Settled: f.settled}
+// Snapshot gives what the front has learned.
+func (f *Front) Snapshot() Snapshot {
+	m := Snapshot{FirstSetups: slices.Clone(f.taken), Retries: slices.Clone(f.further), MeanLoad: f.usual, MeanLoadDemand: f.usualAt, RefilledAt: f.settled}
 	for _, s := range f.servers {
-		m.Servers = append(m.Servers, Remembered{s.id, s.born, s.slot, s.used, s.aside, s.full, s.life.mean, s.life.dev, s.heard,
+		m.Servers = append(m.Servers, ServerSnapshot{s.id, s.born, s.slot, s.used, s.aside, s.full, s.life.mean, s.life.dev, s.heard,
 			s.link.memory()})
 	}
 	for _, l := range f.uplinks {
@@ -193,24 +200,24 @@
 	return m
 }
 
-// Recall takes a memory, after the first Directory and before any session. Servers that are not listed are passed over.
-func (f *Front) Recall(m Memory) {
-	f.taken, f.further = slices.Clone(m.Taken), slices.Clone(m.Further)
-	f.usual, f.usualAt, f.settled = m.Usual, m.UsualAt, cmp.Or(m.Settled, f.settled)
+// Restore takes a memory, after the first Directory and before any session. Servers that are not listed are passed over.
+func (f *Front) Restore(m Snapshot) {
+	f.taken, f.further = slices.Clone(m.FirstSetups), slices.Clone(m.Retries)
+	f.usual, f.usualAt, f.settled = m.MeanLoad, m.MeanLoadDemand, cmp.Or(m.RefilledAt, f.settled)
 	for _, r := range m.Servers {
 		s := f.server(r.ID)
 		if s == nil {
 			continue
 		}
 		if r.Slot >= 0 {
-			s.slot, s.used = r.Slot, r.Used
+			s.slot, s.used = r.Slot, r.SlotSetups
 		}
-		if s.life = (gaps{r.Gap, r.Dev}); s.born > r.Born {
+		if s.life = (gaps{r.MeanGap, r.GapDeviation}); s.born > r.StartedAt {
 			continue // it has started anew
 		}
-		s.born, s.heard, s.full = r.Born, r.Heard, r.Full
+		s.born, s.heard, s.full = r.StartedAt, r.LastHeardAt, r.FullUntil
 		s.link.recall(r.Link)
-		if r.Aside && f.probes { // probes alone bring it back
+		if r.Ejected && f.probes { // probes alone bring it back
 			f.setAside(s, false)
 		}
 	}
@@ -219,59 +226,59 @@
 	}
 }
 
-// Standing is how a front sees a session that it decides on, for people who ask why.
-type Standing struct {
-	Sent    int  // SETUPs so far
-	Seats   bool // all seats of its title are taken
-	Spent   bool // the ration allows no further SETUP
-	MayRan  bool // an earlier SETUP may have run
-	Holders []View
+// SessionState is how a front sees a session that it decides on, for people who ask why.
+type SessionState struct {
+	SetupsSent   int  // SETUPs so far
+	SeatsTaken   bool // all seats of its title are taken
+	RetriesSpent bool // the ration allows no further SETUP
+	MayHaveRun   bool // an earlier SETUP may have run
+	Holders      []HolderState
 }
 
-// View is how a front sees one holder of a session's title.
-type View struct {
-	Box          ServerID
-	State        Lifecycle
-	Aside        bool    // gets nothing until it answers probes
-	Full         bool    // said so within the last second
-	Waits        bool    // cold, and the slot is not this front's or is used
-	Tried        bool    // by this session already
-	Room         float64 // kB a second left under the target of its link or uplink, the tighter one
-	Link, Uplink float64 // demand over target
+// HolderState is how a front sees one holder of a session's title.
+type HolderState struct {
+	Server                       ServerID
+	State                        Lifecycle
+	Ejected                      bool    // gets nothing until it answers probes
+	Full                         bool    // said so within the last second
+	NoSlot                       bool    // cold, and the slot is not this front's or is used
+	Tried                        bool    // by this session already
+	Headroom                     float64 // kB a second left under the target of its link or uplink, the tighter one
+	LinkPressure, UplinkPressure float64 // demand over target
 }
 
-// Standing tells how the front sees a session and the holders of its title now; ok is false where it knows of none.
-func (f *Front) Standing(id SessID) (st Standing, ok bool) {
+// Explain tells how the front sees a session and the holders of its title now; ok is false where it knows of none.
+func (f *Front) Explain(id SessID) (st SessionState, ok bool) {
 	s := f.sess[id]
 	if s == nil {
 		return st, false
 	}
-	st = Standing{Sent: s.sent, Seats: s.group.Seats > 0 && f.seats[s.seat] >= s.group.Seats, Spent: !f.ration(), MayRan: s.mayRan}
+	st = SessionState{SetupsSent: s.sent, SeatsTaken: s.group.Seats > 0 && f.seats[s.seat] >= s.group.Seats, RetriesSpent: !f.ration(), MayHaveRun: s.mayRan}
 	for _, sv := range f.servers {
 		if (sv.cell-s.start+f.cells)%f.cells >= s.span {
 			continue
 		}
 		_, a := f.pressure(sv.link, sv, s, 0)
 		_, u := f.pressure(sv.uplink, sv, s, 0)
-		st.Holders = append(st.Holders, View{sv.id, sv.state, sv.aside, f.now < sv.full, !f.open(sv), slices.Contains(s.tried, sv), f.room(sv), a, u})
+		st.Holders = append(st.Holders, HolderState{sv.id, sv.state, sv.aside, f.now < sv.full, !f.open(sv), slices.Contains(s.tried, sv), f.room(sv), a, u})
 	}
 	return st, true
 }
 
-// Belief is what a front counts at one server, for those who compare it with what passes there.
-type Belief struct {
+// ServerEstimate is what a front counts at one server, for those who compare it with what passes there.
+type ServerEstimate struct {
 	Server   ServerID
 	Sessions int     // SETUPs out and sessions there
-	Asks     float64 // kB a second at the rungs wanted
+	Demand   float64 // kB a second at the rungs wanted
 	Load     float64 // of its link, others' part included
-	Aside    bool
+	Ejected  bool
 }
 
-// Beliefs gives what the front counts at each server, by id.
-func (f *Front) Beliefs() (list []Belief) {
+// ServerEstimates gives what the front counts at each server, by id.
+func (f *Front) ServerEstimates() (list []ServerEstimate) {
 	for _, s := range f.servers {
 		asks := s.link.asks(false)
-		list = append(list, Belief{s.id, len(s.link.sess), asks, (asks + f.others(s.link)) / max(s.link.size, 1), s.aside})
+		list = append(list, ServerEstimate{s.id, len(s.link.sess), asks, (asks + f.others(s.link)) / max(s.link.size, 1), s.aside})
 	}
 	return list
 }
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -164,7 +164,7 @@
 		}
 		defer b.Close()
 		boxes = append(boxes, b)
-		list = append(list, settings.Box{Address: b.Address, Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Heft: 1}})
+		list = append(list, settings.Box{Address: b.Address, Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
 	}
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -61,7 +61,7 @@
 	}
 	for _, name := range order {
 		if f := h.fronts[name]; f != nil {
-			h.guarded(name, f.Settle)
+			h.guarded(name, f.Reconcile)
 		}
 	}
 	return nil
@@ -88,6 +88,6 @@
 		return
 	}
 	f := h.fronts[e.Front]
-	f.At(now)
+	f.SetTime(now)
 	e.Feed(f)
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -33,15 +33,15 @@
 	now := now()
 	var list []any
 	for _, s := range m.Servers {
-		b := map[string]any{"id": s.ID, "set aside": s.Aside, "full": s.Full > now, "size of link": s.Link.Size}
-		if s.Heard > 0 {
-			b["seconds since it was heard"] = now - s.Heard
+		b := map[string]any{"id": s.ID, "set aside": s.Ejected, "full": s.FullUntil > now, "size of link": s.Link.Capacity}
+		if s.LastHeardAt > 0 {
+			b["seconds since it was heard"] = now - s.LastHeardAt
 		}
-		if s.Link.Seen > 0 {
-			b["load of link"], b["seconds since"] = s.Link.Load, now-s.Link.Seen
+		if s.Link.ReportedAt > 0 {
+			b["load of link"], b["seconds since"] = s.Link.ReportedLoad, now-s.Link.ReportedAt
 		}
-		if s.Born > 0 {
-			b["seconds since its start"] = now - s.Born
+		if s.StartedAt > 0 {
+			b["seconds since its start"] = now - s.StartedAt
 		}
 		list = append(list, b)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -318,7 +318,7 @@
 func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // recall opens the instance's folder and reads what the last process left, as far as it is believed.
-func (d *daemon) recall(t *settings.Terms) (*choice.Memory, error) {
+func (d *daemon) recall(t *settings.Terms) (*choice.Snapshot, error) {
 	var err error
 	if d.folder, err = state.Open(t.State, t.Name); err != nil {
 		return nil, err
@@ -336,7 +336,7 @@
 		return nil, nil
 	}
 	f := t.Figures
-	m, words := recall.Believe(now(), kept, recall.Terms{Window: f.SetupWindow, Spare: f.SpareSetups, Share: f.SetupShare, WarmUp: f.WarmUp})
+	m, words := recall.Believe(now(), kept, recall.Terms{Window: f.RetryWindow, Spare: f.BaseRetries, Share: f.RetriesPerSession, WarmUp: f.WarmUp})
 	d.Log.Info("stored state", zap.Float64("seconds old", now()-kept.Saved), zap.Bool("clean", kept.Clean), zap.Int("boxes", len(m.Servers)),
 		zap.Strings("what", words))
 	return &m, nil
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -295,7 +295,7 @@
 					t.Fatal(err)
 				}
 				s.Close()
-				return found && len(stored.Memory.Further) == 2
+				return found && len(stored.Memory.Retries) == 2
 			})
 		}
 		p.signals <- syscall.SIGTERM
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -125,7 +125,7 @@
 }
 
 // back serves the sockets again.
-func (d *daemon) back(m choice.Memory) {
+func (d *daemon) back(m choice.Snapshot) {
 	if s, _, _, _, err := d.folder.Load(); err == nil {
 		d.store = s
 	} else {
@@ -220,7 +220,7 @@
 }
 
 // ready has the process that runs stop, and gives what its module learned.
-func (t *taking) ready() (m choice.Memory, err error) {
+func (t *taking) ready() (m choice.Snapshot, err error) {
 	t.c.SetDeadline(time.Now().Add(switchTime))
 	if _, err := t.c.Write([]byte("ready\n")); err != nil {
 		return m, err
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -214,10 +214,10 @@
 }
 
 // report reads the box's word on its load: a dictionary of RFC 8941 with the members link and uplink.
-func report(m *rtsp.Message) choice.Report {
+func report(m *rtsp.Message) choice.LoadReport {
 	d, err := httpsfv.UnmarshalDictionary(m.Header["Load-Report"])
 	if err != nil {
-		return choice.Report{Link: -1, Uplink: -1}
+		return choice.LoadReport{Link: -1, Uplink: -1}
 	}
 	figure := func(name string) (x float64, capped bool) {
 		v, ok := d.Get(name)
@@ -432,14 +432,14 @@
 func (k carrier) Probe(box choice.ServerID) {
 	f := k.f
 	over := false
-	end := func(status int, o choice.Outcome, r choice.Report) {
+	end := func(status int, o choice.Outcome, r choice.LoadReport) {
 		if !over {
 			over = true
 			f.count.probes.WithLabelValues(outcomeName(status, o)).Inc()
 			f.table.Probed(box, status, o, r)
 		}
 	}
-	none := choice.Report{Link: -1, Uplink: -1}
+	none := choice.LoadReport{Link: -1, Uplink: -1}
 	f.connect(f.context, box, func(c *boxConn) {
 		if c == nil {
 			end(0, choice.NoConnection, none)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -59,7 +59,7 @@
 	Log      *zap.Logger
 	Registry prometheus.Registerer
 	Dial     func(ctx context.Context, address string) (net.Conn, error)
-	Memory   *choice.Memory                      // what an earlier front had learned, as far as it is believed
+	Memory   *choice.Snapshot                    // what an earlier front had learned, as far as it is believed
 	Handed   []Handed                            // sessions that an earlier front gave up
 	Spoil    func(session.Orders) session.Orders // for days that must fail: orders go through it
 }
@@ -102,9 +102,9 @@
 	wait      map[string][]waiter // DESCRIBEs without answer, by title; emptied as a holder answers or none does
 	late      int                 // withdrawn SETUPs whose answer is waited for
 	serial    uint64
-	after     []func()      // what an order brings about at once; emptied by the loop
-	last      choice.Memory // once the loop has ended
-	drained   func()        // called once when the last session is over after Drain
+	after     []func()        // what an order brings about at once; emptied by the loop
+	last      choice.Snapshot // once the loop has ended
+	drained   func()          // called once when the last session is over after Drain
 }
 
 // mostEvents may wait for the loop before those who bring more wait themselves.
@@ -149,7 +149,7 @@
 		orders = o.Spoil(orders)
 	}
 	f.table = session.New(f.now(), terms.Figures, f.bounds(), orders)
-	f.ear = hearing.New(terms.Figures.NoteEvery)
+	f.ear = hearing.New(terms.Figures.NoteInterval)
 	f.described, f.wait = describe.New(terms.Figures.Cells), map[string][]waiter{}
 	f.keeper = pool.New(terms.Bounds.BoxConnections)
 	f.boxes(true, terms.Boxes)
@@ -468,20 +468,20 @@
 }
 
 // Memory is what the front has learned; ok is false where it has ended.
-func (f *Front) Memory() (m choice.Memory, ok bool) {
+func (f *Front) Memory() (m choice.Snapshot, ok bool) {
 	ok = f.call(func() { m = f.table.Memory() })
 	return m, ok
 }
 
 // Last is what a front had learned when it was closed. Nothing but ends of sessions went to any box after it.
-func (f *Front) Last() choice.Memory {
+func (f *Front) Last() choice.Snapshot {
 	<-f.done
 	return f.last
 }
 
 // Halt closes the listeners and has no SETUP ordered any more; sessions go on. It gives what the front has learned, for
 // the process that takes its place on sockets of its own. ok is false where the front has ended.
-func (f *Front) Halt() (m choice.Memory, ok bool) {
+func (f *Front) Halt() (m choice.Snapshot, ok bool) {
 	f.mu.Lock()
 	f.halted = true
 	for _, l := range f.takes {
@@ -497,7 +497,7 @@
 func (f *Front) Resume() { f.post(func() { f.table.Resume() }) }
 
 // Recall takes a memory before the front is served.
-func (f *Front) Recall(m choice.Memory) { f.call(func() { f.table.Recall(m) }) }
+func (f *Front) Recall(m choice.Snapshot) { f.call(func() { f.table.Recall(m) }) }
 
 // Facts gathers what choice/health judges of a front; its loop has so long to answer.
 func (f *Front) Facts(within time.Duration) (h health.Facts) {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -49,11 +49,11 @@
 		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
 	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
 		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.wit}
-	b.terms = settings.Terms{Name: "front-0", Figures: choice.StartFigures{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
+	b.terms = settings.Terms{Name: "front-0", Figures: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
 		{Utility: 2, Scale: 1, StartTarget: 0.5, Floor: 1, Top: 3}, {Utility: 1, Scale: 1, StartTarget: 0.5, Top: 3, Paid: true}},
-		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinks: 20000 * float64(boxes), UplinkMean: 20000 * float64(boxes),
-		Places: []float64{100}, NoteLag: 0.2, NoteEvery: 1, MostSetups: 3, Advice: 1, Reporting: choice.ReportsInAnswers,
-		SpareSetups: 20, SetupShare: 0.1, SetupWindow: 10},
+		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinkCapacity: 20000 * float64(boxes), MeanUplinkCapacity: 20000 * float64(boxes),
+		MaxStreams: []float64{100}, NoteLag: 0.2, NoteInterval: 1, MaxSetups: 3, MaxRetryAfter: 1, Reporting: choice.ReportsInAnswers,
+		BaseRetries: 20, RetriesPerSession: 0.1, RetryWindow: 10},
 		Groups: []settings.Group{{Name: "clips", SetupTimeout: 3, Rates: b.site.Ladder}, {Name: "exam", SetupTimeout: 2, Rates: b.site.Ladder}},
 		Titles: map[string]settings.Title{"vents": {Span: boxes}},
 		Bounds: limits.Bounds{Connections: 1000, Sessions: 1000, BoxConnections: 200, Queue: 1 << 18, ViewerIdle: 60,
@@ -71,7 +71,7 @@
 		t.Cleanup(x.Close)
 		b.boxes = append(b.boxes, x)
 		b.terms.Boxes = append(b.terms.Boxes, settings.Box{Address: x.Address,
-			Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Heft: 1}})
+			Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
 	}
 	o := front.Options{Registry: b.reg}
 	if b.terms.BoxTLS.Roots != "" {
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -51,7 +51,7 @@
 		f.keeper.PerBox(t.Bounds.BoxConnections)
 	}
 	if p.Has(renewal.Ear) {
-		f.ear = hearing.New(t.Figures.NoteEvery)
+		f.ear = hearing.New(t.Figures.NoteInterval)
 	}
 	f.described.Cells(t.Figures.Cells)
 	switch {
@@ -84,7 +84,7 @@
 		{"front(name)", a.Name, b.Name},
 		{"front(listen, tls_listen, admin)", [3]string{a.Listen, a.TLS.Listen, a.Admin}, [3]string{b.Listen, b.TLS.Listen, b.Admin}},
 		{"front(cert, key)", [2]string{a.TLS.Cert, a.TLS.Key}, [2]string{b.TLS.Cert, b.TLS.Key}},
-		{"front(me, fronts)", [2]int{x.Me, x.Fronts}, [2]int{y.Me, y.Fronts}},
+		{"front(me, fronts)", [2]int{x.FrontIndex, x.Fronts}, [2]int{y.FrontIndex, y.Fronts}},
 		{"front(zone)", x.Zone, y.Zone},
 		{"front(state)", a.State, b.State},
 		{"front(log)", a.Log, b.Log},
@@ -92,14 +92,14 @@
 		{"box_tls", a.BoxTLS, b.BoxTLS},
 		{"ladder", x.Ladder, y.Ladder},
 		{"group", []any{x.Groups, a.Groups}, []any{y.Groups, b.Groups}},
-		{"fleet", [5]float64{x.FleetLinks, x.UplinkMean, x.CrossZonePrice, float64(x.Cells), float64(x.Racks)},
-			[5]float64{y.FleetLinks, y.UplinkMean, y.CrossZonePrice, float64(y.Cells), float64(y.Racks)}},
+		{"fleet", [5]float64{x.FleetLinkCapacity, x.MeanUplinkCapacity, x.CrossZonePrice, float64(x.Cells), float64(x.Racks)},
+			[5]float64{y.FleetLinkCapacity, y.MeanUplinkCapacity, y.CrossZonePrice, float64(y.Cells), float64(y.Racks)}},
 		{"zone", a.Zones, b.Zones},
-		{"kind", []any{a.Kinds, x.Places}, []any{b.Kinds, y.Places}},
-		{"setups", [5]float64{float64(x.MostSetups), x.Advice, x.SpareSetups, x.SetupShare, x.SetupWindow},
-			[5]float64{float64(y.MostSetups), y.Advice, y.SpareSetups, y.SetupShare, y.SetupWindow}},
-		{"cold", [4]float64{x.WarmUp, x.ColdShare, x.FallFactor, x.FallTime}, [4]float64{y.WarmUp, y.ColdShare, y.FallFactor, y.FallTime}},
-		{"reports", []any{x.Reporting, x.NoteLag, x.NoteEvery, x.FullAt, x.Probes}, []any{y.Reporting, y.NoteLag, y.NoteEvery, y.FullAt, y.Probes}},
+		{"kind", []any{a.Kinds, x.MaxStreams}, []any{b.Kinds, y.MaxStreams}},
+		{"setups", [5]float64{float64(x.MaxSetups), x.MaxRetryAfter, x.BaseRetries, x.RetriesPerSession, x.RetryWindow},
+			[5]float64{float64(y.MaxSetups), y.MaxRetryAfter, y.BaseRetries, y.RetriesPerSession, y.RetryWindow}},
+		{"cold", [4]float64{x.WarmUp, x.ColdShare, x.OverloadFactor, x.OverloadTime}, [4]float64{y.WarmUp, y.ColdShare, y.OverloadFactor, y.OverloadTime}},
+		{"reports", []any{x.Reporting, x.NoteLag, x.NoteInterval, x.FullThreshold, x.Probes}, []any{y.Reporting, y.NoteLag, y.NoteInterval, y.FullThreshold, y.Probes}},
 		{"drains", a.Grace, b.Grace},
 		{"title", a.Titles, b.Titles},
 		{"box", a.Boxes, b.Boxes},
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -91,9 +91,9 @@
 		kept: map[int]recall.Stored{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
 	f := &d.Terms.Figures
 	terms := witness.Terms{Groups: map[string]witness.Group{}, Grace: d.Terms.Grace, AnswerBy: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
-		FallFactor: f.FallFactor, FallTime: f.FallTime, Spare: f.SpareSetups, Share: f.SetupShare, Window: f.SetupWindow}
-	if len(f.Places) > 0 {
-		terms.Places = slices.Min(f.Places)
+		FallFactor: f.OverloadFactor, FallTime: f.OverloadTime, Spare: f.BaseRetries, Share: f.RetriesPerSession, Window: f.RetryWindow}
+	if len(f.MaxStreams) > 0 {
+		terms.Places = slices.Min(f.MaxStreams)
 	}
 	scale := map[string]float64{}
 	for i, g := range f.Groups {
@@ -103,11 +103,11 @@
 	}
 	r.wit = witness.New(terms)
 	r.site = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Terms.Titles[t].Length },
-		Places: int(terms.Places), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.FallFactor, FallTime: f.FallTime,
-		ReportEvery: d.report, NoteEvery: f.NoteEvery, SetupTime: d.setup, Vary: d.vary, FullAt: f.FullAt, FPS: d.fps, Thin: d.thin, Keep: 4, Mischief: d.mischief,
+		Places: int(terms.Places), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
+		ReportEvery: d.report, NoteEvery: f.NoteInterval, SetupTime: d.setup, Vary: d.vary, FullAt: f.FullThreshold, FPS: d.fps, Thin: d.thin, Keep: 4, Mischief: d.mischief,
 		Now: r.now, Witness: r.wit}
 	for range max(f.Racks, 1) {
-		r.racks = append(r.racks, box.NewRack(f.UplinkMean))
+		r.racks = append(r.racks, box.NewRack(f.MeanUplinkCapacity))
 	}
 	defer func() {
 		for _, b := range r.boxes {
@@ -145,7 +145,7 @@
 // termsOf are one front's terms as the list stands now.
 func (r *run) termsOf(i int) settings.Terms {
 	terms := r.d.Terms
-	terms.Name, terms.Figures.Me = frontName(i), i
+	terms.Name, terms.Figures.FrontIndex = frontName(i), i
 	// Zones take turns, so that each has its fronts.
 	terms.Figures.Zone = i % max(len(terms.Zones), 1)
 	terms.Figures.Seed = r.d.Seed*1000 + uint64(i) + 1
@@ -171,7 +171,7 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if kept, ok := r.kept[i]; ok {
 		x := terms.Figures
-		m, _ := recall.Believe(r.now(), kept, recall.Terms{Window: x.SetupWindow, Spare: x.SpareSetups, Share: x.SetupShare, WarmUp: x.WarmUp})
+		m, _ := recall.Believe(r.now(), kept, recall.Terms{Window: x.RetryWindow, Spare: x.BaseRetries, Share: x.RetriesPerSession, WarmUp: x.WarmUp})
 		o.Memory = &m
 	} else {
 		r.wit.FrontStarted(terms.Name, r.now())
@@ -405,7 +405,7 @@
 			r.log.Error("a box did not come back", zap.Error(err))
 			return
 		}
-		r.change(id, func(e *settings.Box) { e.Born, e.State = x.Born(), choice.Ready })
+		r.change(id, func(e *settings.Box) { e.StartedAt, e.State = x.Born(), choice.Ready })
 	}
 	switch h.what {
 	case "hang":
@@ -500,7 +500,7 @@
 	terms := r.termsOf(i)
 	r.spoil.terms(&terms)
 	p.reloads++ // the script's own goroutine alone
-	terms.Figures.Advice += float64(p.reloads%2) / 2
+	terms.Figures.MaxRetryAfter += float64(p.reloads%2) / 2
 	terms.Bounds.Sessions += p.reloads % 2
 	plan, err := p.f.Renew(terms)
 	if err != nil || len(plan.Refused) > 0 {
--- a/internal/lab/day/sabotage.go
+++ b/internal/lab/day/sabotage.go
@@ -65,14 +65,14 @@
 	f := &t.Figures
 	switch s {
 	case Cold:
-		f.WarmUp, f.FallTime = 0, 0
+		f.WarmUp, f.OverloadTime = 0, 0
 	case Terms:
 		f.Groups = slices.Clone(f.Groups)
 		for i := range f.Groups {
 			f.Groups[i].Seats = 0
 		}
 	case Ration:
-		f.SetupWindow, f.MostSetups = 0, 6
+		f.RetryWindow, f.MaxSetups = 0, 6
 	}
 }
 
@@ -117,7 +117,7 @@
 	case Drains:
 		is = func(b settings.Box) bool { return b.State == choice.Draining }
 	case Cold:
-		is = func(b settings.Box) bool { return b.Born > 0 && now-b.Born < warm }
+		is = func(b settings.Box) bool { return b.StartedAt > 0 && now-b.StartedAt < warm }
 	case Ration: // box after box that turns it away
 		is = func(b settings.Box) bool { return s.r.refusing[int(b.ID)] }
 	case Terms:
--- a/internal/lab/day/script.go
+++ b/internal/lab/day/script.go
@@ -287,7 +287,7 @@
 
 // listing is what the box list says of a stand-in.
 func (b stand) listing(born float64, state choice.Lifecycle) choice.Listing {
-	return choice.Listing{ID: choice.ServerID(b.id), Zone: b.zone, Kind: b.kind, Cell: b.cell, State: state, Heft: 1, Born: born}
+	return choice.Listing{ID: choice.ServerID(b.id), Zone: b.zone, Kind: b.kind, Cell: b.cell, State: state, Weight: 1, StartedAt: born}
 }
 
 func frontName(i int) string { return fmt.Sprintf("front-%d", i) }
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -22,7 +22,7 @@
 	if len(s.Mistakes) > 0 {
 		b.Fatal(s.Mistakes)
 	}
-	t.Boxes = []settings.Box{{Address: src.address, Listing: choice.Listing{ID: 1, State: choice.Ready, Heft: 1}}}
+	t.Boxes = []settings.Box{{Address: src.address, Listing: choice.Listing{ID: 1, State: choice.Ready, Weight: 1}}}
 	f, err := running.New(t, running.Options{})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -15,7 +15,7 @@
 // acts carries out what the module decides.
 type acts struct{ n *Node }
 
-func (a acts) Rung(id choice.SessID, rung int) {
+func (a acts) SetRung(id choice.SessID, rung int) {
 	s := a.n.sessions[string(id)]
 	if s == nil {
 		return
@@ -53,7 +53,7 @@
 	a.final(id, rtsp.ServiceUnavailable, comeBack)
 }
 
-func (a acts) TearDown(id choice.SessID) { a.final(id, rtsp.InternalError, 0) }
+func (a acts) FailureReply(id choice.SessID) { a.final(id, rtsp.InternalError, 0) }
 
 func (a acts) final(id choice.SessID, status int, comeBack float64) {
 	n := a.n
@@ -67,7 +67,7 @@
 		if status == rtsp.InternalError {
 			act = account.TornDown
 		}
-		st, _ := n.front.Standing(id)
+		st, _ := n.front.Explain(id)
 		why := account.Say([]account.Entry{{At: n.now, Sess: id, Act: act, Seconds: comeBack, Standing: st, Holders: len(st.Holders)}})
 		n.log.Debug("refused", str("sess", s.id), num("status", status), zap.Strings("why", why))
 	}
@@ -86,7 +86,7 @@
 	n.feed(wire.Event{Kind: wire.Probed, Server: number, Outcome: choice.NoConnection, Report: noReport})
 }
 
-// Tell does nothing: the platform gives fronts no way to find each other.
-func (a acts) Tell(int, []byte) {}
+// SendMessage does nothing: the platform gives fronts no way to find each other.
+func (a acts) SendMessage(int, []byte) {}
 
-func (a acts) Wake(after float64) { a.n.due = a.n.now + after }
+func (a acts) SetTimer(after float64) { a.n.due = a.n.now + after }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -21,7 +21,7 @@
 // come, then each reader stops and hands over what it has, then that is answered too and the connections are closed.
 func (n *Node) finish() {
 	n.tick()
-	n.front.At(n.now)
+	n.front.SetTime(n.now)
 	n.front.Stop()
 	n.serveUntil(flush, func() bool { n.answerOpen(); return n.flushed() && len(n.events) == 0 && n.accepted() })
 	for _, v := range n.clients {
@@ -45,7 +45,7 @@
 		select {
 		case e := <-n.events:
 			n.tick()
-			n.front.At(n.now)
+			n.front.SetTime(n.now)
 			e.do()
 			n.settle()
 		case <-look.C:
--- a/internal/node/feed/event.go
+++ b/internal/node/feed/event.go
@@ -45,7 +45,7 @@
 		return choice.Listing{}, fmt.Errorf("server %.40q: state %.20q, cell %d", i.ID, i.State, i.Cell)
 	}
 	return choice.Listing{ID: id, Zone: max(slices.Index(n.Zones, i.Zone), 0), Kind: max(slices.Index(n.Kinds, i.Kind), 0),
-		Cell: i.Cell, State: st, Heft: i.Weight, Born: i.StartedAtMs / 1000}, nil
+		Cell: i.Cell, State: st, Weight: i.Weight, StartedAt: i.StartedAtMs / 1000}, nil
 }
 
 // Number makes the module's number of a server's id, alike at all fronts; taken tells whether it has one already.
--- a/internal/node/feed/feed_test.go
+++ b/internal/node/feed/feed_test.go
@@ -15,7 +15,7 @@
 func TestListing(t *testing.T) {
 	names := Names{[]string{"a", "b"}, []string{"small", "large"}}
 	l, err := names.Listing(7, Instance{ID: "s-1", Zone: "b", Kind: "large", Cell: 3, State: "draining", Weight: 2, StartedAtMs: 1500})
-	if want := (choice.Listing{ID: 7, Zone: 1, Kind: 1, Cell: 3, State: choice.Draining, Heft: 2, Born: 1.5}); err != nil || l != want {
+	if want := (choice.Listing{ID: 7, Zone: 1, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, StartedAt: 1.5}); err != nil || l != want {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, i := range []Instance{{State: "well"}, {State: "up", Cell: -1}} {
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -8,7 +8,7 @@
 // budget is the platform's budget of further attempts, as the settings state it.
 func (n *Node) budget() invariant.Budget {
 	f := n.start.Figures
-	return invariant.Budget{Spare: f.SpareSetups, Share: f.SetupShare, Window: f.SetupWindow}
+	return invariant.Budget{Spare: f.BaseRetries, Share: f.RetriesPerSession, Window: f.RetryWindow}
 }
 
 // violated logs a violation; the guard counts it.
--- a/internal/node/history.go
+++ b/internal/node/history.go
@@ -84,7 +84,7 @@
 
 // outcomeNames are the outcomes of attempts, as logs name them.
 var outcomeNames = map[choice.Outcome]string{choice.Full: "full", choice.ServerError: "server error", choice.TimedOut: "timed out", choice.Reset: "reset",
-	choice.NoConnection: "no connection", choice.Unsent: "never sent", choice.Cancelled: "cancelled", choice.Departed: "departed"}
+	choice.NoConnection: "no connection", choice.Unsent: "never sent", choice.Cancelled: "cancelled", choice.EndedUnanswered: "departed"}
 
 func outcomeName(o choice.Outcome) string {
 	if name := outcomeNames[o]; name != "" {
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -80,7 +80,7 @@
 	}
 	a.class = n.start.Groups[a.group]
 	figures := n.start.Figures
-	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(root):], Span: 1, BestRung: len(figures.Ladder) - 1}
+	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(root):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
 	for _, pair := range strings.Split(m.Header.Get(fieldFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
 		var to *int
@@ -89,7 +89,7 @@
 		case "home":
 			to = &a.request.StartCell
 		case "copies":
-			to, least, most = &a.request.Span, 1, max(figures.Cells, 1)
+			to, least, most = &a.request.CellCount, 1, max(figures.Cells, 1)
 		case "top":
 			to, most = &a.request.BestRung, len(figures.Ladder)-1
 		case "at":
@@ -118,7 +118,7 @@
 }
 
 // readReport reads a server's load report; what can't be read says nothing.
-func readReport(m *rtsp.Message) choice.Report {
+func readReport(m *rtsp.Message) choice.LoadReport {
 	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(fieldState)))
 	if err != nil {
 		return noReport
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	queue = 256
 )
 
-var noReport = choice.Report{Link: -1, Uplink: -1}
+var noReport = choice.LoadReport{Link: -1, Uplink: -1}
 
 func str(k, v string) zap.Field     { return zap.String(k, v) }
 func num(k string, v int) zap.Field { return zap.Int(k, v) }
@@ -239,7 +239,7 @@
 		case <-timer.C:
 		}
 		n.tick()
-		n.front.At(n.now)
+		n.front.SetTime(n.now)
 		for i := 0; e.do != nil; i++ {
 			e.do()
 			e.do = nil
@@ -282,9 +282,9 @@
 		return
 	}
 	n.compared = n.now
-	for _, b := range n.front.Beliefs() {
+	for _, b := range n.front.ServerEstimates() {
 		if sv := n.numbers[b.Server]; sv != nil && b.Sessions != len(sv.held)+sv.out() {
-			n.log.Debug("counts", str("server", sv.id), num("module", b.Sessions), num("standing", len(sv.held)), num("out", sv.out()), zap.Float64("load", b.Load), zap.Bool("aside", b.Aside))
+			n.log.Debug("counts", str("server", sv.id), num("module", b.Sessions), num("standing", len(sv.held)), num("out", sv.out()), zap.Float64("load", b.Load), zap.Bool("aside", b.Ejected))
 		}
 	}
 }
@@ -294,13 +294,13 @@
 
 // settle feeds what the module has to hear, in order, and carries out what it wants, until nothing is left.
 func (n *Node) settle() {
-	n.front.At(n.now)
+	n.front.SetTime(n.now)
 	for range 64 { // acts bring about events at once at most a few times: a SETUP to each server left
 		for i := 0; i < len(n.later); i++ {
 			n.later[i].Feed(n.front)
 		}
 		n.later = n.later[:0]
-		n.front.Settle()
+		n.front.Reconcile()
 		if len(n.later) == 0 {
 			return
 		}
@@ -334,7 +334,7 @@
 		if anew {
 			sv.born = n.started(i.StartedAtMs)
 		}
-		entry.Born = sv.born
+		entry.StartedAt = sv.born
 		if n.numbers[sv.number] == nil {
 			n.servers = append(n.servers, sv)
 			n.numbers[sv.number] = sv
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -576,7 +576,7 @@
 		h.name = fmt.Sprintf("s-%d", 100+round)
 		// What the module counts is what the node has.
 		f.see(func(n *Node) {
-			for _, b := range n.front.Beliefs() {
+			for _, b := range n.front.ServerEstimates() {
 				if sv := n.numbers[b.Server]; len(n.later) == 0 && (sv == nil && b.Sessions > 0 || sv != nil && b.Sessions != len(sv.held)+sv.out()) {
 					t.Errorf("round %d: the module counts %d sessions at %d", round, b.Sessions, b.Server)
 				}
@@ -617,7 +617,7 @@
 			if r := readReport(m); r.Link > 100 || r.Uplink > 100 {
 				t.Fatalf("%+v", r)
 			}
-			if a, err := n.readAsk(m); err == nil && (a.request.Span < 1 || a.request.BestRung >= len(s.Figures.Ladder) || a.request.StartCell < 0 || a.at == "" && a.patience <= 0) {
+			if a, err := n.readAsk(m); err == nil && (a.request.CellCount < 1 || a.request.BestRung >= len(s.Figures.Ladder) || a.request.StartCell < 0 || a.at == "" && a.patience <= 0) {
 				t.Fatalf("%+v", a)
 			}
 			cause(m)
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -56,7 +56,7 @@
 }
 
 // tellTest ends a test; the module hears of it whoever wanted it.
-func (n *Node) tellTest(sv *server, o choice.Outcome, r choice.Report) {
+func (n *Node) tellTest(sv *server, o choice.Outcome, r choice.LoadReport) {
 	if sv.tested == "" {
 		return
 	}
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -26,7 +26,7 @@
 	n.counts["asked"]++
 	n.complain(s.id)
 	s.history.note(at, stepRead, v.peer())
-	n.log.Debug("asked", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.Span), zap.Float64("patience", s.patience))
+	n.log.Debug("asked", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.CellCount), zap.Float64("patience", s.patience))
 	n.feed(wire.Event{Kind: wire.Ask, Request: s.request})
 }
 
@@ -80,14 +80,14 @@
 }
 
 // setupOver ends a SETUP that is out.
-func (n *Node) setupOver(s *session, o choice.Outcome, r choice.Report) {
+func (n *Node) setupOver(s *session, o choice.Outcome, r choice.LoadReport) {
 	sv := s.server
 	if s.release != nil { // it has stood, and its end was heard before its answer
-		o = choice.Departed
+		o = choice.EndedUnanswered
 	}
 	n.guard.Over(s.id, unrun(o))
 	s.history.note(n.now, stepOutcome, outcomeName(o))
-	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.Departed
+	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.EndedUnanswered
 	n.log.Debug("setup over", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
 	n.counts[fmt.Sprintf("outcome %d", o)]++
 	n.unlink(s)
@@ -227,7 +227,7 @@
 }
 
 // ended ends a session that stood, and releases its client.
-func (n *Node) ended(s *session, o choice.Outcome, cause int, r choice.Report) {
+func (n *Node) ended(s *session, o choice.Outcome, cause int, r choice.LoadReport) {
 	sv := s.server
 	v := s.client
 	if n.now-s.since < quickRelease {
@@ -282,7 +282,7 @@
 // release is a server's release of a session that stood.
 type release struct {
 	cause  int
-	report choice.Report
+	report choice.LoadReport
 }
 
 func (r *release) outcome() choice.Outcome {
@@ -318,7 +318,7 @@
 // departed ends a SETUP whose session has ended at its server. Should an answer follow after all, the server is told.
 func (n *Node) departed(s *session) {
 	n.awaitLate(s)
-	n.setupOver(s, choice.Departed, s.release.report)
+	n.setupOver(s, choice.EndedUnanswered, s.release.report)
 }
 
 // released takes a server's release.
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -25,7 +25,7 @@
 	Index        int64
 	Known        []feed.Event
 	Names        feed.Names
-	Figures      choice.StartFigures
+	Figures      choice.Config
 	Groups       []string // service groups' names, by number
 	SetupTimeout float64  // the longest that a service group has, in seconds
 	Connect      float64  // seconds that a connection to a server may take
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	figures.OwnClock = true // processes on machines whose clocks are stepped
+	figures.UnsyncedClock = true // processes on machines whose clocks are stepped
 	if figures.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %.30q is not a number in hex", f.Seed)
 	}
--- a/internal/node/start/start_test.go
+++ b/internal/node/start/start_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("%+v", s)
 	}
 	f := s.Figures
-	if f.Seed != 0x8c1f30d27a5be964 || f.Me != 2 || f.Fronts != 3 || f.Zone != 1 || len(f.Ladder) != 2 || f.Ladder[1] != 443.5 || !f.Probes || f.WarmUp != 12 || f.MostSetups != 4 {
+	if f.Seed != 0x8c1f30d27a5be964 || f.FrontIndex != 2 || f.Fronts != 3 || f.Zone != 1 || len(f.Ladder) != 2 || f.Ladder[1] != 443.5 || !f.Probes || f.WarmUp != 12 || f.MaxSetups != 4 {
 		t.Errorf("%+v", f)
 	}
 	if g := f.Groups[1]; !g.Paid || g.Floor != 1 || g.Scale != 1.4 || g.StartTarget != 0.36 || s.Groups[1] != "paid" {
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -59,7 +59,7 @@
 				v.want("503")
 			}
 			aside := false
-			f.see(func(n *Node) { aside = n.front.Beliefs()[0].Aside })
+			f.see(func(n *Node) { aside = n.front.ServerEstimates()[0].Ejected })
 			if aside == c.local {
 				t.Errorf("set aside: %v", aside)
 			}
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -48,7 +48,7 @@
 	case SabotageSlowStart:
 		f.Figures.WarmUp = 0
 	case SabotageBudget:
-		f.Figures.SetupWindow = 0
+		f.Figures.RetryWindow = 0
 	case SabotageReady:
 		time.Sleep(startDelay)
 	case SabotageDescriptors:
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -55,8 +55,8 @@
 		t.Fatal(err)
 	}
 	f := terms.Figures
-	if f.Groups[1].Adds != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].Adds != 0 || f.FullAt != 1 || f.NoteEvery != 0 ||
-		f.MostSetups != 5 || f.SetupWindow != 0 || terms.Grace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
+	if f.Groups[1].AddedRateShare != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].AddedRateShare != 0 || f.FullThreshold != 1 || f.NoteInterval != 0 ||
+		f.MaxSetups != 5 || f.RetryWindow != 0 || terms.Grace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
 		len(terms.Boxes) != 6 || !f.Groups[0].Paid {
 		t.Errorf("%+v", terms)
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -130,7 +130,7 @@
 	t := CommonTerms(s)
 	e, _ := s.One("front")
 	t.Name, t.Listen, t.Admin, t.State = e.Text("name"), e.Text("listen"), e.Text("admin"), e.Text("state")
-	t.Figures.Me, t.Figures.Fronts, t.Figures.Seed = e.Int("me"), max(e.Int("fronts"), 1), uint64(e.Number("seed"))
+	t.Figures.FrontIndex, t.Figures.Fronts, t.Figures.Seed = e.Int("me"), max(e.Int("fronts"), 1), uint64(e.Number("seed"))
 	t.Figures.Zone = t.Zone(s, e)
 	if t.Realm = e.Text("realm"); strings.ContainsAny(t.Realm, "\"\\\r\n") {
 		s.Wrong(e.Line, "front: realm %q stands between quotes; none within would be right", t.Realm)
@@ -142,8 +142,8 @@
 		}
 		t.Users = append(t.Users, u)
 	}
-	if t.Figures.Me >= t.Figures.Fronts {
-		s.Wrong(e.Line, "front: me is %d of %d fronts; 0 to %d would be right", t.Figures.Me, t.Figures.Fronts, t.Figures.Fronts-1)
+	if t.Figures.FrontIndex >= t.Figures.Fronts {
+		s.Wrong(e.Line, "front: me is %d of %d fronts; 0 to %d would be right", t.Figures.FrontIndex, t.Figures.Fronts, t.Figures.Fronts-1)
 	}
 	if strings.ContainsAny(t.Name, "/ \t\\") {
 		s.Wrong(e.Line, "front: name %q is used for files; letters, digits, dots and dashes are right", t.Name)
@@ -167,7 +167,7 @@
 	seen := map[string]int{}
 	for _, e := range s.All("box") {
 		b := Box{Address: e.Text("address"), Listing: choice.Listing{ID: choice.ServerID(e.Number("id")), Zone: t.Zone(s, e),
-			Cell: e.Int("cell"), Heft: 1, Born: e.Number("born")}}
+			Cell: e.Int("cell"), Weight: 1, StartedAt: e.Number("born")}}
 		address(s, e, "box", "address", b.Address)
 		if line, twice := seen[b.Address]; twice && b.Address != "" {
 			s.Wrong(e.Line, "box: address %s is that of the box on line %d", b.Address, line)
@@ -208,7 +208,7 @@
 	}
 	for _, e := range s.All("kind") {
 		t.Kinds = append(t.Kinds, e.Text("name"))
-		f.Places = append(f.Places, e.Number("places"))
+		f.MaxStreams = append(f.MaxStreams, e.Number("places"))
 	}
 	e, _ := s.One("ladder")
 	f.Ladder = e.Numbers("rates")
@@ -240,12 +240,12 @@
 		t.Groups = append(t.Groups, Group{Name: e.Text("name"), SetupTimeout: e.Number("setup_timeout"), Rates: rates})
 	}
 	e, _ = s.One("fleet")
-	f.FleetLinks, f.UplinkMean, f.CrossZonePrice = e.Number("links"), e.Number("uplink"), e.Number("cross_zone_price")
+	f.FleetLinkCapacity, f.MeanUplinkCapacity, f.CrossZonePrice = e.Number("links"), e.Number("uplink"), e.Number("cross_zone_price")
 	f.Cells, f.Racks = e.Int("cells"), e.Int("racks")
 	live := false
 	for i, g := range s.All("group") {
 		if g.Flag("live") {
-			f.Groups[i].Adds, live = e.Number("shared_adds"), true
+			f.Groups[i].AddedRateShare, live = e.Number("shared_adds"), true
 		}
 	}
 	if e.Number("shared_adds") < 1 && e.Has("shared_adds") && !live {
@@ -255,14 +255,14 @@
 		s.Wrong(e.Line, "fleet: %d racks in %d cells; a rack has one cell at least", f.Racks, f.Cells)
 	}
 	e = s.orDefaults("setups")
-	f.MostSetups, f.Advice = e.Int("most"), e.Number("advice")
-	f.SpareSetups, f.SetupShare, f.SetupWindow = e.Number("spare"), e.Number("share"), e.Number("window")
+	f.MaxSetups, f.MaxRetryAfter = e.Int("most"), e.Number("advice")
+	f.BaseRetries, f.RetriesPerSession, f.RetryWindow = e.Number("spare"), e.Number("share"), e.Number("window")
 	if e, ok := s.One("cold"); ok {
 		f.WarmUp, f.ColdShare = e.Number("warm_up"), e.Number("share")
-		f.FallFactor, f.FallTime = e.Number("fall_factor"), e.Number("fall_time")
+		f.OverloadFactor, f.OverloadTime = e.Number("fall_factor"), e.Number("fall_time")
 	}
 	e = s.orDefaults("reports")
-	f.NoteLag, f.NoteEvery, f.FullAt, f.Probes = e.Number("lag"), e.Number("notes_every"), e.Number("full_at"), e.Flag("probes")
+	f.NoteLag, f.NoteInterval, f.FullThreshold, f.Probes = e.Number("lag"), e.Number("notes_every"), e.Number("full_at"), e.Flag("probes")
 	switch e.Text("come") {
 	case "answers":
 		f.Reporting = choice.ReportsInAnswers
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,8 +30,8 @@
 		t.Fatal(s.Mistakes)
 	}
 	f := terms.Figures
-	if f.Me != 1 || f.Fronts != 4 || f.Zone != 1 || len(terms.Boxes) != 6 || f.Groups[0].Top != 3 || f.Groups[1].Utility != 1 ||
-		f.MostSetups != 3 || f.SetupWindow != 10 || f.Reporting != choice.ReportsInAnswers || !f.Probes || f.WarmUp != 10 {
+	if f.FrontIndex != 1 || f.Fronts != 4 || f.Zone != 1 || len(terms.Boxes) != 6 || f.Groups[0].Top != 3 || f.Groups[1].Utility != 1 ||
+		f.MaxSetups != 3 || f.RetryWindow != 10 || f.Reporting != choice.ReportsInAnswers || !f.Probes || f.WarmUp != 10 {
 		t.Errorf("%+v", terms)
 	}
 	if b := terms.Boxes[1]; b.ID != 11 || b.Zone != 0 || b.State != choice.Ready || b.Address != "127.0.0.1:9001" {
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -18,8 +18,8 @@
 	Log    string // least level; empty leaves it as the process began with
 	Admin  string // address for health and metrics; empty is none
 
-	Figures  choice.StartFigures // Seed 0 is drawn at start
-	Groups   []Group             // in the order of Figures.Groups
+	Figures  choice.Config // Seed 0 is drawn at start
+	Groups   []Group       // in the order of Figures.Groups
 	Titles   map[string]Title
 	Boxes    []Box
 	Redirect string // host:port that viewers are sent to while the front drains; empty is none
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,9 +13,9 @@
 )
 
 func sample(n int) recall.Stored {
-	s := recall.Stored{Saved: float64(n), Memory: choice.Memory{Taken: []float64{1, 2}}}
+	s := recall.Stored{Saved: float64(n), Memory: choice.Snapshot{FirstSetups: []float64{1, 2}}}
 	for i := range 300 {
-		s.Memory.Servers = append(s.Memory.Servers, choice.Remembered{ID: choice.ServerID(i), Born: float64(n), Gap: 3.25})
+		s.Memory.Servers = append(s.Memory.Servers, choice.ServerSnapshot{ID: choice.ServerID(i), StartedAt: float64(n), MeanGap: 3.25})
 	}
 	return s
 }
@@ -53,7 +53,7 @@
 	s.Close()
 	s, kept, found, _ := load(t, f)
 	s.Close()
-	if !found || kept.Saved != 4 || len(kept.Memory.Servers) != 300 || kept.Memory.Servers[7].Gap != 3.25 {
+	if !found || kept.Saved != 4 || len(kept.Memory.Servers) != 300 || kept.Memory.Servers[7].MeanGap != 3.25 {
 		t.Errorf("%v %+v", found, kept.Saved)
 	}
 	f.Close()
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -30,22 +30,22 @@
 // Figures reads what a front is told at its start, by the names of the simulator's first message; lists are separated
 // by commas, and entries of a list of objects are numbered. What a site leaves out stays at its zero, which switches
 // it off. The seed is the caller's.
-func Figures(f map[string]string) (s choice.StartFigures, err error) {
+func Figures(f map[string]string) (s choice.Config, err error) {
 	g := &getter{f: f}
-	s.Me, s.Fronts, s.Zone = g.whole("me", false), g.whole("balancers", false), g.whole("zone", false)
+	s.FrontIndex, s.Fronts, s.Zone = g.whole("me", false), g.whole("balancers", false), g.whole("zone", false)
 	fam := "family_info."
 	s.Cells, s.Racks = g.whole(fam+"cells", false), g.whole(fam+"cabinets", false)
-	s.FleetLinks = g.optional(fam + "fleet_kb")
-	s.UplinkMean, s.FullAt = g.optional(fam+"uplink_kb"), g.optional(fam+"guard")
+	s.FleetLinkCapacity = g.optional(fam + "fleet_kb")
+	s.MeanUplinkCapacity, s.FullThreshold = g.optional(fam+"uplink_kb"), g.optional(fam+"guard")
 	s.Ladder = g.numbers(fam + "level_kb")
-	s.Places = g.numbers(fam + "places_by_kind")
-	s.NoteLag, s.NoteEvery = g.seconds(fam+"see", false), g.seconds(fam+"told_every", false)
-	s.MostSetups = g.whole("caps.most_tries", false)
+	s.MaxStreams = g.numbers(fam + "places_by_kind")
+	s.NoteLag, s.NoteInterval = g.seconds(fam+"see", false), g.seconds(fam+"told_every", false)
+	s.MaxSetups = g.whole("caps.most_tries", false)
 	if f["caps.retry_after"] == "true" || f["caps.retry_after"] == "1" {
-		s.Advice = g.seconds("caps.max_retry_after", false)
+		s.MaxRetryAfter = g.seconds("caps.max_retry_after", false)
 	}
 	s.Probes = f["caps.probes"] == "true" || f["caps.probes"] == "1"
-	s.Peers = f["caps.peers"] == "true" || f["caps.peers"] == "1"
+	s.PeerMessages = f["caps.peers"] == "true" || f["caps.peers"] == "1"
 	s.CrossZonePrice = g.optional("charges.cross_zone")
 	s.ProbePrice = g.optional("charges.probe")
 	switch f["reporting.source"] {
@@ -55,9 +55,9 @@
 		s.Reporting = choice.ReportsInProbes
 	}
 	s.WarmUp, s.ColdShare = g.seconds("rules.cold", false), g.optional("rules.start_capacity")
-	s.FallFactor, s.FallTime = g.optional("rules.overload_factor"), g.seconds("rules.fall", false)
-	s.SpareSetups, s.SetupShare = g.optional("rules.spare_attempts"), g.optional("rules.repeat_ratio")
-	s.SetupWindow = g.seconds("rules.counted_over", false)
+	s.OverloadFactor, s.OverloadTime = g.optional("rules.overload_factor"), g.seconds("rules.fall", false)
+	s.BaseRetries, s.RetriesPerSession = g.optional("rules.spare_attempts"), g.optional("rules.repeat_ratio")
+	s.RetryWindow = g.seconds("rules.counted_over", false)
 	scale, floor := g.numbers(fam+"class_scale"), g.numbers(fam+"class_floor")
 	top, seats := g.numbers(fam+"highest_rung"), g.numbers(fam+"seats")
 	live := strings.Split(f[fam+"live"], ",")
@@ -68,7 +68,7 @@
 			Paid:        f[at+"effect"] != "pure", Floor: int(nth(floor, i, 0)),
 			Top: int(nth(top, i, float64(len(s.Ladder)-1))), Seats: int(nth(seats, i, 0))})
 		if i < len(live) && (live[i] == "true" || live[i] == "1") {
-			s.Groups[i].Adds = g.optional(fam + "shared_adds")
+			s.Groups[i].AddedRateShare = g.optional(fam + "shared_adds")
 		}
 	}
 	return s, g.err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -39,14 +39,14 @@
 type Event struct {
 	Front   string
 	Kind    Kind
-	Figures choice.StartFigures
+	Figures choice.Config
 	Whole   bool
 	List    []choice.Listing
 	Request choice.Request
 	Server  choice.ServerID
 	Outcome choice.Outcome
 	Final   bool
-	Report  choice.Report
+	Report  choice.LoadReport
 	Took    float64
 	Value   float64
 	Words   []byte
@@ -56,29 +56,29 @@
 func (e *Event) Feed(f *choice.Front) {
 	switch e.Kind {
 	case Directory:
-		f.Directory(e.Whole, e.List)
+		f.UpdateDirectory(e.Whole, e.List)
 	case Ask:
-		f.Ask(e.Request)
+		f.RequestSession(e.Request)
 	case Handed:
-		f.Handed(e.Request, e.Server)
+		f.AddHandedOver(e.Request, e.Server)
 	case Left:
-		f.Left(e.Request.ID)
+		f.RequestClosed(e.Request.ID)
 	case Playing:
-		f.Playing(e.Request.ID)
+		f.SetupDone(e.Request.ID)
 	case Ended:
-		f.Ended(e.Request.ID, e.Server, e.Outcome, e.Final, e.Report)
+		f.SetupEnded(e.Request.ID, e.Server, e.Outcome, e.Final, e.Report)
 	case Probed:
-		f.Probed(e.Server, e.Outcome, e.Report)
+		f.ProbeEnded(e.Server, e.Outcome, e.Report)
 	case Due:
-		f.Due()
+		f.HandleTimer()
 	case Short:
-		f.Short(e.Server, e.Value)
+		f.ShortDelivery(e.Server, e.Value)
 	case InForce:
-		f.InForce(e.Request.ID, int(e.Value))
+		f.SetCurrentRung(e.Request.ID, int(e.Value))
 	case Message:
-		f.Told(e.Words)
+		f.ReceiveMessage(e.Words)
 	case Load, UplinkLoad:
-		f.Load(e.Request.ID, e.Server, e.Value, e.Kind == UplinkLoad)
+		f.LoadNote(e.Request.ID, e.Server, e.Value, e.Kind == UplinkLoad)
 	}
 }
 
@@ -179,10 +179,10 @@
 		}
 		g := getter{f: f}
 		e := choice.Listing{ID: g.server("server"), Zone: g.whole("dc", false), Kind: g.whole("class_of_host", false),
-			Cell: g.whole("cell", false), State: choice.Lifecycle(g.whole("lifecycle", true)), Heft: 1,
-			Born: g.seconds("born", false)}
+			Cell: g.whole("cell", false), State: choice.Lifecycle(g.whole("lifecycle", true)), Weight: 1,
+			StartedAt: g.seconds("born", false)}
 		if _, told := f["heft"]; told {
-			e.Heft = g.number("heft")
+			e.Weight = g.number("heft")
 		}
 		if e.State < choice.Gone || e.State > choice.Draining {
 			g.fail(fmt.Errorf("lifecycle=%d is unknown", e.State))
@@ -236,7 +236,7 @@
 	case "ASK", "PREEXISTING":
 		e.Kind = Ask
 		e.Request = choice.Request{ID: choice.SessID(g.text("xid")), Group: g.whole("tier_class", false),
-			Title: g.f["programme"], StartCell: g.whole("start_cell", false), Span: g.whole("span", false),
+			Title: g.f["programme"], StartCell: g.whole("start_cell", false), CellCount: g.whole("span", false),
 			BestRung: g.whole("best_rung", false), SetupTimeout: g.seconds("expires", word == "ASK"),
 			Length: g.seconds("work", false)}
 		if word == "PREEXISTING" {
@@ -284,8 +284,8 @@
 }
 
 // ReadReport reads a load report: names and values, separated by commas.
-func ReadReport(s string) (choice.Report, error) {
-	r := choice.Report{Link: -1, Uplink: -1}
+func ReadReport(s string) (choice.LoadReport, error) {
+	r := choice.LoadReport{Link: -1, Uplink: -1}
 	if s == "" || s == "-" {
 		return r, nil
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,10 +32,10 @@
 	}
 	s := ev[0].Figures
 	if s.Fronts != 3 || len(s.Ladder) != 2 || !s.Groups[0].Paid || s.Groups[1].Paid || s.Groups[0].Floor != 1 ||
-		s.Groups[1].StartTarget != 0.8 || s.Groups[0].Adds != 0 || s.Groups[1].Adds != 0.3 || !s.Peers {
+		s.Groups[1].StartTarget != 0.8 || s.Groups[0].AddedRateShare != 0 || s.Groups[1].AddedRateShare != 0.3 || !s.PeerMessages {
 		t.Errorf("figures %+v", s)
 	}
-	if l := ev[1].List; !ev[1].Whole || len(l) != 2 || l[0].Cell != 4 || l[1].State != choice.Draining || l[1].Born != 6.1 {
+	if l := ev[1].List; !ev[1].Whole || len(l) != 2 || l[0].Cell != 4 || l[1].State != choice.Draining || l[1].StartedAt != 6.1 {
 		t.Errorf("first list %+v", l)
 	}
 	if l := ev[2].List; ev[2].Whole || len(l) != 1 || l[0].State != choice.Gone {
@@ -44,7 +44,7 @@
 	if q := ev[3].Request; q.SetupTimeout != 8.65225 || q.Group != 1 || q.BestRung != 2 {
 		t.Errorf("request %+v", q)
 	}
-	if e := ev[4]; e.Outcome != choice.Full || e.Final || e.Report != (choice.Report{Link: 0.5, Capped: true, Uplink: 1.25}) {
+	if e := ev[4]; e.Outcome != choice.Full || e.Final || e.Report != (choice.LoadReport{Link: 0.5, Capped: true, Uplink: 1.25}) {
 		t.Errorf("outcome %+v", e)
 	}
 	if e := ev[5]; e.Kind != Message || string(e.Words) != "hi 7" {
@@ -77,10 +77,10 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	a := Acts{Front: "front_3", To: w}
-	a.Rung("x", 2)
+	a.SetRung("x", 2)
 	a.Setup("x", 7, 0.08)
 	a.BusyReply("y", 1)
-	a.Tell(2, []byte("hi 7"))
+	a.SendMessage(2, []byte("hi 7"))
 	if err := w.Done(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -37,8 +37,8 @@
 
 func us(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
 
-// Rung sets a session's rung.
-func (a Acts) Rung(id choice.SessID, rung int) {
+// SetRung sets a session's rung.
+func (a Acts) SetRung(id choice.SessID, rung int) {
 	fmt.Fprintf(a.To.out, "RATE i=%s xid=%s tier_no=%d\n", a.Front, id, rung)
 }
 
@@ -52,8 +52,8 @@
 	fmt.Fprintf(a.To.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, us(comeBack))
 }
 
-// TearDown ends a request as failed.
-func (a Acts) TearDown(id choice.SessID) {
+// FailureReply ends a request as failed.
+func (a Acts) FailureReply(id choice.SessID) {
 	fmt.Fprintf(a.To.out, "DROP_REQUEST i=%s xid=%s\n", a.Front, id)
 }
 
@@ -62,12 +62,12 @@
 	fmt.Fprintf(a.To.out, "TOUCH i=%s server=%d\n", a.Front, server)
 }
 
-// Tell sends a message to another front.
-func (a Acts) Tell(front int, words []byte) {
+// SendMessage sends a message to another front.
+func (a Acts) SendMessage(front int, words []byte) {
 	fmt.Fprintf(a.To.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(words))
 }
 
-// Wake sets a timer.
-func (a Acts) Wake(after float64) {
+// SetTimer sets a timer.
+func (a Acts) SetTimer(after float64) {
 	fmt.Fprintf(a.To.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, us(after))
 }
