--- a/choice/renewal/renewal.go
+++ b/choice/renewal/renewal.go
@@ -17,7 +17,7 @@
 type Step int
 
 // The steps. A Fresh value is read whenever it is wanted, so that nothing has to be done. Module stands for a module made
-// anew with what the last one had learned (session.Table.Renew); the list of boxes goes with it.
+// anew with what the last one had learned (session.Table.Reload); the list of boxes goes with it.
 const (
 	Fresh Step = 1 << iota
 	Boxes
--- a/choice/session/renew.go
+++ b/choice/session/reload.go
@@ -6,14 +6,14 @@
 	"rainhaven/choice"
 )
 
-// Terms are a table's new ones.
-type Terms struct {
-	Figures choice.StartFigures
-	Bounds  Bounds
-	Groups  []int // by a service group's number so far: its new one. None may be missing
+// Config are a table's new ones.
+type Config struct {
+	Figures  choice.StartFigures
+	Limits   Limits
+	GroupMap []int // by a service group's number so far: its new one. None may be missing
 }
 
-// Renew goes on under new terms. The module is made anew and told what the last one had learned, keep having taken out
+// Reload goes on under new terms. The module is made anew and told what the last one had learned, keep having taken out
 // what holds no longer; list is the whole list of boxes. What becomes of sessions:
 //
 //	waits for its placement    asked anew, within its old setup timeout
@@ -24,25 +24,25 @@
 //	answered otherwise         nothing more is asked
 //
 // No SETUP leaves because of it, so that no number of reloads touches rules 2 and 6.
-func (t *Table) Renew(terms Terms, list []choice.Listing, keep func(choice.Memory) choice.Memory) {
+func (t *Table) Reload(terms Config, list []choice.Listing, keep func(choice.Memory) choice.Memory) {
 	t.mod.Settle() // what was decided stands
 	m := keep(t.mod.Memory())
 	lives := t.inOrder()
 	again := 0
 	for _, l := range lives {
-		l.group = terms.Groups[l.group]
+		l.group = terms.GroupMap[l.group]
 		if l.req.Group = l.group; l.waits() {
 			again++
 		}
 	}
 	// Those asked anew count as taken again; their first count goes, so that the ration grows by nothing.
 	m.Taken = m.Taken[:max(len(m.Taken)-again, 0)]
-	t.bounds = terms.Bounds
+	t.bounds = terms.Limits
 	t.module(terms.Figures)
 	t.mod.Directory(true, list)
 	t.mod.Recall(m)
 	// Boxes that have left the list are told of as long as it takes to hand their sessions over: those hold seats.
-	t.Directory(true, list)
+	t.UpdateDirectory(true, list)
 	var left []choice.Listing
 	for id, e := range t.list {
 		if e.State == choice.Gone {
@@ -60,16 +60,16 @@
 	t.mod.Directory(false, left)
 }
 
-// Bound takes new bounds alone: they hold for what begins from now on.
-func (t *Table) Bound(b Bounds) { t.bounds = b }
+// SetLimits takes new bounds alone: they hold for what begins from now on.
+func (t *Table) SetLimits(b Limits) { t.bounds = b }
 
-// Memory and Recall are the module's: what it learned, and its taking that again after the first list and before any
+// Snapshot and Recall are the module's: what it learned, and its taking that again after the first list and before any
 // session.
-func (t *Table) Memory() choice.Memory  { return t.mod.Memory() }
-func (t *Table) Recall(m choice.Memory) { t.mod.Recall(m) }
+func (t *Table) Snapshot() choice.Memory { return t.mod.Memory() }
+func (t *Table) Restore(m choice.Memory) { t.mod.Recall(m) }
 
-// Boxes is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
-func (t *Table) Boxes() (listed, usable int) {
+// BoxCounts is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
+func (t *Table) BoxCounts() (listed, usable int) {
 	for _, e := range t.list {
 		if e.State != choice.Gone {
 			listed++
@@ -113,7 +113,7 @@
 	case l.waits():
 		t.mod.Ask(l.req)
 		return
-	case !l.toldModule || l.verdict == Busy || l.verdict == TornDown || l.phase == gone:
+	case !l.toldModule || l.verdict == Busy || l.verdict == Failed || l.phase == gone:
 		return
 	case l.phase == idle || l.wantSetup && t.list[l.box].State != choice.Ready:
 		// Its box left the list with this very reload, before the SETUP had left. Earlier ones of a paid group's
--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -75,7 +75,9 @@
 			return false
 		}
 		w.state[box] = s
-		w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}}) })
+		w.do(func() {
+			w.t.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
+		})
 		return true
 	}
 }
@@ -152,7 +154,7 @@
 	}},
 	{"time", func(w *world) bool {
 		before := w.now
-		if n := w.t.Next(); n > 0 {
+		if n := w.t.NextTimer(); n > 0 {
 			w.pass(n - w.now + 1e-6)
 		}
 		return w.now > before
@@ -178,14 +180,14 @@
 		if w.t.stop {
 			return false
 		}
-		w.do(w.t.Stop)
+		w.do(w.t.StopAccepting)
 		return true
 	}},
 	{"front cuts", func(w *world) bool {
 		if w.t.stop && w.t.Len() == 0 {
 			return false
 		}
-		w.do(w.t.Cut)
+		w.do(w.t.EndAll)
 		return true
 	}},
 }
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -34,8 +34,8 @@
 	return [...]string{"none", "play", "pause", "join", "keep-alive", "teardown", "rung"}[o]
 }
 
-// Ask is a viewer's first request for a session.
-type Ask struct {
+// Request is a viewer's first request for a session.
+type Request struct {
 	Group           int
 	Title           string
 	StartCell, Span int
@@ -43,17 +43,17 @@
 	Length          float64 // seconds expected; 0 is not told
 }
 
-// Verdict is the final answer to a request for a session.
-type Verdict int
+// FinalAnswer is the final answer to a request for a session.
+type FinalAnswer int
 
 // The verdicts.
 const (
-	Served Verdict = iota + 1
+	Served FinalAnswer = iota + 1
 	Busy
-	TornDown
+	Failed
 )
 
-func (v Verdict) String() string {
+func (v FinalAnswer) String() string {
 	return [...]string{"none", "served", "busy-replied", "torn down"}[v]
 }
 
@@ -62,55 +62,55 @@
 
 // The results. Done carries on what the box answered.
 const (
-	Done        Result = iota + 1
-	NoSession          // there is none by that name any more
-	WrongState         // not in this state
-	BoxRefused         // the box answered that it would not
-	BoxSilent          // the box did not answer in time, or broke
-	TooManyAsks        // more requests wait than a viewer may have
+	Done            Result = iota + 1
+	NoSession              // there is none by that name any more
+	WrongState             // not in this state
+	BoxRefused             // the box answered that it would not
+	BoxUnavailable         // the box did not answer in time, or broke
+	TooManyRequests        // more requests wait than a viewer may have
 )
 
-// Why tells how a session ended that had begun to play or was set up.
-type Why int
+// EndReason tells how a session ended that had begun to play or was set up.
+type EndReason int
 
 // The ends.
 const (
-	ByViewer Why = iota + 1 // it asked for the end, or its connection is gone
-	BoxLost                 // the box's connection broke
-	BoxHung                 // the box did not answer in time
-	Silent                  // nothing was heard of the viewer for its session timeout
-	Stopping                // the front is being stopped
+	ByViewer      EndReason = iota + 1 // it asked for the end, or its connection is gone
+	BoxLost                            // the box's connection broke
+	BoxHung                            // the box did not answer in time
+	ViewerIdle                         // nothing was heard of the viewer for its session timeout
+	FrontStopping                      // the front is being stopped
 )
 
-func (w Why) String() string {
+func (w EndReason) String() string {
 	return [...]string{"none", "by viewer", "box lost", "box hung", "viewer silent", "front stopping"}[w]
 }
 
-// Orders is what a table has done. All orders are given from within Settle.
-type Orders interface {
+// Actions is what a table has done. All orders are given from within Settle.
+type Actions interface {
 	// Setup sends a SETUP to a box, connecting first if need be. SetupSent, BoxAnswered or BoxFailed follow.
 	Setup(id choice.SessID, try int, box choice.ServerID, rung int)
-	// Withdraw ends a SETUP that is out: the box is told at once, and what it still answers is torn down there.
-	Withdraw(id choice.SessID, try int)
-	// Do asks an operation of the box; arg is the viewer's number of the request, or the rung. OpAnswered follows.
-	Do(id choice.SessID, try int, op Op, arg int)
-	// Drop gives up a session's connection to its box without a word more.
-	Drop(id choice.SessID, try int)
+	// CancelSetup ends a SETUP that is out: the box is told at once, and what it still answers is torn down there.
+	CancelSetup(id choice.SessID, try int)
+	// SendOp asks an operation of the box; arg is the viewer's number of the request, or the rung. OpAnswered follows.
+	SendOp(id choice.SessID, try int, op Op, arg int)
+	// CloseConn gives up a session's connection to its box without a word more.
+	CloseConn(id choice.SessID, try int)
 	Probe(box choice.ServerID)
 	// Answer gives the final answer; comeBack is advice in seconds, 0 is none.
-	Answer(id choice.SessID, v Verdict, comeBack float64)
+	Answer(id choice.SessID, v FinalAnswer, comeBack float64)
 	// Reply answers a later request.
 	Reply(id choice.SessID, n int, r Result)
 	// End tells that a session that was served is over; no order for it follows but Do TearDown and Drop.
-	End(id choice.SessID, why Why)
+	End(id choice.SessID, why EndReason)
 }
 
-// Bounds are the table's own limits.
-type Bounds struct {
-	SetupTimeout []float64 // by service group: seconds in which a viewer waits for its answer
-	Sessions     int       // at most; more are busy-replied. 0 is no cap
-	ViewerIdle   float64   // a viewer unheard of for so many seconds is gone
-	KeepAlive    float64   // seconds between signs of life to a box
+// Limits are the table's own limits.
+type Limits struct {
+	SetupTimeout      []float64 // by service group: seconds in which a viewer waits for its answer
+	MaxSessions       int       // at most; more are busy-replied. 0 is no cap
+	ViewerIdleTimeout float64   // a viewer unheard of for so many seconds is gone
+	KeepAliveInterval float64   // seconds between signs of life to a box
 }
 
 const (
@@ -154,7 +154,7 @@
 
 	viewer   bool // there is still one
 	owed     bool // the final answer
-	verdict  Verdict
+	verdict  FinalAnswer
 	comeBack float64
 	giveUp   float64   // instant at which the viewer gives up
 	heard    float64   // last word of the viewer's
@@ -178,7 +178,7 @@
 	withdraw    []int
 	wantClose   bool // a TEARDOWN is wanted
 	wantDrop    bool
-	wantEnd     Why
+	wantEnd     EndReason
 	ended       bool // End was given
 	touched     bool
 	at          int     // in the heap
@@ -202,8 +202,8 @@
 // Table holds a front's sessions.
 type Table struct {
 	mod    *choice.Front
-	out    Orders
-	bounds Bounds
+	out    Actions
+	bounds Limits
 	now    float64
 	lives  map[choice.SessID]*life            // emptied as sessions end
 	due    heapOf                             // the same, by when they want to be looked at
@@ -218,7 +218,7 @@
 }
 
 // New makes a table and its module.
-func New(now float64, fig choice.StartFigures, bounds Bounds, out Orders) *Table {
+func New(now float64, fig choice.StartFigures, bounds Limits, out Actions) *Table {
 	t := &Table{out: out, bounds: bounds, now: now, lives: map[choice.SessID]*life{},
 		list: map[choice.ServerID]choice.Listing{}, kept: &account.Ring{}}
 	t.module(fig)
@@ -231,8 +231,8 @@
 	t.mod = choice.New(t.now, fig, acts{t})
 }
 
-// At sets the clock; it comes before each batch of events.
-func (t *Table) At(now float64) {
+// SetTime sets the clock; it comes before each batch of events.
+func (t *Table) SetTime(now float64) {
 	t.now = max(t.now, now)
 	t.mod.At(t.now)
 }
@@ -247,8 +247,8 @@
 	}
 }
 
-// Directory takes the list of boxes, whole or changed entries only.
-func (t *Table) Directory(whole bool, list []choice.Listing) {
+// UpdateDirectory takes the list of boxes, whole or changed entries only.
+func (t *Table) UpdateDirectory(whole bool, list []choice.Listing) {
 	held := map[choice.ServerID]bool{}
 	for _, l := range t.lives {
 		held[l.box] = true
@@ -288,13 +288,13 @@
 	return list
 }
 
-func (r Ask) request(id choice.SessID) choice.Request {
+func (r Request) request(id choice.SessID) choice.Request {
 	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, Span: r.Span, BestRung: r.BestRung,
 		Length: r.Length}
 }
 
-// Ask takes a viewer's request for a session. Its id must be new.
-func (t *Table) Ask(id choice.SessID, r Ask) {
+// Open takes a viewer's request for a session. Its id must be new.
+func (t *Table) Open(id choice.SessID, r Request) {
 	if t.lives[id] != nil {
 		return
 	}
@@ -305,7 +305,7 @@
 	t.mark(l)
 	// Against more sessions than the process was sized for, and against new ones while it stops. Nothing was sent
 	// to any box, so trying again elsewhere is harmless for every group.
-	if t.stop || t.bounds.Sessions > 0 && len(t.lives) > t.bounds.Sessions {
+	if t.stop || t.bounds.MaxSessions > 0 && len(t.lives) > t.bounds.MaxSessions {
 		l.verdict, l.comeBack = Busy, 1
 		return
 	}
@@ -316,12 +316,12 @@
 }
 
 // Adopt takes over a session that plays already at a box.
-func (t *Table) Adopt(id choice.SessID, r Ask, box choice.ServerID, rung int) {
+func (t *Table) Adopt(id choice.SessID, r Request, box choice.ServerID, rung int) {
 	if t.lives[id] != nil {
 		return
 	}
 	l := &life{id: id, group: r.Group, viewer: true, heard: t.now, sentRung: -1, at: -1, toldModule: true,
-		try: 1, box: box, phase: playing, rung: rung, wantRung: rung, keepAt: t.now + t.bounds.KeepAlive,
+		try: 1, box: box, phase: playing, rung: rung, wantRung: rung, keepAt: t.now + t.bounds.KeepAliveInterval,
 		verdict: Served, answerGiven: true, req: r.request(id)}
 	t.lives[id] = l
 	t.mark(l)
@@ -329,8 +329,8 @@
 	t.mod.InForce(id, rung)
 }
 
-// Request takes a later request of a viewer's, by the viewer's own number.
-func (t *Table) Request(id choice.SessID, op Op, n int) {
+// RequestOp takes a later request of a viewer's, by the viewer's own number.
+func (t *Table) RequestOp(id choice.SessID, op Op, n int) {
 	l := t.lives[id]
 	if l == nil || !l.viewer {
 		t.strays = append(t.strays, stray{id, n})
@@ -339,15 +339,15 @@
 	t.mark(l)
 	l.heard = t.now
 	if len(l.queue) >= mostQueued {
-		l.replies = append(l.replies, reply{n, TooManyAsks})
+		l.replies = append(l.replies, reply{n, TooManyRequests})
 		return
 	}
 	l.queue = append(l.queue, request{op, n})
 	t.advance(l)
 }
 
-// Heard tells of any other sign of life of a viewer.
-func (t *Table) Heard(id choice.SessID) {
+// ViewerSeen tells of any other sign of life of a viewer.
+func (t *Table) ViewerSeen(id choice.SessID) {
 	if l := t.lives[id]; l != nil {
 		l.heard = t.now
 	}
@@ -401,7 +401,7 @@
 		t.setupOver(l, o, rep)
 		return
 	}
-	l.phase, l.keepAt = ready, t.now+t.bounds.KeepAlive
+	l.phase, l.keepAt = ready, t.now+t.bounds.KeepAliveInterval
 	t.mod.Playing(id)
 	if rep.Link >= 0 {
 		t.mod.Load(id, l.box, rep.Link, false)
@@ -421,7 +421,7 @@
 	if l.alone {
 		ran := o != choice.Full && o != choice.NoConnection && o != choice.Unsent
 		if l.verdict, l.comeBack = Busy, 1; ran && t.groups[l.group].Paid {
-			l.verdict = TornDown
+			l.verdict = Failed
 		}
 		t.over(l, o, rep)
 		return
@@ -511,16 +511,16 @@
 }
 
 // finish ends a session for its viewer; what is left at boxes is put in order after it.
-func (t *Table) finish(l *life, why Why) {
+func (t *Table) finish(l *life, why EndReason) {
 	t.mark(l)
 	for _, q := range l.queue {
 		l.replies = append(l.replies, reply{q.n, NoSession})
 	}
 	if l.op.op != 0 {
-		l.replies = append(l.replies, reply{l.op.n, BoxSilent})
+		l.replies = append(l.replies, reply{l.op.n, BoxUnavailable})
 	}
 	l.queue, l.op = nil, request{}
-	if why != Stopping || l.answerGiven {
+	if why != FrontStopping || l.answerGiven {
 		l.viewer = false
 	}
 	if (l.answerGiven || l.owed && l.verdict == Served) && l.wantEnd == 0 {
@@ -597,38 +597,38 @@
 	t.mod.Probed(box, o, rep)
 }
 
-// Short, Load pass on what choice/hearing makes of boxes.
-func (t *Table) Short(box choice.ServerID, share float64) { t.mod.Short(box, share) }
+// ShortDelivery, Load pass on what choice/hearing makes of boxes.
+func (t *Table) ShortDelivery(box choice.ServerID, share float64) { t.mod.Short(box, share) }
 
-// Load passes on a load note that came with a session's media.
-func (t *Table) Load(id choice.SessID, box choice.ServerID, x float64, uplink bool) {
+// LoadNote passes on a load note that came with a session's media.
+func (t *Table) LoadNote(id choice.SessID, box choice.ServerID, x float64, uplink bool) {
 	t.mod.Load(id, box, x, uplink)
 }
 
-// Stop has new requests busy-replied. Sessions go on.
-func (t *Table) Stop() { t.stop = true }
+// StopAccepting has new requests busy-replied. Sessions go on.
+func (t *Table) StopAccepting() { t.stop = true }
 
-// Cut ends all sessions: those set up are torn down, requests without an answer are busy-replied where no SETUP of
+// EndAll ends all sessions: those set up are torn down, requests without an answer are busy-replied where no SETUP of
 // theirs may have run, else torn down.
-func (t *Table) Cut() {
+func (t *Table) EndAll() {
 	t.stop = true
 	for _, l := range t.inOrder() {
 		if l.owed {
 			ran := l.phase == asked
 			if l.verdict == 0 {
 				if l.verdict = Busy; ran {
-					l.verdict = TornDown
+					l.verdict = Failed
 				}
 			}
 		}
 		if l.phase != closing && l.phase != gone {
-			t.finish(l, Stopping)
+			t.finish(l, FrontStopping)
 		}
 	}
 }
 
-// Next is the instant at which Due is wanted, 0 where none is.
-func (t *Table) Next() float64 {
+// NextTimer is the instant at which Due is wanted, 0 where none is.
+func (t *Table) NextTimer() float64 {
 	n := t.wake
 	if len(t.due) > 0 && (n == 0 || t.due[0].next < n) {
 		n = t.due[0].next
@@ -636,8 +636,8 @@
 	return n
 }
 
-// Due does what has come due: waits that are over, signs of life, the module's own.
-func (t *Table) Due() {
+// RunTimers does what has come due: waits that are over, signs of life, the module's own.
+func (t *Table) RunTimers() {
 	for len(t.due) > 0 && t.due[0].next <= t.now {
 		l := t.due[0]
 		t.expire(l)
@@ -683,8 +683,8 @@
 			l.sentRung = -1
 			t.rungStays(l)
 		}
-		if t.bounds.ViewerIdle > 0 && t.now >= l.heard+t.bounds.ViewerIdle {
-			t.finish(l, Silent)
+		if t.bounds.ViewerIdleTimeout > 0 && t.now >= l.heard+t.bounds.ViewerIdleTimeout {
+			t.finish(l, ViewerIdle)
 		}
 	}
 	// The net under rule 1: against any path that would leave a request without its answer until the viewer gives
@@ -697,7 +697,7 @@
 			l.toldModule = false
 			t.mod.Left(l.id)
 		}
-		l.verdict, l.phase = TornDown, gone
+		l.verdict, l.phase = Failed, gone
 	}
 }
 
@@ -719,10 +719,10 @@
 		if l.sentRung >= 0 {
 			at(l.rungUntil)
 		}
-		if t.bounds.ViewerIdle > 0 {
-			at(l.heard + t.bounds.ViewerIdle)
+		if t.bounds.ViewerIdleTimeout > 0 {
+			at(l.heard + t.bounds.ViewerIdleTimeout)
 		}
-		if t.bounds.KeepAlive > 0 {
+		if t.bounds.KeepAliveInterval > 0 {
 			at(l.keepAt)
 		}
 	}
@@ -767,7 +767,7 @@
 // settle works out the difference between a session's wanted state and its present one and orders it.
 func (t *Table) settle(l *life) {
 	for _, try := range l.withdraw {
-		t.out.Withdraw(l.id, try)
+		t.out.CancelSetup(l.id, try)
 	}
 	l.withdraw = nil
 	if l.wantSetup {
@@ -794,16 +794,16 @@
 	l.replies = nil
 	if l.op.op != 0 && !l.opSent {
 		l.opSent = true
-		t.out.Do(l.id, l.try, l.op.op, l.op.n)
+		t.out.SendOp(l.id, l.try, l.op.op, l.op.n)
 	}
 	if l.phase >= ready && l.phase <= paused {
 		if l.wantRung != l.rung && l.sentRung < 0 {
 			l.sentRung, l.rungUntil = l.wantRung, t.now+opTime
-			t.out.Do(l.id, l.try, SetRung, l.wantRung)
+			t.out.SendOp(l.id, l.try, SetRung, l.wantRung)
 		}
-		if t.bounds.KeepAlive > 0 && t.now >= l.keepAt {
-			l.keepAt = t.now + t.bounds.KeepAlive
-			t.out.Do(l.id, l.try, KeepAlive, 0)
+		if t.bounds.KeepAliveInterval > 0 && t.now >= l.keepAt {
+			l.keepAt = t.now + t.bounds.KeepAliveInterval
+			t.out.SendOp(l.id, l.try, KeepAlive, 0)
 		}
 	}
 	if l.wantEnd != 0 && !l.ended {
@@ -813,11 +813,11 @@
 	}
 	if l.wantClose {
 		l.wantClose = false
-		t.out.Do(l.id, l.try, TearDown, 0)
+		t.out.SendOp(l.id, l.try, TearDown, 0)
 	}
 	if l.wantDrop {
 		l.wantDrop = false
-		t.out.Drop(l.id, l.try)
+		t.out.CloseConn(l.id, l.try)
 	}
 }
 
@@ -859,7 +859,7 @@
 func (a acts) Tell(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
 func (a acts) TearDown(id choice.SessID) {
 	a.with(id, func(l *life) {
-		l.verdict, l.toldModule = TornDown, false
+		l.verdict, l.toldModule = Failed, false
 		a.t.note(l, account.Entry{Act: account.TornDown})
 	})
 }
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,14 +10,14 @@
 	"rainhaven/choice"
 )
 
-func figures() (choice.StartFigures, Bounds) {
+func figures() (choice.StartFigures, Limits) {
 	return choice.StartFigures{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
 			{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
 			Ladder: []float64{200, 500, 1000, 2000}, Cells: 4, Racks: 2, FleetLinks: 40000, UplinkMean: 25000,
 			Places: []float64{20}, NoteLag: 1, NoteEvery: 3, MostSetups: 3, Advice: 1, Probes: true,
 			Reporting: choice.ReportsInAnswers, SpareSetups: 50, SetupShare: 0.5, SetupWindow: 10},
-		Bounds{SetupTimeout: []float64{3, 5}, Sessions: 50, ViewerIdle: 60, KeepAlive: 20}
+		Limits{SetupTimeout: []float64{3, 5}, MaxSessions: 50, ViewerIdleTimeout: 60, KeepAliveInterval: 20}
 }
 
 // atBox is what a box holds of one SETUP.
@@ -30,7 +30,7 @@
 	asked   float64
 	giveUp  float64
 	gone    bool // its connection is, by its own doing
-	answers []Verdict
+	answers []FinalAnswer
 	asks    map[int]bool // requests without a reply
 	tries   map[int]*atBox
 	ended   bool
@@ -63,13 +63,13 @@
 	for _, e := range listed4() {
 		w.state[e.ID] = choice.Ready
 	}
-	w.do(func() { w.t.Directory(true, listed4()) })
+	w.do(func() { w.t.UpdateDirectory(true, listed4()) })
 	return w
 }
 
 // do feeds one batch.
 func (w *world) do(event func()) {
-	w.t.At(w.now)
+	w.t.SetTime(w.now)
 	event()
 	w.t.Settle()
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *world) Withdraw(id choice.SessID, try int) {
+func (w *world) CancelSetup(id choice.SessID, try int) {
 	a := w.viewers[id].tries[try]
 	if a == nil || !a.out {
 		w.tb.Fatalf("%s: SETUP %d is withdrawn and not out", id, try)
@@ -119,7 +119,7 @@
 	a.out = false
 }
 
-func (w *world) Do(id choice.SessID, try int, op Op, arg int) {
+func (w *world) SendOp(id choice.SessID, try int, op Op, arg int) {
 	a := w.viewers[id].tries[try]
 	if a == nil || !a.held {
 		w.tb.Fatalf("%s: %v at a box that holds nothing of it", id, op)
@@ -130,11 +130,11 @@
 	w.ops = append(w.ops, func(status int) { w.t.OpAnswered(id, try, op, arg, status, choice.Report{Link: -1, Uplink: -1}) })
 }
 
-func (w *world) Drop(id choice.SessID, try int) { w.viewers[id].tries[try].held = false }
+func (w *world) CloseConn(id choice.SessID, try int) { w.viewers[id].tries[try].held = false }
 
 func (w *world) Probe(box choice.ServerID) { w.probes = append(w.probes, box) }
 
-func (w *world) Answer(id choice.SessID, v Verdict, _ float64) {
+func (w *world) Answer(id choice.SessID, v FinalAnswer, _ float64) {
 	x := w.viewers[id]
 	x.answers = append(x.answers, v)
 	if len(x.answers) > 1 || x.gone {
@@ -155,7 +155,7 @@
 	delete(w.viewers[id].asks, n)
 }
 
-func (w *world) End(id choice.SessID, _ Why) {
+func (w *world) End(id choice.SessID, _ EndReason) {
 	v := w.viewers[id]
 	if v.ended || len(v.answers) != 1 || v.answers[0] != Served {
 		w.tb.Fatalf("%s: ended twice or before it was served: %v", id, v.answers)
@@ -168,7 +168,7 @@
 	w.order = append(w.order, id)
 	v := &viewer{asked: w.now, giveUp: w.now + w.t.bounds.SetupTimeout[group], paid: group == 0, title: title, asks: map[int]bool{}, tries: map[int]*atBox{}}
 	w.viewers[id] = v
-	w.do(func() { w.t.Ask(id, Ask{Group: group, Title: title, Span: 4, BestRung: 3}) })
+	w.do(func() { w.t.Open(id, Request{Group: group, Title: title, Span: 4, BestRung: 3}) })
 	return id
 }
 
@@ -187,7 +187,7 @@
 		}
 	}
 	w.do(func() {
-		w.t.Renew(Terms{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
+		w.t.Reload(Config{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
 	})
 	for _, l := range w.t.lives {
 		if floor := fig.Groups[l.group].Floor; l.phase >= ready && l.phase <= paused && l.wantRung < floor {
@@ -204,7 +204,7 @@
 	n := 1000 + w.orders*10 + len(v.asks)
 	w.orders++
 	v.asks[n] = true
-	w.do(func() { w.t.Request(id, op, n) })
+	w.do(func() { w.t.RequestOp(id, op, n) })
 }
 
 // box gives a SETUP an answer; status 0 is a break.
@@ -234,7 +234,7 @@
 // pass lets time go by in steps as Next asks for them.
 func (w *world) pass(seconds float64) {
 	for end := w.now + seconds; ; {
-		n := w.t.Next()
+		n := w.t.NextTimer()
 		if n == 0 || n > end {
 			w.now = max(w.now, end)
 			return
@@ -248,7 +248,7 @@
 				}
 			}
 		}
-		w.do(w.t.Due)
+		w.do(w.t.RunTimers)
 	}
 }
 
@@ -313,7 +313,7 @@
 	w.pass(0.3)
 	w.do(func() { w.t.SetupSent(id, 1) })
 	w.pass(4)
-	if v := w.viewers[id]; len(v.answers) != 1 || v.answers[0] != TornDown || len(v.tries) != 1 {
+	if v := w.viewers[id]; len(v.answers) != 1 || v.answers[0] != Failed || len(v.tries) != 1 {
 		t.Fatalf("answers %v after %d SETUPs", v.answers, len(v.tries))
 	}
 	w.rest()
@@ -385,7 +385,7 @@
 	first := w.viewers[id].tries[1].box
 	w.state[first] = choice.Draining
 	w.do(func() {
-		w.t.Directory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
+		w.t.UpdateDirectory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
 	})
 	v := w.viewers[id]
 	if v.tries[1].out || v.tries[2] == nil || v.tries[2].box == first {
@@ -400,8 +400,8 @@
 	w.pass(0.3)
 	w.box(playing, 1, 200, true)
 	w.do(func() { w.t.SetupSent(waiting, 1) })
-	w.do(w.t.Cut)
-	if v := w.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != TornDown {
+	w.do(w.t.EndAll)
+	if v := w.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
 		t.Fatalf("a SETUP that may have run: %v", v.answers)
 	}
 	if !w.viewers[playing].ended {
@@ -435,7 +435,7 @@
 	fig.SpareSetups, fig.SetupShare, fig.Probes = 2, 0, false
 	renew := func() {
 		w.do(func() {
-			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+			w.t.Reload(Config{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
 		})
 	}
 	renew()
@@ -453,7 +453,7 @@
 		t.Errorf("%d further SETUPs, the ration is 2", further)
 	}
 	// A SETUP that is out at a reload is the last of its request.
-	for group, verdicts := range map[int]map[int]Verdict{0: {453: Busy, 500: TornDown, 200: Served}, 1: {453: Busy, 500: Busy, 200: Served}} {
+	for group, verdicts := range map[int]map[int]FinalAnswer{0: {453: Busy, 500: Failed, 200: Served}, 1: {453: Busy, 500: Busy, 200: Served}} {
 		for status, want := range verdicts {
 			w.now += 20
 			id := w.ask(group, "vents")
@@ -480,7 +480,7 @@
 	for _, id := range ids {
 		w.box(id, 1, 453, true)
 	}
-	for status, want := range map[int]Verdict{500: TornDown, 453: 0} {
+	for status, want := range map[int]FinalAnswer{500: Failed, 453: 0} {
 		w.now += 20
 		id := w.ask(0, "exam")
 		v := w.viewers[id]
@@ -489,7 +489,7 @@
 			w.t.SetupSent(id, 1)
 			a.out, v.mayRan = false, status == 500
 			w.t.BoxAnswered(id, 1, status, choice.Report{Link: -1, Uplink: -1})
-			w.t.Renew(Terms{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+			w.t.Reload(Config{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
 			t.Errorf("%d and a reload at once: %v after %d SETUPs", status, v.answers, len(v.tries))
@@ -580,7 +580,9 @@
 				box := choice.ServerID(rapid.IntRange(10, 13).Draw(t, "box"))
 				s := rapid.SampledFrom([]choice.Lifecycle{choice.Ready, choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
 				w.state[box] = s
-				w.do(func() { w.t.Directory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}}) })
+				w.do(func() {
+					w.t.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
+				})
 			},
 			"reload":    func(*rapid.T) { w.reload() },
 			"time":      func(t *rapid.T) { w.pass(rapid.Float64Range(0, 1.5).Draw(t, "seconds")) },
@@ -604,8 +606,8 @@
 		w.now += 0.01
 		id := choice.SessID(fmt.Sprint(rand.Int63()))
 		w.viewers[id] = &viewer{giveUp: w.now + 5, asks: map[int]bool{}, tries: map[int]*atBox{}}
-		w.do(func() { w.t.Ask(id, Ask{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
-		w.do(func() { w.t.Due() })
+		w.do(func() { w.t.Open(id, Request{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
+		w.do(func() { w.t.RunTimers() })
 		w.do(func() { w.t.ViewerGone(id) })
 		delete(w.viewers, id)
 	}
@@ -626,7 +628,9 @@
 	w.box(paid, 1, 500, true)
 	for id := choice.ServerID(10); id < 14; id++ {
 		w.state[id] = choice.Draining
-		w.do(func() { w.t.Directory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}}) })
+		w.do(func() {
+			w.t.UpdateDirectory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
+		})
 	}
 	busy := w.ask(1, "vents")
 	for id, want := range map[choice.SessID][]string{
@@ -653,28 +657,28 @@
 // deaf is a world that hears nothing of operations and probes.
 type deaf struct{ *world }
 
-func (deaf) Do(choice.SessID, int, Op, int) {}
-func (deaf) Probe(choice.ServerID)          {}
+func (deaf) SendOp(choice.SessID, int, Op, int) {}
+func (deaf) Probe(choice.ServerID)              {}
 
 // large is a table with a thousand playing sessions on 300 boxes, and its terms.
-func large(b *testing.B) (*world, Terms, []choice.Listing) {
+func large(b *testing.B) (*world, Config, []choice.Listing) {
 	w := newWorld(b)
 	fig, bounds := figures()
-	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, bounds.Sessions = 300, 20, 300*20000, 15*20000, 2000
+	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, bounds.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
 	for i := range fig.Cells {
 		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Heft: 1})
 		w.state[choice.ServerID(100+i)] = choice.Ready
 	}
 	w.t = New(w.now, fig, bounds, deaf{w})
-	w.do(func() { w.t.Directory(true, list) })
+	w.do(func() { w.t.UpdateDirectory(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
 		w.do(func() {
-			w.t.Adopt(id, Ask{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
+			w.t.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
-	return w, Terms{fig, bounds, []int{0, 1}}, list
+	return w, Config{fig, bounds, []int{0, 1}}, list
 }
 
 // BenchmarkRenew is how long a reload holds the loop up.
@@ -682,8 +686,8 @@
 	w, terms, list := large(b)
 	for b.Loop() {
 		w.now++
-		w.t.At(w.now)
-		w.t.Renew(terms, list, func(m choice.Memory) choice.Memory { return m })
+		w.t.SetTime(w.now)
+		w.t.Reload(terms, list, func(m choice.Memory) choice.Memory { return m })
 		w.t.Settle()
 	}
 }
@@ -692,6 +696,6 @@
 func BenchmarkMemory(b *testing.B) {
 	w, _, _ := large(b)
 	for b.Loop() {
-		w.t.Memory()
+		w.t.Snapshot()
 	}
 }
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -248,7 +248,7 @@
 	return rtsp.Place{Host: c.host, Group: s.place.Group, Title: s.place.Title, Track: track, Query: s.place.Query}.URL()
 }
 
-// Setup implements session.Orders.
+// Setup implements session.Actions.
 func (k carrier) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
 	f := k.f
 	s := f.sess[id]
@@ -310,9 +310,9 @@
 	f.table.BoxAnswered(s.id, try, m.Status, report(m))
 }
 
-// Withdraw implements session.Orders. The sending side is closed, which tells the box; the receiving side stays to
+// CancelSetup implements session.Actions. The sending side is closed, which tells the box; the receiving side stays to
 // hear of a session that is set up all the same, which is then torn down.
-func (k carrier) Withdraw(id choice.SessID, try int) {
+func (k carrier) CancelSetup(id choice.SessID, try int) {
 	f := k.f
 	if s := f.sess[id]; s != nil && s.try == try {
 		if s.try = 0; s.cancel != nil {
@@ -354,8 +354,8 @@
 	})
 }
 
-// Do implements session.Orders.
-func (k carrier) Do(id choice.SessID, try int, op session.Op, arg int) {
+// SendOp implements session.Actions.
+func (k carrier) SendOp(id choice.SessID, try int, op session.Op, arg int) {
 	f := k.f
 	c := f.atBox[id]
 	if c == nil || c.try != try {
@@ -418,8 +418,8 @@
 	return s.tracks[len(s.tracks)-1]
 }
 
-// Drop implements session.Orders.
-func (k carrier) Drop(id choice.SessID, try int) {
+// CloseConn implements session.Actions.
+func (k carrier) CloseConn(id choice.SessID, try int) {
 	if c := k.f.atBox[id]; c != nil && c.try == try {
 		delete(k.f.atBox, id)
 		c.sess = nil
@@ -428,7 +428,7 @@
 	}
 }
 
-// Probe implements session.Orders: GET_PARAMETER without a body, which any server of RFC 2326 answers.
+// Probe implements session.Actions: GET_PARAMETER without a body, which any server of RFC 2326 answers.
 func (k carrier) Probe(box choice.ServerID) {
 	f := k.f
 	over := false
@@ -477,8 +477,8 @@
 	return "broken"
 }
 
-// Answer implements session.Orders.
-func (k carrier) Answer(id choice.SessID, v session.Verdict, comeBack float64) {
+// Answer implements session.Actions.
+func (k carrier) Answer(id choice.SessID, v session.FinalAnswer, comeBack float64) {
 	f := k.f
 	x := f.sess[id]
 	if x == nil {
@@ -504,7 +504,7 @@
 		With("Transport", rtsp.Transport{Low: t.low, High: t.high}.String()))
 }
 
-// Reply implements session.Orders.
+// Reply implements session.Actions.
 func (k carrier) Reply(id choice.SessID, n int, r session.Result) {
 	x := k.f.sess[id]
 	if x == nil || x.asks[n] == nil {
@@ -513,7 +513,7 @@
 	s := x.asks[n]
 	delete(x.asks, n)
 	status := map[session.Result]int{session.NoSession: rtsp.SessionNotFound, session.WrongState: rtsp.NotValidInThisState,
-		session.BoxRefused: rtsp.InternalError, session.BoxSilent: rtsp.GatewayTimeout, session.TooManyAsks: rtsp.ServiceUnavailable}
+		session.BoxRefused: rtsp.InternalError, session.BoxUnavailable: rtsp.GatewayTimeout, session.TooManyRequests: rtsp.ServiceUnavailable}
 	if r != session.Done {
 		if s.req.Method == rtsp.Setup {
 			p, _ := rtsp.ParsePlace(s.req.URL)
@@ -545,8 +545,8 @@
 	}
 }
 
-// End implements session.Orders.
-func (k carrier) End(id choice.SessID, why session.Why) {
+// End implements session.Actions.
+func (k carrier) End(id choice.SessID, why session.EndReason) {
 	f := k.f
 	x := f.sess[id]
 	if x == nil {
@@ -572,11 +572,11 @@
 // nowhere takes the orders of a front that was killed.
 type nowhere struct{}
 
-func (nowhere) Setup(choice.SessID, int, choice.ServerID, int) {}
-func (nowhere) Withdraw(choice.SessID, int)                    {}
-func (nowhere) Do(choice.SessID, int, session.Op, int)         {}
-func (nowhere) Drop(choice.SessID, int)                        {}
-func (nowhere) Probe(choice.ServerID)                          {}
-func (nowhere) Answer(choice.SessID, session.Verdict, float64) {}
-func (nowhere) Reply(choice.SessID, int, session.Result)       {}
-func (nowhere) End(choice.SessID, session.Why)                 {}
+func (nowhere) Setup(choice.SessID, int, choice.ServerID, int)     {}
+func (nowhere) CancelSetup(choice.SessID, int)                     {}
+func (nowhere) SendOp(choice.SessID, int, session.Op, int)         {}
+func (nowhere) CloseConn(choice.SessID, int)                       {}
+func (nowhere) Probe(choice.ServerID)                              {}
+func (nowhere) Answer(choice.SessID, session.FinalAnswer, float64) {}
+func (nowhere) Reply(choice.SessID, int, session.Result)           {}
+func (nowhere) End(choice.SessID, session.EndReason)               {}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -59,9 +59,9 @@
 	Log      *zap.Logger
 	Registry prometheus.Registerer
 	Dial     func(ctx context.Context, address string) (net.Conn, error)
-	Memory   *choice.Memory                      // what an earlier front had learned, as far as it is believed
-	Handed   []Handed                            // sessions that an earlier front gave up
-	Spoil    func(session.Orders) session.Orders // for days that must fail: orders go through it
+	Memory   *choice.Memory                        // what an earlier front had learned, as far as it is believed
+	Handed   []Handed                              // sessions that an earlier front gave up
+	Spoil    func(session.Actions) session.Actions // for days that must fail: orders go through it
 }
 
 // Front is one front. Make it with New, run it with Serve.
@@ -144,7 +144,7 @@
 	f.gate, f.users = entry.New(terms.Realm, terms.Users, f.key), usersPrint(&terms, f.key)
 	terms.Users = nil // the gate has what it needs of them
 	f.current.Store(&terms)
-	var orders session.Orders = carrier{f}
+	var orders session.Actions = carrier{f}
 	if o.Spoil != nil {
 		orders = o.Spoil(orders)
 	}
@@ -154,7 +154,7 @@
 	f.keeper = pool.New(terms.Bounds.BoxConnections)
 	f.boxes(true, terms.Boxes)
 	if o.Memory != nil {
-		f.table.Recall(*o.Memory)
+		f.table.Restore(*o.Memory)
 	}
 	for _, h := range o.Handed {
 		f.adopt(h)
@@ -166,9 +166,9 @@
 
 func (f *Front) terms() *settings.Terms { return f.current.Load() }
 
-func (f *Front) bounds() session.Bounds {
+func (f *Front) bounds() session.Limits {
 	t := f.terms()
-	b := session.Bounds{Sessions: t.Bounds.Sessions, ViewerIdle: t.Bounds.ViewerIdle, KeepAlive: t.Bounds.KeepAlive}
+	b := session.Limits{MaxSessions: t.Bounds.Sessions, ViewerIdleTimeout: t.Bounds.ViewerIdle, KeepAliveInterval: t.Bounds.KeepAlive}
 	for _, g := range t.Groups {
 		b.SetupTimeout = append(b.SetupTimeout, g.SetupTimeout)
 	}
@@ -219,7 +219,7 @@
 	for {
 		select {
 		case e := <-f.events:
-			f.table.At(f.now())
+			f.table.SetTime(f.now())
 			e()
 		more:
 			for range batch {
@@ -232,27 +232,27 @@
 			}
 		case <-timer.C:
 			due = 0
-			f.table.At(f.now())
+			f.table.SetTime(f.now())
 		case <-ticker.C:
-			f.table.At(f.now())
+			f.table.SetTime(f.now())
 			f.listen()
 		case <-f.quit:
-			f.table.At(f.now())
-			f.table.Cut()
+			f.table.SetTime(f.now())
+			f.table.EndAll()
 			f.settle()
-			f.last = f.table.Memory()
+			f.last = f.table.Snapshot()
 			f.shut()
 			return
 		}
-		if n := f.table.Next(); n > 0 && n <= f.now() {
-			f.table.Due()
+		if n := f.table.NextTimer(); n > 0 && n <= f.now() {
+			f.table.RunTimers()
 		}
 		f.settle()
 		if f.drained != nil && f.table.Len() == 0 {
 			f.drained()
 			f.drained = nil
 		}
-		if n := f.table.Next(); n != due {
+		if n := f.table.NextTimer(); n != due {
 			due = n
 			wait := time.Hour
 			if n > 0 {
@@ -292,7 +292,7 @@
 	}
 	for _, t := range f.ear.Tick(now) {
 		f.count.shorts.Inc()
-		f.table.Short(t.Box, t.Share)
+		f.table.ShortDelivery(t.Box, t.Share)
 	}
 	for _, c := range f.keeper.Stale(now) {
 		if b := f.conns[c]; b != nil {
@@ -309,7 +309,7 @@
 }
 
 func (f *Front) boxes(whole bool, list []settings.Box) {
-	f.table.Directory(whole, f.listed(whole, list))
+	f.table.UpdateDirectory(whole, f.listed(whole, list))
 }
 
 // listed takes a list for the front's own part and gives the table's.
@@ -393,7 +393,7 @@
 func (f *Front) Drain(ctx context.Context) {
 	over := make(chan struct{})
 	f.post(func() {
-		f.table.Stop()
+		f.table.StopAccepting()
 		f.redirect()
 		f.drained = func() { close(over) }
 	})
@@ -442,7 +442,7 @@
 		}
 		clear(f.sess)
 		clear(f.viewers)
-		f.table = session.New(f.now(), f.terms().Figures, session.Bounds{SetupTimeout: make([]float64, len(f.terms().Groups))}, nowhere{})
+		f.table = session.New(f.now(), f.terms().Figures, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, nowhere{})
 	})
 	f.Close()
 }
@@ -469,7 +469,7 @@
 
 // Memory is what the front has learned; ok is false where it has ended.
 func (f *Front) Memory() (m choice.Memory, ok bool) {
-	ok = f.call(func() { m = f.table.Memory() })
+	ok = f.call(func() { m = f.table.Snapshot() })
 	return m, ok
 }
 
@@ -497,7 +497,7 @@
 func (f *Front) Resume() { f.post(func() { f.table.Resume() }) }
 
 // Recall takes a memory before the front is served.
-func (f *Front) Recall(m choice.Memory) { f.call(func() { f.table.Recall(m) }) }
+func (f *Front) Recall(m choice.Memory) { f.call(func() { f.table.Restore(m) }) }
 
 // Facts gathers what choice/health judges of a front; its loop has so long to answer.
 func (f *Front) Facts(within time.Duration) (h health.Facts) {
@@ -509,7 +509,7 @@
 	ask := func() {
 		a := h
 		a.Answers, a.Sessions = true, f.table.Len()
-		a.Boxes, a.Usable = f.table.Boxes()
+		a.Boxes, a.Usable = f.table.BoxCounts()
 		got <- a
 	}
 	select {
--- a/internal/front/handed.go
+++ b/internal/front/handed.go
@@ -72,14 +72,14 @@
 		x.tracks = append(x.tracks, track{t.Number, t.Low, t.High, t.Box})
 	}
 	f.sess[x.id] = x
-	f.table.Adopt(x.id, session.Ask{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
+	f.table.Adopt(x.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
 		Length: title.Length}, h.Box, h.Rung)
 	f.connect(f.context, h.Box, func(c *boxConn) {
 		list := x.early
 		x.adopting, x.early = false, nil
 		defer func() {
 			for _, e := range list {
-				f.table.Request(x.id, e.op, e.n)
+				f.table.RequestOp(x.id, e.op, e.n)
 			}
 		}()
 		if c == nil {
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -60,10 +60,10 @@
 			x.group = p.Groups[x.group]
 		}
 		list := f.listed(true, t.Boxes)
-		f.table.Renew(session.Terms{Figures: t.Figures, Bounds: f.bounds(), Groups: p.Groups}, list, p.Keep)
+		f.table.Reload(session.Config{Figures: t.Figures, Limits: f.bounds(), GroupMap: p.Groups}, list, p.Keep)
 	default:
 		if p.Has(renewal.Limits) {
-			f.table.Bound(f.bounds())
+			f.table.SetLimits(f.bounds())
 		}
 		if p.Has(renewal.Boxes) {
 			f.boxes(true, t.Boxes)
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -192,7 +192,7 @@
 		if !ok {
 			continue
 		}
-		v.f.table.Heard(id)
+		v.f.table.ViewerSeen(id)
 		if lost >= 0 {
 			v.f.count.lost.Observe(lost)
 		}
@@ -330,7 +330,7 @@
 
 func (v *viewer) alive(m *rtsp.Message) {
 	if id := choice.SessID(m.Session()); v.sess[id] != nil {
-		v.f.table.Heard(id)
+		v.f.table.ViewerSeen(id)
 	}
 }
 
@@ -370,7 +370,7 @@
 		x.early = append(x.early, early{op, v.serial})
 		return
 	}
-	v.f.table.Request(x.id, op, v.serial)
+	v.f.table.RequestOp(x.id, op, v.serial)
 }
 
 // early is a request for a session that was handed over, before its box is reached. There are as many as a connection
@@ -416,7 +416,7 @@
 		v.serial++
 		x.asks[v.serial] = s
 		x.tracks = append(x.tracks, t)
-		f.table.Request(x.id, session.Join, v.serial)
+		f.table.RequestOp(x.id, session.Join, v.serial)
 		return
 	}
 	if m.Session() != "" {
@@ -432,7 +432,7 @@
 	}
 	x.best = session.BestRung(f.terms().Groups[g].Rates, bandwidth)
 	f.count.taken.WithLabelValues(f.terms().Groups[g].Name).Inc()
-	f.table.Ask(x.id, session.Ask{Group: g, Title: p.Title, StartCell: title.StartCell, Span: title.Span,
+	f.table.Open(x.id, session.Request{Group: g, Title: p.Title, StartCell: title.StartCell, Span: title.Span,
 		BestRung: x.best, Length: title.Length})
 }
 
@@ -506,9 +506,9 @@
 		return
 	}
 	f.count.notes.Inc()
-	f.table.Load(x.id, c.box, link, false)
+	f.table.LoadNote(x.id, c.box, link, false)
 	if uplink >= 0 {
-		f.table.Load(x.id, c.box, uplink, true)
+		f.table.LoadNote(x.id, c.box, uplink, true)
 	}
 }
 
--- a/internal/lab/day/sabotage.go
+++ b/internal/lab/day/sabotage.go
@@ -77,35 +77,35 @@
 }
 
 // orders spoils what a front does.
-func (s Sabotage) orders(r *run) func(session.Orders) session.Orders {
+func (s Sabotage) orders(r *run) func(session.Actions) session.Actions {
 	if s == None {
 		return nil
 	}
-	return func(o session.Orders) session.Orders {
-		return &spoiler{Orders: o, s: s, r: r}
+	return func(o session.Actions) session.Actions {
+		return &spoiler{Actions: o, s: s, r: r}
 	}
 }
 
 // spoiler is a front's orders, spoilt. A front's loop owns it.
 type spoiler struct {
-	session.Orders
+	session.Actions
 	s Sabotage
 	r *run
 	n int
 }
 
 // Answer leaves out one in twenty.
-func (s *spoiler) Answer(id choice.SessID, v session.Verdict, comeBack float64) {
+func (s *spoiler) Answer(id choice.SessID, v session.FinalAnswer, comeBack float64) {
 	if s.n++; s.s == Answers && s.n%20 == 0 {
 		return
 	}
-	s.Orders.Answer(id, v, comeBack)
+	s.Actions.Answer(id, v, comeBack)
 }
 
-// Withdraw leaves a SETUP out when the next one goes.
-func (s *spoiler) Withdraw(id choice.SessID, try int) {
+// CancelSetup leaves a SETUP out when the next one goes.
+func (s *spoiler) CancelSetup(id choice.SessID, try int) {
 	if s.s != Doubles {
-		s.Orders.Withdraw(id, try)
+		s.Actions.CancelSetup(id, try)
 	}
 }
 
@@ -126,7 +126,7 @@
 	if is != nil {
 		box = s.r.find(is, box)
 	}
-	s.Orders.Setup(id, try, box, rung)
+	s.Actions.Setup(id, try, box, rung)
 }
 
 // find gives the first listed box that is so, or another.
