--- a/choice/health/health.go
+++ b/choice/health/health.go
@@ -22,9 +22,10 @@
 
 // Word is what is said. A load balancer sends viewers where Ready is; a supervisor starts anew what is not Live.
 type Word struct {
-	Live, Ready bool
-	Degraded    []string // what works less well than it should, though viewers are served
-	Why         string   // it is not ready
+	Live     bool     `json:"Live"`
+	Ready    bool     `json:"Ready"`
+	Degraded []string `json:"Degraded"` // what works less well than it should, though viewers are served
+	Why      string   `json:"Why"`      // it is not ready
 }
 
 const (
--- a/choice/health/health_test.go
+++ b/choice/health/health_test.go
@@ -1,6 +1,7 @@
 package health
 
 import (
+	"encoding/json"
 	"strings"
 	"testing"
 )
@@ -33,3 +34,15 @@
 		}
 	}
 }
+
+// Load balancers and the supervisor match these names.
+func TestStatusFieldNames(t *testing.T) {
+	for want, w := range map[string]Word{
+		`{"Live":true,"Ready":true,"Degraded":["few boxes"],"Why":"draining"}`: {Live: true, Ready: true, Degraded: []string{"few boxes"}, Why: "draining"},
+		`{"Live":false,"Ready":false,"Degraded":null,"Why":""}`:                {},
+	} {
+		if got, err := json.Marshal(w); err != nil || string(got) != want {
+			t.Errorf("written as %s, want %s (%v)", got, want, err)
+		}
+	}
+}
--- a/choice/recall/recall.go
+++ b/choice/recall/recall.go
@@ -15,9 +15,9 @@
 
 // Stored is what was kept.
 type Stored struct {
-	Saved  float64 // instant of the keeping
-	Clean  bool    // the front had ended in order: nothing came after it
-	Memory choice.Memory
+	Saved  float64       `json:"Saved"` // instant of the keeping
+	Clean  bool          `json:"Clean"` // the front had ended in order: nothing came after it
+	Memory choice.Memory `json:"Memory"`
 }
 
 // Terms are the figures of the front that starts.
