--- a/choice/backoff/backoff.go
+++ b/choice/backoff/backoff.go
@@ -20,8 +20,8 @@
 // New makes one whose chance follows from the seed.
 func New(seed uint64) *Backoff { return &Backoff{mwc: seed%0xfffffffe + 1, pause: first} }
 
-// Chance is a multiply-with-carry generator's next number in [0, 1).
-func (b *Backoff) Chance() float64 {
+// Random is a multiply-with-carry generator's next number in [0, 1).
+func (b *Backoff) Random() float64 {
 	b.mwc = 4294957665*(b.mwc&0xffffffff) + b.mwc>>32
 	return float64(uint32(b.mwc)) / (1 << 32)
 }
@@ -34,10 +34,10 @@
 	}
 	p := b.pause
 	b.pause = min(2*p, most)
-	return p * (0.5 + b.Chance())
+	return p * (0.5 + b.Random())
 }
 
-// Silence is how many seconds of nothing end a connection on which a line comes each second: two missed, and a little;
+// SilenceTimeout is how many seconds of nothing end a connection on which a line comes each second: two missed, and a little;
 // spread, as a stall of the peer falls on all its clients at once. What it would tell counts as told after 4 s, of which
 // asking again takes a moment.
-func (b *Backoff) Silence() float64 { return 2.2 + 0.4*b.Chance() }
+func (b *Backoff) SilenceTimeout() float64 { return 2.2 + 0.4*b.Random() }
--- a/choice/backoff/backoff_test.go
+++ b/choice/backoff/backoff_test.go
@@ -26,7 +26,7 @@
 		if p := b.Next(5, false); p > first*1.5 {
 			t.Errorf("seed %d: %v s after a steady connection", seed, p)
 		}
-		if s := b.Silence(); s <= 2 || s > 2.6 {
+		if s := b.SilenceTimeout(); s <= 2 || s > 2.6 {
 			t.Errorf("seed %d: %v s of silence", seed, s)
 		}
 	}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -149,7 +149,7 @@
 		f.slot = s.FallTime / max(math.Floor(budget*0.75)-1, 0.5)
 		f.half = budget*0.75 < 2
 		if f.ownClock {
-			f.budget, f.slots = budget, slowstart.Slots(budget)
+			f.budget, f.slots = budget, slowstart.SlotsPerWindow(budget)
 			f.slot = s.FallTime / f.slots
 		}
 	}
--- a/choice/hearing/hearing.go
+++ b/choice/delivery/delivery.go
@@ -1,10 +1,10 @@
-// Package hearing decides what a front makes of what it hears from boxes while sessions play: the share of the rate
+// Package delivery decides what a front makes of what it hears from boxes while sessions play: the share of the rate
 // that a box delivers, measured by media time come in over time gone by, and load notes, which come with every
 // session's media and are told once a box. It does no I/O.
 //
 // How it is called: Progress for each playing session at an even pace, then Tick, which gives what to tell the
 // module. Sessions that pause, end or change their source are forgotten with Forget.
-package hearing
+package delivery
 
 import (
 	"math"
@@ -28,8 +28,8 @@
 	most = 1.0
 )
 
-// Told is what the module is to be told: a box's share, at least 0.98 once it is over.
-type Told struct {
+// ShareReport is what the module is to be told: a box's share, at least 0.98 once it is over.
+type ShareReport struct {
 	Box   choice.ServerID
 	Share float64
 }
@@ -48,21 +48,21 @@
 	noted float64 // when a load note was passed on
 }
 
-// Ear holds what one front heard. The zero value is not ready; use New.
-type Ear struct {
+// Meter holds what one front heard. The zero value is not ready; use New.
+type Meter struct {
 	noteEvery float64
 	tracks    map[choice.SessID]*track // emptied by Forget
 	boxes     map[choice.ServerID]*box // emptied by Tick once nothing was heard for a minute
 }
 
 // New makes an ear. Boxes send load notes every noteEvery seconds; 0 means that they send none.
-func New(noteEvery float64) *Ear {
-	return &Ear{noteEvery: noteEvery, tracks: map[choice.SessID]*track{}, boxes: map[choice.ServerID]*box{}}
+func New(noteEvery float64) *Meter {
+	return &Meter{noteEvery: noteEvery, tracks: map[choice.SessID]*track{}, boxes: map[choice.ServerID]*box{}}
 }
 
 // Progress tells that at instant now a session had media up to the media second media, the newest of which came in
 // at instant at.
-func (e *Ear) Progress(id choice.SessID, on choice.ServerID, now, at, media float64) {
+func (e *Meter) Progress(id choice.SessID, on choice.ServerID, now, at, media float64) {
 	t := e.tracks[id]
 	// Against a source that was changed or sought: time that runs back starts anew, and so does a leap ahead. A
 	// box that skips media to seem quick is caught by that too. Harm: one second unmeasured.
@@ -82,7 +82,7 @@
 }
 
 // Forget drops a session that ended, paused or changes its source.
-func (e *Ear) Forget(id choice.SessID) { delete(e.tracks, id) }
+func (e *Meter) Forget(id choice.SessID) { delete(e.tracks, id) }
 
 // share is what a session got over the last span seconds; ok is false before so much is known.
 func (t *track) share() (x float64, ok bool) {
@@ -111,7 +111,7 @@
 }
 
 // Tick gives what is due to be told at an instant, by boxes' ids.
-func (e *Ear) Tick(now float64) (told []Told) {
+func (e *Meter) Tick(now float64) (told []ShareReport) {
 	type sum struct { // in millionths: whole numbers add up alike in any order
 		x, n int64
 	}
@@ -129,10 +129,10 @@
 			continue
 		}
 		if x < short {
-			told = append(told, Told{id, math.Round(x*1e4) / 1e4})
+			told = append(told, ShareReport{id, math.Round(x*1e4) / 1e4})
 			b.told, b.short = now, true
 		} else if b.short {
-			told = append(told, Told{id, 1})
+			told = append(told, ShareReport{id, 1})
 			b.told, b.short = now, false
 		}
 	}
@@ -141,11 +141,11 @@
 			delete(e.boxes, id)
 		}
 	}
-	slices.SortFunc(told, func(a, b Told) int { return int(a.Box) - int(b.Box) })
+	slices.SortFunc(told, func(a, b ShareReport) int { return int(a.Box) - int(b.Box) })
 	return told
 }
 
-func (e *Ear) box(id choice.ServerID) *box {
+func (e *Meter) box(id choice.ServerID) *box {
 	b := e.boxes[id]
 	if b == nil {
 		b = &box{told: -every, noted: math.Inf(-1)}
@@ -154,9 +154,9 @@
 	return b
 }
 
-// Note tells whether a load note that came with a session's media is passed on: once a box and half a period, as
+// AcceptNote tells whether a load note that came with a session's media is passed on: once a box and half a period, as
 // boxes send one with each session, and the bench's front hears one. A box that floods notes gains nothing.
-func (e *Ear) Note(on choice.ServerID, now, link, uplink float64) bool {
+func (e *Meter) AcceptNote(on choice.ServerID, now, link, uplink float64) bool {
 	if e.noteEvery <= 0 || !sane(link) || !(sane(uplink) || uplink < 0) {
 		return false
 	}
@@ -172,8 +172,8 @@
 // at all, is a fault of the figure, and would stay in the module's smoothed ones.
 func sane(x float64) bool { return x >= 0 && x <= 100 }
 
-// Report makes a report of figures that a box sent; what can't be true counts as not told.
-func Report(link, uplink float64, capped bool) choice.Report {
+// SanitizeReport makes a report of figures that a box sent; what can't be true counts as not told.
+func SanitizeReport(link, uplink float64, capped bool) choice.Report {
 	r := choice.Report{Link: -1, Uplink: -1}
 	if sane(link) {
 		r.Link, r.Capped = link, capped
--- a/choice/hearing/hearing_test.go
+++ b/choice/delivery/delivery_test.go
@@ -1,4 +1,4 @@
-package hearing
+package delivery
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 )
 
 // play feeds a session at a share from an instant on, in frames of a tenth of a second, and collects what is told.
-func play(e *Ear, id choice.SessID, box choice.ServerID, from, to float64, media *float64, share func(t float64) float64) (told []Told) {
+func play(e *Meter, id choice.SessID, box choice.ServerID, from, to float64, media *float64, share func(t float64) float64) (told []ShareReport) {
 	at := from
 	for t := from; t < to; t += 0.001 {
 		if s := share(t); s > 0 && t-at >= 0.1/s-1e-6 {
@@ -75,17 +75,17 @@
 func TestNotesOnceABox(t *testing.T) {
 	e, passed := New(3), 0
 	for i := range 1000 {
-		if e.Note(7, float64(i)*0.03, 0.5, -1) { // ten sessions' worth over 30 s
+		if e.AcceptNote(7, float64(i)*0.03, 0.5, -1) { // ten sessions' worth over 30 s
 			passed++
 		}
 	}
 	if passed < 10 || passed > 21 {
 		t.Errorf("%d notes in 30 s, one each 3 s wanted", passed)
 	}
-	if e.Note(9, 1, math.NaN(), 0.2) || e.Note(9, 1, 1e6, 0.2) || e.Note(9, 1, 0.5, math.Inf(1)) || e.Note(9, 1, -1, 0) {
+	if e.AcceptNote(9, 1, math.NaN(), 0.2) || e.AcceptNote(9, 1, 1e6, 0.2) || e.AcceptNote(9, 1, 0.5, math.Inf(1)) || e.AcceptNote(9, 1, -1, 0) {
 		t.Error("a figure that can't be true was passed on")
 	}
-	if !e.Note(9, 1, 0.5, -1) {
+	if !e.AcceptNote(9, 1, 0.5, -1) {
 		t.Error("an untold uplink keeps a note back")
 	}
 }
--- a/choice/health/health_test.go
+++ b/choice/health/health_test.go
@@ -7,29 +7,29 @@
 )
 
 func TestJudge(t *testing.T) {
-	well := Facts{State: "serving", Serving: true, Answers: true, Boxes: 10, Usable: 9, Sessions: 5, Most: 100, Unsaved: 1}
+	well := Facts{State: "serving", Serving: true, LoopResponsive: true, Boxes: 10, Usable: 9, Sessions: 5, MaxSessions: 100, StateAge: 1}
 	for name, c := range map[string]struct {
 		change      func(*Facts)
 		live, ready bool
 		say         string // in Why or Degraded
 	}{
 		"well":                  {func(*Facts) {}, true, true, ""},
-		"the loop stands still": {func(f *Facts) { f.Answers = false }, false, false, "loop"},
+		"the loop stands still": {func(f *Facts) { f.LoopResponsive = false }, false, false, "loop"},
 		"it drains":             {func(f *Facts) { f.State, f.Serving = "draining", false }, true, false, "draining"},
 		"no box":                {func(f *Facts) { f.Usable = 0 }, true, false, "none of 10 boxes"},
 		"full":                  {func(f *Facts) { f.Sessions = 100 }, true, false, "all of 100"},
 		"nearly full":           {func(f *Facts) { f.Sessions = 95 }, true, true, "95 of 100"},
 		"few boxes":             {func(f *Facts) { f.Usable = 4 }, true, true, "4 of 10"},
-		"a reload was refused":  {func(f *Facts) { f.Refused = "a port" }, true, true, "a port"},
-		"the disk is full":      {func(f *Facts) { f.Broken = "no space" }, true, true, "no space"},
-		"writes stand still":    {func(f *Facts) { f.Unsaved = 11 }, true, true, "11 s ago"},
-		"keeps no state":        {func(f *Facts) { f.Unsaved = -1 }, true, true, ""},
+		"a reload was refused":  {func(f *Facts) { f.ReloadError = "a port" }, true, true, "a port"},
+		"the disk is full":      {func(f *Facts) { f.StateError = "no space" }, true, true, "no space"},
+		"writes stand still":    {func(f *Facts) { f.StateAge = 11 }, true, true, "11 s ago"},
+		"keeps no state":        {func(f *Facts) { f.StateAge = -1 }, true, true, ""},
 	} {
 		f := well
 		c.change(&f)
-		w := Judge(f)
-		said := w.Why + strings.Join(w.Degraded, "; ")
-		if w.Live != c.live || w.Ready != c.ready || (c.say == "") != (said == "") || !strings.Contains(said, c.say) || w.Ready != (w.Why == "") {
+		w := Evaluate(f)
+		said := w.Reason + strings.Join(w.Degraded, "; ")
+		if w.Live != c.live || w.Ready != c.ready || (c.say == "") != (said == "") || !strings.Contains(said, c.say) || w.Ready != (w.Reason == "") {
 			t.Errorf("%s: %+v", name, w)
 		}
 	}
@@ -37,8 +37,8 @@
 
 // Load balancers and the supervisor match these names.
 func TestStatusFieldNames(t *testing.T) {
-	for want, w := range map[string]Word{
-		`{"Live":true,"Ready":true,"Degraded":["few boxes"],"Why":"draining"}`: {Live: true, Ready: true, Degraded: []string{"few boxes"}, Why: "draining"},
+	for want, w := range map[string]Status{
+		`{"Live":true,"Ready":true,"Degraded":["few boxes"],"Why":"draining"}`: {Live: true, Ready: true, Degraded: []string{"few boxes"}, Reason: "draining"},
 		`{"Live":false,"Ready":false,"Degraded":null,"Why":""}`:                {},
 	} {
 		if got, err := json.Marshal(w); err != nil || string(got) != want {
--- a/choice/limits/limits.go
+++ b/choice/limits/limits.go
@@ -15,8 +15,8 @@
 	WriteStall     float64 // seconds that one write to a viewer may take
 }
 
-// Usual are the bounds where none are set.
-var Usual = Bounds{
+// Defaults are the bounds where none are set.
+var Defaults = Bounds{
 	// Two descriptors a session: 4,000 sessions stay under half of the 20,000 that a usual service may open, and a
 	// front of the users' carries a hundredth of that.
 	Connections: 5000, Sessions: 4000,
@@ -33,35 +33,35 @@
 	WriteStall: 10,
 }
 
-// FullWait is how many seconds a box's media waits for room in a viewer's full queue before frames are dropped. A
+// QueueFullWait is how many seconds a box's media waits for room in a viewer's full queue before frames are dropped. A
 // viewer that keeps up on average empties its queue within a round trip or two; longer would hold up the box's other
 // answers on that connection, which are due within milliseconds.
-const FullWait = 0.05
+const QueueFullWait = 0.05
 
 // ViewerLimited tells whether a session's media says nothing of its box, because the viewer's queue was full at instant
 // limited. The second is what shares are measured over.
 func ViewerLimited(now, limited float64) bool { return limited > 0 && now-limited < 1 }
 
-// Handshake is how many seconds a viewer's TLS handshake may take: two round trips and a signature, with room for a poor
+// HandshakeTimeout is how many seconds a viewer's TLS handshake may take: two round trips and a signature, with room for a poor
 // farm link; a client that never finishes holds its place no longer.
-const Handshake = 5.0
+const HandshakeTimeout = 5.0
 
-// ViewerFrames is how many frames of one viewer's are looked at within a second. RTCP comes every few seconds a track;
+// MaxViewerFramesPerSecond is how many frames of one viewer's are looked at within a second. RTCP comes every few seconds a track;
 // against a viewer that floods them, each would take the front's loop some microseconds of everybody's. Harm: none to
 // players that keep RFC 3550's pace by a factor of a hundred.
-const ViewerFrames = 50
+const MaxViewerFramesPerSecond = 50
 
-// Pipelined is how many requests of one viewer's connection may be without their responses; its input waits beyond. SETUPs
+// MaxPipelined is how many requests of one viewer's connection may be without their responses; its input waits beyond. SETUPs
 // of all tracks, PLAY, a sign of life and TEARDOWN are six; against a viewer that floods requests, each would take memory.
-const Pipelined = 16
+const MaxPipelined = 16
 
 const (
-	// LateTime is how many seconds a withdrawn SETUP's answer is waited for, to tear down what it set up: boxes that stood
+	// LateAnswerWait is how many seconds a withdrawn SETUP's answer is waited for, to tear down what it set up: boxes that stood
 	// still longer drop sessions of connections that are gone by themselves.
-	LateTime = 10.0
-	// Late is how many such waits there may be at a time; past it a withdrawn SETUP's connection is just closed.
-	Late = 128
-	// ClaimTime is how many seconds a viewer has to claim a session that was handed over: it notices the break at once and
+	LateAnswerWait = 10.0
+	// MaxLateAnswers is how many such waits there may be at a time; past it a withdrawn SETUP's connection is just closed.
+	MaxLateAnswers = 128
+	// ClaimTimeout is how many seconds a viewer has to claim a session that was handed over: it notices the break at once and
 	// comes back within a second or two; boxes keep sessions without a connection for some seconds.
-	ClaimTime = 10.0
+	ClaimTimeout = 10.0
 )
--- a/choice/liveness/liveness.go
+++ b/choice/liveness/liveness.go
@@ -18,19 +18,19 @@
 	pause = 0.25
 )
 
-// Watch is what is known of one server while sessions stand there. The zero value has heard nothing.
-type Watch struct {
+// Monitor is what is known of one server while sessions stand there. The zero value has heard nothing.
+type Monitor struct {
 	heard, tried, tested float64
 }
 
 // Heard tells that a message came from the server; that a connection was taken proves no living process.
-func (w *Watch) Heard(now float64) { w.heard = now }
+func (w *Monitor) Heard(now float64) { w.heard = now }
 
-// Do is what a look at a server asks for.
-type Do struct{ Connect, Test, Lost bool }
+// Action is what a look at a server asks for.
+type Action struct{ Connect, Probe, Lost bool }
 
-// Look tells what to do: up is how many connections are open, opening whether one is being opened.
-func (w *Watch) Look(now float64, up int, opening bool) (d Do) {
+// Check tells what to do: up is how many connections are open, opening whether one is being opened.
+func (w *Monitor) Check(now float64, up int, opening bool) (d Action) {
 	if w.heard == 0 {
 		w.heard = now
 	}
@@ -40,7 +40,7 @@
 	case up == 0 && !opening && now-w.tried >= pause:
 		d.Connect, w.tried = true, now
 	case up > 0 && now-w.heard >= quiet && now-w.tested >= retest:
-		d.Test, w.tested = true, now
+		d.Probe, w.tested = true, now
 	}
 	return d
 }
--- a/choice/liveness/liveness_test.go
+++ b/choice/liveness/liveness_test.go
@@ -8,13 +8,13 @@
 
 // days plays a server that answers tests or not, and gives when its sessions counted as lost, 0 for never.
 func days(until float64, up func(now float64) int, answers func(now float64) bool) (lost float64, tests, connects int) {
-	var w Watch
+	var w Monitor
 	for now := 100.0; now < 100+until; now += 0.1 {
-		d := w.Look(now, up(now), false)
+		d := w.Check(now, up(now), false)
 		if d.Lost {
 			return now - 100, tests, connects
 		}
-		if d.Test {
+		if d.Probe {
 			tests++
 			if answers(now) {
 				w.Heard(now)
@@ -50,16 +50,16 @@
 // A server is lost once it has been silent for so long, and never before.
 func TestNeverBetween(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Watch
+		var w Monitor
 		now, last := 50.0, 50.0
 		w.Heard(now)
 		for range 200 {
 			now += rapid.Float64Range(0.01, 0.5).Draw(t, "step")
-			d := w.Look(now, rapid.IntRange(0, 3).Draw(t, "up"), rapid.Bool().Draw(t, "opening"))
+			d := w.Check(now, rapid.IntRange(0, 3).Draw(t, "up"), rapid.Bool().Draw(t, "opening"))
 			if d.Lost != (now-last >= lost) {
 				t.Fatalf("lost is %v after %v s", d.Lost, now-last)
 			}
-			if d.Connect && d.Test || d.Lost && (d.Connect || d.Test) {
+			if d.Connect && d.Probe || d.Lost && (d.Connect || d.Probe) {
 				t.Fatalf("two things at once: %+v", d)
 			}
 			if d.Lost || rapid.IntRange(0, 5).Draw(t, "heard") == 0 {
--- a/choice/recall/recall.go
+++ b/choice/restore/restore.go
@@ -1,9 +1,9 @@
-// Package recall decides what a front that starts believes of what an earlier one had stored, after how long a gap. It
+// Package restore decides what a front that starts believes of what an earlier one had stored, after how long a gap. It
 // does no I/O.
 //
 // The measure is that a stored word must never break a rule that forgetting would keep. What makes the front more careful
 // is believed as long as it can matter; what would let it do more is believed only where it is a fact of the past.
-package recall
+package restore
 
 import (
 	"fmt"
@@ -13,17 +13,17 @@
 	"rainhaven/choice"
 )
 
-// Stored is what was kept.
-type Stored struct {
-	Saved  float64       `json:"Saved"` // instant of the keeping
-	Clean  bool          `json:"Clean"` // the front had ended in order: nothing came after it
-	Memory choice.Memory `json:"Memory"`
+// Snapshot is what was kept.
+type Snapshot struct {
+	SavedAt   float64       `json:"Saved"` // instant of the keeping
+	CleanExit bool          `json:"Clean"` // the front had ended in order: nothing came after it
+	Memory    choice.Memory `json:"Memory"`
 }
 
-// Terms are the figures of the front that starts.
-type Terms struct {
-	Window, Spare, Share float64 // the ration's
-	WarmUp               float64
+// Config are the figures of the front that starts.
+type Config struct {
+	WindowSeconds, BaseAllowance, RetryShare float64 // the ration's
+	WarmUpSeconds                            float64
 }
 
 const (
@@ -42,9 +42,9 @@
 	learnedTime = 3600.0
 )
 
-// Believe gives what the front starts with, and what there is to say of it.
-func Believe(now float64, s Stored, t Terms) (m choice.Memory, say []string) {
-	age := now - s.Saved
+// FromSnapshot gives what the front starts with, and what there is to say of it.
+func FromSnapshot(now float64, s Snapshot, t Config) (m choice.Memory, say []string) {
+	age := now - s.SavedAt
 	if age < -setBack {
 		// The clock was set back between the runs: instants of before can't be told from ones to come. What makes
 		// careful is taken as of this moment; all else is forgotten.
@@ -53,8 +53,8 @@
 	}
 	age = max(age, 0)
 	m = ration(now, s, t)
-	if added := len(m.Further) - len(s.Memory.Further); added > 0 && !s.Clean {
-		say = append(say, fmt.Sprintf("the last front did not end in order: no further SETUPs for %.0f s, it may have used the ration up", t.Window))
+	if added := len(m.Further) - len(s.Memory.Further); added > 0 && !s.CleanExit {
+		say = append(say, fmt.Sprintf("the last front did not end in order: no further SETUPs for %.0f s, it may have used the ration up", t.WindowSeconds))
 	}
 	for _, r := range s.Memory.Servers {
 		b := choice.Remembered{ID: r.ID, Born: born(now, r.Born), Slot: -1}
@@ -80,13 +80,13 @@
 // ration keeps requests and further SETUPs of the last window. Where the last front was killed, what it did after it had
 // kept them is not known: it may have used what was left, so that much counts as used now. Forgetting would allow the
 // spare ones anew.
-func ration(now float64, s Stored, t Terms) (m choice.Memory) {
-	if t.Window <= 0 {
+func ration(now float64, s Snapshot, t Config) (m choice.Memory) {
+	if t.WindowSeconds <= 0 {
 		return m
 	}
 	within := func(list []float64) (out []float64) {
 		for _, x := range list {
-			if x <= now && now-x <= 1.02*t.Window {
+			if x <= now && now-x <= 1.02*t.WindowSeconds {
 				out = append(out, x)
 			}
 		}
@@ -94,8 +94,8 @@
 		return out
 	}
 	m.Taken, m.Further = within(s.Memory.Taken), within(s.Memory.Further)
-	if !s.Clean && now-s.Saved <= 1.02*t.Window {
-		m.Further = fill(now, m.Further, t.Spare+t.Share*float64(len(m.Taken)))
+	if !s.CleanExit && now-s.SavedAt <= 1.02*t.WindowSeconds {
+		m.Further = fill(now, m.Further, t.BaseAllowance+t.RetryShare*float64(len(m.Taken)))
 	}
 	return m
 }
@@ -110,13 +110,13 @@
 
 // careful keeps of a memory whose instants mean nothing what makes careful: the ration counts as used, boxes that were
 // cold are cold from now.
-func careful(now float64, s Stored, t Terms) (m choice.Memory) {
-	if t.Window > 0 {
-		m.Further = fill(now, nil, t.Spare)
+func careful(now float64, s Snapshot, t Config) (m choice.Memory) {
+	if t.WindowSeconds > 0 {
+		m.Further = fill(now, nil, t.BaseAllowance)
 	}
 	for _, r := range s.Memory.Servers {
 		b := choice.Remembered{ID: r.ID, Slot: -1}
-		if r.Born > 0 && s.Saved-r.Born < t.WarmUp {
+		if r.Born > 0 && s.SavedAt-r.Born < t.WarmUpSeconds {
 			b.Born = now
 		}
 		m.Servers = append(m.Servers, b)
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -597,7 +597,7 @@
 	t.mod.Probed(box, o, rep)
 }
 
-// Short, Load pass on what choice/hearing makes of boxes.
+// Short, Load pass on what choice/delivery makes of boxes.
 func (t *Table) Short(box choice.ServerID, share float64) { t.mod.Short(box, share) }
 
 // Load passes on a load note that came with a session's media.
--- a/choice/slowstart/slowstart.go
+++ b/choice/slowstart/slowstart.go
@@ -21,27 +21,27 @@
 	few = 30
 )
 
-// Limit is how many requests bring a server down that can take n within the fall time, by the platform's rule.
-func Limit(n float64) float64 {
+// OverloadLimit is how many requests bring a server down that can take n within the fall time, by the platform's rule.
+func OverloadLimit(n float64) float64 {
 	if n < few {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Mean is how many requests all processes together aim at within one fall time.
-func Mean(n float64) float64 {
-	root := math.Sqrt(deviations*deviations/4+Limit(n)) - deviations/2
+// TargetMean is how many requests all processes together aim at within one fall time.
+func TargetMean(n float64) float64 {
+	root := math.Sqrt(deviations*deviations/4+OverloadLimit(n)) - deviations/2
 	return min(most*n, root*root)
 }
 
-// Slots is into how many slots a process cuts a fall time: in the mean at most one request of all processes falls into each.
-func Slots(n float64) float64 { return max(math.Ceil(Mean(n)), 1) }
+// SlotsPerWindow is into how many slots a process cuts a fall time: in the mean at most one request of all processes falls into each.
+func SlotsPerWindow(n float64) float64 { return max(math.Ceil(TargetMean(n)), 1) }
 
 // Allowed is how many requests a process may send in one of its slots, by chance: n is what the server can take now, slots
 // into how many a fall time is cut, of which a window touches one more. The same slot gives the same number.
 func Allowed(n, slots float64, processes int, seed uint64, server uint32, slot int64) int {
-	share := Mean(n) / (slots + 1) / float64(max(processes, 1))
+	share := TargetMean(n) / (slots + 1) / float64(max(processes, 1))
 	// So few processes that no window could hold more than the server can take need no chance: each slot is used.
 	if full := math.Ceil(share); full*(slots+1)*float64(processes) <= n {
 		return int(full)
@@ -72,12 +72,12 @@
 	stillCold = 120.0
 )
 
-// Started is the instant from which a server counts as started whose start is told now as that long ago by a difference of two
+// StartedAt is the instant from which a server counts as started whose start is told now as that long ago by a difference of two
 // machines' wall clocks. Of a start told while the process runs that is when it was told: it can't have been later, and the
 // server is warm a little later for it. Of one known at the own start there is only the difference, which may be too long by a
 // step of one of the clocks: it counts for the least that it may be. Harm: after its start a process sends little to servers that started
 // a few seconds before, and to those that started an hour before.
-func Started(now, difference float64, running bool) float64 {
+func StartedAt(now, difference float64, running bool) float64 {
 	if running {
 		return now
 	}
@@ -95,5 +95,5 @@
 // longestTelling is how many seconds after a server's start the list may tell of it.
 const longestTelling = 10.0
 
-// Since is how long ago a server started whose start is told now, by a difference of two machines' wall clocks.
-func Since(difference float64) float64 { return min(max(difference, 0), longestTelling) }
+// Age is how long ago a server started whose start is told now, by a difference of two machines' wall clocks.
+func Age(difference float64) float64 { return min(max(difference, 0), longestTelling) }
--- a/choice/slowstart/slowstart_test.go
+++ b/choice/slowstart/slowstart_test.go
@@ -17,7 +17,7 @@
 			sum, worst := 0.0, 0.0
 			for play := range plays {
 				var sent []float64
-				slots := Slots(n)
+				slots := SlotsPerWindow(n)
 				slot := fall / slots
 				for p := range processes {
 					clock := r.Float64() * 7200 // each has a clock of its own
@@ -37,7 +37,7 @@
 						from++
 					}
 					can := n / coldShare * (coldShare + (1-coldShare)*max(at-fall, 0)/warmUp)
-					if over := float64(i-from+1) / Limit(can); over > worst {
+					if over := float64(i-from+1) / OverloadLimit(can); over > worst {
 						worst = over
 					}
 				}
@@ -46,8 +46,8 @@
 			if worst > 1 {
 				t.Errorf("%d processes, budget %g: %.2f of the bound in the worst window", processes, n, worst)
 			}
-			if mean := sum / plays / warmUp; mean < 0.4*Mean(n) {
-				t.Errorf("%d processes, budget %g: %.2f a second where %.2f and more may go", processes, n, mean, Mean(n))
+			if mean := sum / plays / warmUp; mean < 0.4*TargetMean(n) {
+				t.Errorf("%d processes, budget %g: %.2f a second where %.2f and more may go", processes, n, mean, TargetMean(n))
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 // A process that is alone leaves no slot out, as there is nobody to leave it to.
 func TestAloneUsesEachSlot(t *testing.T) {
 	for _, n := range []float64{4, 24, 57, 200} {
-		slots := Slots(n)
+		slots := SlotsPerWindow(n)
 		for slot := range int64(1000) {
 			if Allowed(n, slots, 1, 7, 1, slot) < 1 {
 				t.Fatalf("budget %g: slot %d is left out", n, slot)
@@ -71,13 +71,13 @@
 	for _, off := range []float64{0, 1, -1, 3, -3, 5, -5, 3600, -3600, 3603, 3597, -3603} {
 		for _, age := range []float64{0, 0.5, 2, 4, 8, 12, 20, 60} {
 			const now = 1e6
-			if counted := now - Started(now, age+off, false); counted > age {
+			if counted := now - StartedAt(now, age+off, false); counted > age {
 				t.Errorf("%g s ago by a clock that is off by %g s counts as %g s ago", age, off, counted)
 			}
 		}
 	}
 	for _, age := range []float64{30, 600, 3500, 7200, 86400} {
-		if counted := 1e6 - Started(1e6, age, false); counted < age-5 {
+		if counted := 1e6 - StartedAt(1e6, age, false); counted < age-5 {
 			t.Errorf("%g s ago by a clock that is right counts as %g s ago", age, counted)
 		}
 	}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -23,7 +23,7 @@
 	f := c.d.facts()
 	t := c.d.terms
 	return map[string]any{"front": t.Name, "process": os.Getpid(), "state": f.State, "seconds": time.Since(c.d.began).Seconds(), "sessions": f.Sessions,
-		"boxes": f.Boxes, "boxes that may get sessions": f.Usable, "health": health.Judge(f)}
+		"boxes": f.Boxes, "boxes that may get sessions": f.Usable, "health": health.Evaluate(f)}
 }
 
 func (c controlled) Sessions(most int) any { return c.d.front.List(most) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,7 +25,7 @@
 	"rainhaven/choice"
 	"rainhaven/choice/health"
 	"rainhaven/choice/lifecycle"
-	"rainhaven/choice/recall"
+	"rainhaven/choice/restore"
 	"rainhaven/internal/front"
 	"rainhaven/internal/keys"
 	"rainhaven/internal/settings"
@@ -336,13 +336,13 @@
 		return nil, nil
 	}
 	f := t.Figures
-	m, words := recall.Believe(now(), kept, recall.Terms{Window: f.SetupWindow, Spare: f.SpareSetups, Share: f.SetupShare, WarmUp: f.WarmUp})
-	d.Log.Info("stored state", zap.Float64("seconds old", now()-kept.Saved), zap.Bool("clean", kept.Clean), zap.Int("boxes", len(m.Servers)),
+	m, words := restore.FromSnapshot(now(), kept, restore.Config{WindowSeconds: f.SetupWindow, BaseAllowance: f.SpareSetups, RetryShare: f.SetupShare, WarmUpSeconds: f.WarmUp})
+	d.Log.Info("stored state", zap.Float64("seconds old", now()-kept.SavedAt), zap.Bool("clean", kept.CleanExit), zap.Int("boxes", len(m.Servers)),
 		zap.Strings("what", words))
 	return &m, nil
 }
 
-// keepEvery is the pace at which state is kept. What happens between two is covered by choice/recall, which takes it that
+// keepEvery is the pace at which state is kept. What happens between two is covered by choice/restore, which takes it that
 // a killed front had used its ration up; a write takes half a millisecond beside the loop.
 const keepEvery = time.Second
 
@@ -357,13 +357,13 @@
 		case <-t.C:
 		}
 		if m, ok := d.front.Memory(); ok {
-			d.write(recall.Stored{Saved: now(), Memory: m})
+			d.write(restore.Snapshot{SavedAt: now(), Memory: m})
 		}
 	}
 }
 
 // write keeps something, as long as the folder is this process's.
-func (d *daemon) write(s recall.Stored) {
+func (d *daemon) write(s restore.Snapshot) {
 	d.storeMu.Lock()
 	defer d.storeMu.Unlock()
 	if d.store != nil {
@@ -427,7 +427,7 @@
 	d.Log.Info("stopping", zap.Int("sessions", d.front.Sessions()))
 	d.work.Go(func() {
 		d.front.Close()
-		d.write(recall.Stored{Saved: now(), Clean: true, Memory: d.front.Last()})
+		d.write(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.Last()})
 		d.post(func() {
 			d.ended = true
 			d.life.Ended()
@@ -461,7 +461,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, r *http.Request) {
-		word := health.Judge(d.facts())
+		word := health.Evaluate(d.facts())
 		w.Header().Set("Content-Type", "application/json")
 		good := word.Ready
 		if r.URL.Query().Get("of") == "live" {
@@ -486,10 +486,10 @@
 func (d *daemon) facts() health.Facts {
 	h := d.front.Facts(loopTime)
 	if s := d.said.Load(); s != nil {
-		h.State, h.Serving, h.Refused = s.state.String(), s.state == lifecycle.Serving, s.refused
+		h.State, h.Serving, h.ReloadError = s.state.String(), s.state == lifecycle.Serving, s.refused
 	}
 	if s := d.saved.Load(); s != nil {
-		h.Unsaved, h.Broken = time.Since(s.at).Seconds(), s.broken
+		h.StateAge, h.StateError = time.Since(s.at).Seconds(), s.broken
 	}
 	return h
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -99,7 +99,7 @@
 	return player.Watch(context.Background(), player.Want{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: seconds})
 }
 
-func (p *process) health() (w health.Word) {
+func (p *process) health() (w health.Status) {
 	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := c.Get("http://" + p.admin + "/health")
 	if err != nil {
@@ -115,7 +115,7 @@
 	return w
 }
 
-func (p *process) eventually(what string, is func(w health.Word) bool) {
+func (p *process) eventually(what string, is func(w health.Status) bool) {
 	p.t.Helper()
 	for end := time.Now().Add(15 * time.Second); !is(p.health()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -146,7 +146,7 @@
 		seen, err := p.watch(4)
 		done <- end{seen, err}
 	}()
-	p.eventually("ready", func(w health.Word) bool { return w.Ready && len(w.Degraded) == 0 })
+	p.eventually("ready", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
 	for _, c := range []struct{ front, more, say string }{
 		{"", "group(", "front.star"},
 		{", tls_listen = \"127.0.0.1:0\", cert = \"c\", key = \"k\"", "", "needs a restart"},
@@ -154,7 +154,7 @@
 	} {
 		script(t, file, c.front, c.more, list)
 		p.signals <- syscall.SIGHUP
-		p.eventually("reload: "+c.say, func(w health.Word) bool {
+		p.eventually("reload: "+c.say, func(w health.Status) bool {
 			return w.Ready && strings.Contains(strings.Join(w.Degraded, ""), c.say) && (c.say == "") == (len(w.Degraded) == 0)
 		})
 	}
@@ -195,7 +195,7 @@
 		}()
 		<-playing
 		p.signals <- syscall.SIGTERM
-		p.eventually("it drains", func(w health.Word) bool { return w.Live && !w.Ready && w.Why == "draining" })
+		p.eventually("it drains", func(w health.Status) bool { return w.Live && !w.Ready && w.Reason == "draining" })
 		if seen, _ := p.watch(1); seen.Status != 503 || seen.RetryAfter == 0 {
 			t.Errorf("a new request: %+v", seen)
 		}
@@ -282,7 +282,7 @@
 		from := dir
 		if killed { // what a killed process leaves is what stands in its file at that moment
 			from = t.TempDir()
-			p.eventually("it is kept", func(health.Word) bool { // a copy taken amid a write is none that a crash leaves
+			p.eventually("it is kept", func(health.Status) bool { // a copy taken amid a write is none that a crash leaves
 				kept, _ := os.ReadFile(filepath.Join(dir, "f", "state.db"))
 				f, err := state.Open(from, "f")
 				if err != nil {
@@ -387,7 +387,7 @@
 	if len(refused) > 1 || served < 20 { // one whose SETUP met the old process as it stopped is told to come back
 		t.Errorf("%d served; %q", served, refused)
 	}
-	next.eventually("the next one is well", func(w health.Word) bool { return w.Ready && len(w.Degraded) == 0 })
+	next.eventually("the next one is well", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
 	third := upgrade(file)
 	next.end(lifecycle.Clean)
 	if seen, err := third.watch(0.2); err != nil || seen.Status != 200 {
@@ -429,7 +429,7 @@
 			}
 		}
 	}
-	p.eventually("it is well", func(w health.Word) bool { return w.Ready && len(w.Degraded) == 0 })
+	p.eventually("it is well", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
 	p.signals <- syscall.SIGTERM
 	p.end(lifecycle.Clean)
 }
@@ -476,7 +476,7 @@
 	}
 	script(t, file, fmt.Sprintf(", state = %q", dir), "group(", list)
 	ask("Reload", nil)
-	p.eventually("the reload is refused", func(w health.Word) bool { return len(w.Degraded) == 1 })
+	p.eventually("the reload is refused", func(w health.Status) bool { return len(w.Degraded) == 1 })
 	ask("Drain", nil)
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -239,7 +239,7 @@
 	}
 }
 
-func (s *supervisor) ask(n int) (w health.Word, ok bool) {
+func (s *supervisor) ask(n int) (w health.Status, ok bool) {
 	req, err := http.NewRequestWithContext(s.over, http.MethodGet, "http://"+s.admin[n]+"/health", nil)
 	if err != nil {
 		return w, false
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
-	"rainhaven/choice/hearing"
+	"rainhaven/choice/delivery"
 	"rainhaven/choice/limits"
 	"rainhaven/choice/pool"
 	"rainhaven/choice/session"
@@ -91,7 +91,7 @@
 		err := c.out.Run(raw, 2*time.Second)
 		if t, ok := raw.(interface{ CloseWrite() error }); ok && err == nil {
 			t.CloseWrite()
-			wait := time.Duration(limits.LateTime * 1e9)
+			wait := time.Duration(limits.LateAnswerWait * 1e9)
 			if f.closing.Load() {
 				wait = 200 * time.Millisecond
 			}
@@ -122,7 +122,7 @@
 		if m == nil {
 			if s := c.stream.Load(); s != nil {
 				now := time.Since(c.f.began)
-				s.Out().Room(len(frame.Whole), int64(now), timer, time.Duration(limits.FullWait*1e9))
+				s.Out().Room(len(frame.Whole), int64(now), timer, time.Duration(limits.QueueFullWait*1e9))
 				s.Frame(now, frame.Channel, frame.Payload())
 				if !c.conn.More() {
 					s.Out().Flush()
@@ -238,7 +238,7 @@
 	}
 	link, capped := figure("link")
 	uplink, _ := figure("uplink")
-	return hearing.Report(link, uplink, capped)
+	return delivery.SanitizeReport(link, uplink, capped)
 }
 
 // carrier carries out the table's orders.
@@ -327,7 +327,7 @@
 	delete(f.atBox, id)
 	c.sess, c.withdrawn = nil, true
 	c.stream.Store(nil)
-	if f.late++; f.late > limits.Late {
+	if f.late++; f.late > limits.MaxLateAnswers {
 		c.close()
 		return
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,8 +16,8 @@
 //	connection breaks, session set up Ended Reset, final
 //	TEARDOWN answered                 Ended Served, final
 //	box list                          Directory
-//	share of media time in a second   Short, by choice/hearing
-//	load note in RTCP                 Load, one a box by choice/hearing
+//	share of media time in a second   Short, by choice/delivery
+//	load note in RTCP                 Load, one a box by choice/delivery
 //	probe answered or not             Probed
 //	rung refused by the box           InForce
 //	session handed over               Handed, InForce
@@ -43,10 +43,10 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
+	"rainhaven/choice/delivery"
 	"rainhaven/choice/describe"
 	"rainhaven/choice/entry"
 	"rainhaven/choice/health"
-	"rainhaven/choice/hearing"
 	"rainhaven/choice/limits"
 	"rainhaven/choice/pool"
 	"rainhaven/choice/session"
@@ -91,7 +91,7 @@
 	gate      *entry.Gate // nil where no users are named
 	key       []byte      // of the gate's
 	users     string      // a print of those named
-	ear       *hearing.Ear
+	ear       *delivery.Meter
 	keeper    *pool.Keeper
 	address   map[choice.ServerID]string // of boxes listed; a box that left is kept while sessions are there
 	viewers   map[*viewer]struct{}       // emptied as connections close
@@ -149,7 +149,7 @@
 		orders = o.Spoil(orders)
 	}
 	f.table = session.New(f.now(), terms.Figures, f.bounds(), orders)
-	f.ear = hearing.New(terms.Figures.NoteEvery)
+	f.ear = delivery.New(terms.Figures.NoteEvery)
 	f.described, f.wait = describe.New(terms.Figures.Cells), map[string][]waiter{}
 	f.keeper = pool.New(terms.Bounds.BoxConnections)
 	f.boxes(true, terms.Boxes)
@@ -502,13 +502,13 @@
 // Facts gathers what choice/health judges of a front; its loop has so long to answer.
 func (f *Front) Facts(within time.Duration) (h health.Facts) {
 	t := f.terms()
-	h.Most, h.Unsaved = t.Bounds.Sessions, -1
+	h.MaxSessions, h.StateAge = t.Bounds.Sessions, -1
 	got := make(chan health.Facts, 1)
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	ask := func() {
 		a := h
-		a.Answers, a.Sessions = true, f.table.Len()
+		a.LoopResponsive, a.Sessions = true, f.table.Len()
 		a.Boxes, a.Usable = f.table.Boxes()
 		got <- a
 	}
--- a/internal/front/handed.go
+++ b/internal/front/handed.go
@@ -95,7 +95,7 @@
 			}
 		})
 	})
-	time.AfterFunc(time.Duration(limits.ClaimTime*1e9), func() {
+	time.AfterFunc(time.Duration(limits.ClaimTimeout*1e9), func() {
 		f.post(func() {
 			if f.sess[x.id] == x && x.viewer == nil {
 				f.table.ViewerGone(x.id)
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
+	"rainhaven/choice/delivery"
 	"rainhaven/choice/entry"
-	"rainhaven/choice/hearing"
 	"rainhaven/choice/renewal"
 	"rainhaven/choice/session"
 	"rainhaven/internal/settings"
@@ -51,7 +51,7 @@
 		f.keeper.PerBox(t.Bounds.BoxConnections)
 	}
 	if p.Has(renewal.Ear) {
-		f.ear = hearing.New(t.Figures.NoteEvery)
+		f.ear = delivery.New(t.Figures.NoteEvery)
 	}
 	f.described.Cells(t.Figures.Cells)
 	switch {
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -79,7 +79,7 @@
 // take begins a viewer's connection.
 func (f *Front) take(c net.Conn) {
 	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Bounds{}), out: relay.NewOut(f.terms().Bounds.Queue),
-		room: make(chan struct{}, limits.Pipelined), sess: map[choice.SessID]*sess{}}
+		room: make(chan struct{}, limits.MaxPipelined), sess: map[choice.SessID]*sess{}}
 	f.work.Add(2)
 	go func() {
 		defer f.work.Done()
@@ -118,7 +118,7 @@
 	if !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(f.context, time.Duration(limits.Handshake*1e9))
+	ctx, cancel := context.WithTimeout(f.context, time.Duration(limits.HandshakeTimeout*1e9))
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
 		f.count.handshakes.Inc()
@@ -159,7 +159,7 @@
 			if now := time.Now(); now.Sub(second) >= time.Second {
 				second, frames = now, 0
 			}
-			if frames++; frames > limits.ViewerFrames {
+			if frames++; frames > limits.MaxViewerFramesPerSecond {
 				v.f.count.stray.Inc()
 				continue
 			}
@@ -502,7 +502,7 @@
 // note passes a load note on, one a box.
 func (f *Front) note(x *sess, link, uplink float64) {
 	c := f.atBox[x.id]
-	if c == nil || !f.ear.Note(c.box, f.now(), link, uplink) {
+	if c == nil || !f.ear.AcceptNote(c.box, f.now(), link, uplink) {
 		return
 	}
 	f.count.notes.Inc()
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
-	"rainhaven/choice/recall"
+	"rainhaven/choice/restore"
 	"rainhaven/internal/front"
 	"rainhaven/internal/lab/box"
 	"rainhaven/internal/lab/player"
@@ -43,8 +43,8 @@
 	list     []settings.Box // as the source knows it
 	cut      map[int]bool   // zones cut off
 	seen     []outcome
-	refusing map[int]bool          // boxes that answer full
-	kept     map[int]recall.Stored // of fronts that were killed, where they remember; one each
+	refusing map[int]bool             // boxes that answer full
+	kept     map[int]restore.Snapshot // of fronts that were killed, where they remember; one each
 
 	work sync.WaitGroup // list words under way
 }
@@ -88,7 +88,7 @@
 	}
 	start := time.Now()
 	r := &run{d: d, ctx: ctx, log: o.Log, base: float64(start.UnixNano()) / 1e9, start: start, spoil: o.Sabotage, o: o,
-		kept: map[int]recall.Stored{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
+		kept: map[int]restore.Snapshot{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
 	f := &d.Terms.Figures
 	terms := witness.Terms{Groups: map[string]witness.Group{}, Grace: d.Terms.Grace, AnswerBy: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
 		FallFactor: f.FallFactor, FallTime: f.FallTime, Spare: f.SpareSetups, Share: f.SetupShare, Window: f.SetupWindow}
@@ -171,7 +171,7 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if kept, ok := r.kept[i]; ok {
 		x := terms.Figures
-		m, _ := recall.Believe(r.now(), kept, recall.Terms{Window: x.SetupWindow, Spare: x.SpareSetups, Share: x.SetupShare, WarmUp: x.WarmUp})
+		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{WindowSeconds: x.SetupWindow, BaseAllowance: x.SpareSetups, RetryShare: x.SetupShare, WarmUpSeconds: x.WarmUp})
 		o.Memory = &m
 	} else {
 		r.wit.FrontStarted(terms.Name, r.now())
@@ -519,7 +519,7 @@
 	r.mu.Unlock()
 	if r.o.Remember {
 		if m, ok := p.f.Memory(); ok {
-			r.kept[i] = recall.Stored{Saved: r.now(), Memory: m}
+			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
 		}
 	}
 	r.wit.FrontKilled(frontName(i), r.now())
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -27,7 +27,7 @@
 	return p
 }
 
-func (p *places) setMost(most int) { p.most.Store(int64(most + share.Newcomers)) }
+func (p *places) setMost(most int) { p.most.Store(int64(most + share.AcceptSlack)) }
 
 func (p *places) isFull() bool { return p.held.Load() >= p.most.Load() }
 
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -13,7 +13,7 @@
 // descriptor as well. Once it has time again they are taken, and the newest is served.
 func TestConnectionsThatTheLoopHasNotHeardOf(t *testing.T) {
 	const sockets, many = 64, 120
-	most := int64(share.Viewers(sockets, 0) + share.Newcomers)
+	most := int64(share.MaxViewerConns(sockets, 0) + share.AcceptSlack)
 	var open atomic.Int64
 	f := newFarm(t, sockets, func(f *farm) []*host {
 		f.clients = &open
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -17,7 +17,7 @@
 // client is one of the clients' connections, which carries many sessions.
 type client struct {
 	*conn
-	share.Holding
+	share.ConnUsage
 	readControl
 	proven   bool // a session was served on it
 	closed   bool
@@ -100,7 +100,7 @@
 }
 
 func (n *Node) opened(v *client) {
-	v.Since, v.Used = n.now, n.now
+	v.OpenedAt, v.LastUsed = n.now, n.now
 	n.counts["viewers"]++
 	n.clients = append(n.clients, v)
 	n.makeRoom()
@@ -108,7 +108,7 @@
 
 // makeRoom closes clients' connections past their share of descriptors: those who give way first.
 func (n *Node) makeRoom() {
-	most := share.Viewers(n.start.Sockets, n.links())
+	most := share.MaxViewerConns(n.start.Sockets, n.links())
 	n.places.setMost(most)
 	open, ending := 0, 0
 	for _, v := range n.clients {
@@ -130,10 +130,10 @@
 	for ; open > most; open-- {
 		var first *client
 		for _, v := range n.clients {
-			if v.isEnding() || v.stopping != "" || v.Rank(n.now) < 0 {
+			if v.isEnding() || v.stopping != "" || v.EvictionRank(n.now) < 0 {
 				continue
 			}
-			if first == nil || v.Rank(n.now) < first.Rank(n.now) || v.Rank(n.now) == first.Rank(n.now) && v.Used < first.Used {
+			if first == nil || v.EvictionRank(n.now) < first.EvictionRank(n.now) || v.EvictionRank(n.now) == first.EvictionRank(n.now) && v.LastUsed < first.LastUsed {
 				first = v
 			}
 		}
@@ -156,7 +156,7 @@
 // overdue ends a connection whose message does not come to its end: what is open beside it is answered; where nothing is,
 // it is just closed.
 func (n *Node) overdue(v *client) {
-	if v.Open == 0 {
+	if v.Pending == 0 {
 		v.stopped = true // what its reader has is no whole message
 		n.closeClient(v, overdue)
 		return
@@ -185,7 +185,7 @@
 
 // abandon ends the requests of a connection that are without their answers; they get one only if it is wanted.
 func (n *Node) abandon(v *client, answer bool) {
-	if v.Open == 0 {
+	if v.Pending == 0 {
 		return
 	}
 	for _, s := range slices.Clone(v.held) {
@@ -206,7 +206,7 @@
 		return
 	}
 	v.closed, v.stopped = true, true
-	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.why)), str("closed", string(v.stopping)), zap.Bool("spoke", v.Spoke), zap.Float64("age", n.now-v.Since), num("open", v.Open), num("standing", v.Standing))
+	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.why)), str("closed", string(v.stopping)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
 	n.abandon(v, false)
 	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
 	for _, b := range v.unsure(n.now, v.written) {
@@ -227,7 +227,7 @@
 		n.log.Debug("said on a connection that has ended", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
 		return
 	}
-	v.Spoke, v.Used = true, n.now
+	v.SentMessage, v.LastUsed = true, n.now
 	switch m.Method {
 	case rtsp.Setup:
 		n.setup(v, m, at)
@@ -250,7 +250,7 @@
 func (n *Node) refuseWrong(v *client, m *rtsp.Message, status int) {
 	n.wrongs++
 	v.send(response(m, status))
-	if v.Wrong++; v.Senseless() {
+	if v.Malformed++; v.TooManyMalformed() {
 		n.closeUnused(v, senseless)
 	}
 }
@@ -262,7 +262,7 @@
 		n.refuseWrong(v, m, rtsp.BadRequest)
 		return
 	}
-	v.Asked = true
+	v.RequestedSession = true
 	if a.at != "" {
 		n.handed(v, a)
 		return
@@ -276,8 +276,8 @@
 		n.refuseWrong(v, m, rtsp.BadRequest)
 		return
 	}
-	if v.TooMany(n.open) {
-		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Open), num("all", n.open))
+	if v.TooManyPending(n.open) {
+		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.open))
 		n.counts["past the bound"]++
 		v.send(response(m, rtsp.ServiceUnavailable))
 		return
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -17,13 +17,13 @@
 	if v.stopping != "" || v.closed || v.isEnding() {
 		return
 	}
-	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.Rank(n.now)))
+	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.EvictionRank(n.now)))
 	v.stopping = why
 	if n.trials.hasty() {
 		v.cut()
 		return
 	}
-	v.stop(!v.Spoke)
+	v.stop(!v.SentMessage)
 }
 
 // readerStopped takes it that a connection's reader has handed over all that it read; partial tells that a message had begun.
@@ -32,7 +32,7 @@
 	case v.closed:
 	case n.over:
 		v.stopped = true
-	case v.Open == 0:
+	case v.Pending == 0:
 		v.stopped = true
 		n.closeClient(v, v.stopping)
 		v.done()
@@ -47,7 +47,7 @@
 
 // closeClient closes a client's connection once what is queued on it was written.
 func (n *Node) closeClient(v *client, why closeReason) {
-	n.guard.Close(v.peer(), v.Open, v.stopped)
+	n.guard.Close(v.peer(), v.Pending, v.stopped)
 	v.stopping = why
 	n.counts["closed: "+string(why)]++
 	v.cut()
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -153,7 +153,7 @@
 		return false
 	}
 	written := c.left()
-	c.kept = slices.DeleteFunc(c.kept, func(k kept) bool { return k.to <= written && now-k.at > share.Arrives })
+	c.kept = slices.DeleteFunc(c.kept, func(k kept) bool { return k.to <= written && now-k.at > share.AssumedArrivalSeconds })
 	if len(c.kept) >= mostKept { // the oldest has most surely arrived
 		c.kept = slices.Delete(c.kept, 0, 1)
 	}
@@ -164,7 +164,7 @@
 // unsure gives what was kept and has not surely arrived, once left bytes are known to have left for good.
 func (c *conn) unsure(now float64, left int64) (list [][]byte) {
 	for _, k := range c.kept {
-		if k.to > left || now-k.at <= share.Arrives {
+		if k.to > left || now-k.at <= share.AssumedArrivalSeconds {
 			list = append(list, k.b)
 		}
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -575,7 +575,7 @@
 		})
 	}
 	f.until("a tenth is free", func(n *Node) bool {
-		if n.links() > share.Servers(sockets) {
+		if n.links() > share.MaxServerConns(sockets) {
 			t.Errorf("%d connections to servers", n.links())
 		}
 		return len(n.clients)+n.links() <= sockets*90/100 && len(n.servers[59].conns) == 1
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -94,7 +94,7 @@
 	v.want("200")
 	f.held(
 		func() { v.setup(id(1), "free", "") },
-		func() { f.node.clients[0].Used = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
+		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
 	)
 	x, _ := f.wanted(rtsp.Setup, s1)
 	x.on.answer(x.m, 200, given)
@@ -208,7 +208,7 @@
 	v.want("200")
 	f.held(
 		func() { v.setup(id(1), "free", "") },
-		func() { f.node.clients[0].Used = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
+		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
 	)
 	v.want("503") // no server holds it; the connection is closed or not, as the two come in one batch or in two
 }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SIGKILL comes 0.15 s after the drain's end at the earliest (share.Drain): all three together take less.
+// SIGKILL comes 0.15 s after the drain's end at the earliest (share.DrainSeconds): all three together take less.
 const (
 	// flush is how long answers that are queued at the exit may take to leave.
 	flush = 50 * time.Millisecond
@@ -96,7 +96,7 @@
 // closeAll closes the clients' connections once what is queued on them was written.
 func (n *Node) closeAll() {
 	for _, v := range n.clients {
-		n.guard.Close(v.peer(), v.Open, v.stopped)
+		n.guard.Close(v.peer(), v.Pending, v.stopped)
 		v.end()
 	}
 	late := time.After(forceClose)
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -26,7 +26,7 @@
 	pace := backoff.New(seed)
 	for ctx.Err() == nil {
 		had, began := last, time.Now()
-		err := follow(ctx, addr, &last, seconds(pace.Silence()), heard, take)
+		err := follow(ctx, addr, &last, seconds(pace.SilenceTimeout()), heard, take)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"rainhaven/choice"
-	"rainhaven/choice/hearing"
+	"rainhaven/choice/delivery"
 	"rainhaven/internal/rtsp"
 	"rainhaven/internal/wire"
 )
@@ -123,7 +123,7 @@
 	if err != nil {
 		return noReport
 	}
-	return hearing.Report(r.Link, r.Uplink, r.Capped)
+	return delivery.SanitizeReport(r.Link, r.Uplink, r.Capped)
 }
 
 // cause reads the Reason field; 0 is none.
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -44,7 +44,7 @@
 func (n *Node) listen(addr string, ends <-chan os.Signal) (net.Listener, error) {
 	for began := time.Now(); ; {
 		l, err := n.network.Listen(addr)
-		if err == nil || !isLocal(err) || time.Since(began).Seconds() > share.ListenFor {
+		if err == nil || !isLocal(err) || time.Since(began).Seconds() > share.ListenTimeout {
 			return l, err
 		}
 		select {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -154,7 +154,7 @@
 	n := &Node{start: o.Start, reread: o.Reread, log: o.Log, ctx: ctx, events: make(chan event, queue), began: time.Now(),
 		sessions: map[string]*session{}, numbers: map[choice.ServerID]*server{}, byID: map[string]*server{}, past: map[string]*server{}, early: map[string]bool{},
 		counts: map[string]int{}, network: o.Network, trials: o.Trials,
-		places: newPlaces(share.Viewers(o.Start.Sockets, 0))}
+		places: newPlaces(share.MaxViewerConns(o.Start.Sockets, 0))}
 	if n.network == nil {
 		n.network = systemNetwork{}
 	}
@@ -177,7 +177,7 @@
 	}
 	defer l.Close()
 	n.guard = invariant.New(n.budget(), n.violated)
-	n.life = lifecycle.New(n.now, share.Drain(n.start.SetupTimeout), orders{n})
+	n.life = lifecycle.New(n.now, share.DrainSeconds(n.start.SetupTimeout), orders{n})
 	n.settle()
 	n.followCoordinator(o.Start.Coordinator)
 	n.ready = true
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -281,7 +281,7 @@
 				open++
 			}
 		}
-		return open <= share.Viewers(256, 0)
+		return open <= share.MaxViewerConns(256, 0)
 	})
 	x.on.answer(x.m, 200, given)
 	v.want("200")
@@ -294,13 +294,13 @@
 // Connections that only test, and hold every place, give way to a usual client's new one, which has said nothing yet.
 func TestNewConnectionIsNotTheOneThatGivesWay(t *testing.T) {
 	f, s1 := single(t, 64)
-	for range share.Viewers(64, 0) + 5 {
+	for range share.MaxViewerConns(64, 0) + 5 {
 		v := f.client()
 		v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 		v.want("200")
 	}
 	w := f.client()
-	f.until("it is taken", func(n *Node) bool { return n.counts["viewers"] == share.Viewers(64, 0)+6 })
+	f.until("it is taken", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
 	w.setup(id(1), "free", "")
 	f.serve(s1, w)
 }
@@ -309,17 +309,17 @@
 func TestRequestsPastTheBound(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
-	for k := range share.Open + 1 {
+	for k := range share.MaxPendingPerConn + 1 {
 		v.setup(id(k), "free", "")
 	}
-	if m := v.want("503"); m.Session() != id(share.Open) {
+	if m := v.want("503"); m.Session() != id(share.MaxPendingPerConn) {
 		t.Errorf("%s was refused", m.Session())
 	}
-	for range share.Open {
+	for range share.MaxPendingPerConn {
 		x, _ := f.wanted(rtsp.Setup, s1)
 		x.on.answer(x.m, 200, given)
 	}
-	for range share.Open {
+	for range share.MaxPendingPerConn {
 		v.want("200")
 	}
 }
@@ -375,11 +375,11 @@
 		n.start.MemoryMB = 0
 	})
 	w := f.client()
-	for k := range share.Handed(0) + 5 { // claims without end: those past the bound are released at once
+	for k := range share.MaxHandedOver(0) + 5 { // claims without end: those past the bound are released at once
 		w.setup(id(100+k), "free", ";at:s-1")
 	}
 	w.want(rtsp.TearDown)
-	f.until("bounded", func(n *Node) bool { return len(n.sessions) == share.Handed(0) })
+	f.until("bounded", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
 	f.see(func(n *Node) { n.start.MemoryMB = 64 })
 	p.tearDown(id(4), 41) // its release comes before it is told
 	f.until("remembered", func(n *Node) bool { return n.early[id(4)] })
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -18,7 +18,7 @@
 	sv.tests++
 	n.tests++
 	sv.tested = testID(n.start.Figures.Seed, n.tests)
-	sv.testing = n.after(limits.Usual.ProbeTimeout, func() { n.tellTest(sv, choice.TimedOut, noReport) })
+	sv.testing = n.after(limits.Defaults.ProbeTimeout, func() { n.tellTest(sv, choice.TimedOut, noReport) })
 	for _, l := range sv.conns {
 		if l.up && !l.isEnding() && (sv.testOn == nil || len(l.open) < len(sv.testOn.open)) {
 			sv.testOn = l
@@ -88,20 +88,20 @@
 		}
 		sv.owed = slices.DeleteFunc(sv.owed, func(o owed) bool { return n.now >= o.until })
 		if len(sv.held) == 0 && len(sv.owed) == 0 {
-			sv.liveness = liveness.Watch{}
+			sv.liveness = liveness.Monitor{}
 			n.settleServer(sv)
 			continue
 		}
-		do := sv.liveness.Look(n.now, up, opening)
+		do := sv.liveness.Check(n.now, up, opening)
 		if sv.state == choice.Gone && up == 0 {
-			do = liveness.Do{Lost: true} // its address may be another's by now
+			do = liveness.Action{Lost: true} // its address may be another's by now
 		}
 		switch {
 		case do.Lost:
 			n.lost(sv)
 		case do.Connect:
 			n.dial(sv)
-		case do.Test:
+		case do.Probe:
 			n.probe(sv)
 		}
 	}
@@ -119,6 +119,6 @@
 			n.retire(l)
 		}
 	}
-	sv.liveness, sv.owed = liveness.Watch{}, nil
+	sv.liveness, sv.owed = liveness.Monitor{}, nil
 	n.settleServer(sv)
 }
--- a/internal/node/readcontrol.go
+++ b/internal/node/readcontrol.go
@@ -28,7 +28,7 @@
 var past = time.Unix(1, 0)
 
 // messageTime is how long a message may take from its first byte on, and the first one from the connection's start.
-const messageTime = time.Duration(share.Begin * float64(time.Second))
+const messageTime = time.Duration(share.MessageTimeout * float64(time.Second))
 
 func newReadControl(nc net.Conn) readControl {
 	return readControl{in: nc, verdict: make(chan bool, 1)}
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
-	"rainhaven/choice/hearing"
+	"rainhaven/choice/delivery"
 	"rainhaven/choice/liveness"
 	"rainhaven/internal/rtsp"
 	"rainhaven/internal/wire"
@@ -24,7 +24,7 @@
 	born     float64    // counts as started then; 0 is long ago
 	conns    []*link    // emptied as they end
 	held     []*session // standing there; emptied as they end
-	liveness liveness.Watch
+	liveness liveness.Monitor
 	tested   string // the test that is out; empty is none
 	testOn   *link
 	tests    int      // counts tests, for their names
@@ -178,7 +178,7 @@
 func (n *Node) noted(sv *server, s *session, m *rtsp.Message) {
 	x, err := strconv.ParseFloat(m.Header.Get(fieldFigure), 64)
 	kind := noteKinds[m.Header.Get(fieldNote)]
-	if err != nil || hearing.Report(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
+	if err != nil || delivery.SanitizeReport(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
 	if kind == wire.InForce && int(x) >= len(n.start.Figures.Ladder) {
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -16,21 +16,21 @@
 // take gives the connection for a SETUP, nil where there is none.
 func (n *Node) take(sv *server) *link {
 	var links []*link
-	var list []share.Carrying
+	var list []share.ServerConn
 	for _, l := range sv.conns {
 		if !l.closed && !(l.up && l.isEnding()) {
 			links = append(links, l)
-			list = append(list, share.Carrying{Up: l.up, Open: len(l.open), Used: l.used})
+			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.open), LastUsed: l.used})
 		}
 	}
-	switch i := share.Carry(list, n.perServer(), n.start.Streams); i {
-	case share.New:
+	switch i := share.PickConn(list, n.perServer(), n.start.Streams); i {
+	case share.OpenNew:
 		l := n.dial(sv)
 		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
 			l = slices.MinFunc(links, func(a, b *link) int { return len(a.open) - len(b.open) })
 		}
 		return l
-	case share.None:
+	case share.NoConn:
 		return nil
 	default:
 		return links[i]
@@ -44,7 +44,7 @@
 			live++
 		}
 	}
-	return share.PerServer(n.start.Sockets, live)
+	return share.MaxConnsPerServer(n.start.Sockets, live)
 }
 
 // links is how many connections to servers there are, and that are being opened.
@@ -57,19 +57,19 @@
 
 // room tells whether one more connection to a server may be opened; where they are many an idle one gives way.
 func (n *Node) room() bool {
-	if n.links() < share.Servers(n.start.Sockets) {
+	if n.links() < share.MaxServerConns(n.start.Sockets) {
 		return true
 	}
 	var links []*link
-	var list []share.Carrying
+	var list []share.ServerConn
 	for _, sv := range n.servers {
 		for _, l := range sv.conns {
 			if l.up && sv.testOn != l && (len(sv.held) == 0 || len(sv.conns) > 1) {
-				links, list = append(links, l), append(list, share.Carrying{Up: true, Open: len(l.open), Used: l.used})
+				links, list = append(links, l), append(list, share.ServerConn{Up: true, Pending: len(l.open), LastUsed: l.used})
 			}
 		}
 	}
-	if i := share.Yield(list); i >= 0 {
+	if i := share.PickIdle(list); i >= 0 {
 		n.retire(links[i])
 		links[i].drop()
 		return true
@@ -84,7 +84,7 @@
 	}
 	wait := n.start.Connect
 	if wait <= 0 {
-		wait = limits.Usual.ConnectTimeout
+		wait = limits.Defaults.ConnectTimeout
 	}
 	ctx, stop := context.WithTimeout(n.ctx, time.Duration(wait*float64(time.Second)))
 	l := &link{sv: sv, used: n.now, stop: stop}
@@ -176,11 +176,11 @@
 	n.failTest(l, choice.Unsent)
 	for _, s := range slices.Clone(l.open) {
 		n.unlink(s)
-		if s.local++; s.local > share.LocalTries {
+		if s.local++; s.local > share.MaxLocalRetries {
 			n.setupOver(s, choice.Unsent, noReport)
 			continue
 		}
-		n.after(share.LocalPause, func() {
+		n.after(share.LocalRetryDelay, func() {
 			if n.sessions[s.id] == s && s.state == attempting && s.on == nil {
 				n.carry(s)
 			}
@@ -233,7 +233,7 @@
 		n.unlink(s)
 		n.guard.Unsent(s.id)
 		s.history.note(n.now, stepResent, "")
-		if s.resent++; s.resent > share.Resent {
+		if s.resent++; s.resent > share.MaxResends {
 			n.setupOver(s, choice.Unsent, noReport)
 			continue
 		}
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -17,11 +17,11 @@
 // ask takes a new session to the module. Its deadline counts from when it was read, however long it waited for the loop.
 func (n *Node) ask(v *client, a ask, at float64) {
 	s := &session{ask: a, client: v, rung: n.start.Figures.Groups[a.group].Floor, from: -1}
-	s.request.SetupTimeout = at + max(a.patience-share.Margin, 0)
+	s.request.SetupTimeout = at + max(a.patience-share.AnswerMargin, 0)
 	n.guard.Read(n.now, s.id, n.start.Figures.Groups[a.group].Paid, at+a.patience)
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
-	v.Open++
+	v.Pending++
 	n.open++
 	n.counts["asked"]++
 	n.complain(s.id)
@@ -36,7 +36,7 @@
 		return
 	}
 	sv := n.byID[a.at]
-	if sv == nil || n.early[a.id] || len(n.sessions)-n.open >= share.Handed(n.start.MemoryMB) {
+	if sv == nil || n.early[a.id] || len(n.sessions)-n.open >= share.MaxHandedOver(n.start.MemoryMB) {
 		delete(n.early, a.id)
 		v.send(tearDown(a.url, a.id, causeCut))
 		return
@@ -45,7 +45,7 @@
 	s := &session{ask: a, client: v, state: established, since: n.now, server: sv, rung: n.start.Figures.Groups[a.group].Floor}
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
-	v.Standing++
+	v.Established++
 	v.proven = true
 	s.server.held = append(s.server.held, s)
 	n.counts["handed"]++
@@ -185,11 +185,11 @@
 	if v := s.client; v != nil {
 		v.held = slices.DeleteFunc(v.held, func(o *session) bool { return o == s })
 		if s.state == established {
-			v.Standing--
+			v.Established--
 		} else {
-			v.Open--
+			v.Pending--
 		}
-		v.Used = n.now
+		v.LastUsed = n.now
 	}
 	if s.state != established {
 		n.open--
@@ -209,8 +209,8 @@
 	n.counts["served"]++
 	n.feed(wire.Event{Kind: wire.Playing, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
 	v := s.client
-	v.Open--
-	v.Standing++
+	v.Pending--
+	v.Established++
 	v.proven = true
 	if n.guard.Answer(n.now, s.id, invariant.Served) && !n.spoils(SabotageAnswer, s.id) {
 		if n.spoils(SabotageTwice, s.id) {
@@ -308,7 +308,7 @@
 		n.departed(s)
 		return
 	}
-	wait := min(share.Overtaken, s.request.SetupTimeout-n.now)
+	wait := min(share.OvertakenAnswerWait, s.request.SetupTimeout-n.now)
 	s.waiting = n.after(max(wait, 0), func() {
 		s.waiting = nil
 		n.departed(s)
--- a/internal/node/started.go
+++ b/internal/node/started.go
@@ -14,8 +14,8 @@
 
 // sinceStart is how many seconds ago a server started as far as the own wall clock can tell, within what is likely.
 func (n *Node) sinceStart(ms float64) float64 {
-	return slowstart.Since(n.now - ms/1000)
+	return slowstart.Age(n.now - ms/1000)
 }
 
 // started is the instant from which a server counts as started.
-func (n *Node) started(ms float64) float64 { return slowstart.Started(n.now, n.now-ms/1000, n.ready) }
+func (n *Node) started(ms float64) float64 { return slowstart.StartedAt(n.now, n.now-ms/1000, n.ready) }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -65,15 +65,15 @@
 		{Name: "length", Kind: Number, Doc: "its length in seconds; 0 is not known"},
 		{Name: "wanted", Kind: Number, Default: 1.0, Doc: "how much it is wanted on a day, over others"}}},
 	{Name: "limits", Once: true, Doc: "the front's own bounds", Fields: []Field{
-		{Name: "connections", Kind: Whole, Default: float64(limits.Usual.Connections), Min: 1, Doc: "of viewers, in all"},
-		{Name: "sessions", Kind: Whole, Default: float64(limits.Usual.Sessions), Min: 1, Doc: "in all; more are busy-replied"},
-		{Name: "box_connections", Kind: Whole, Default: float64(limits.Usual.BoxConnections), Min: 1, Doc: "to one box"},
-		{Name: "queue", Kind: Whole, Default: float64(limits.Usual.Queue), Min: 1 << 14, Max: 1 << 28, Doc: "bytes of media that wait for one viewer"},
-		{Name: "viewer_idle", Kind: Number, Default: limits.Usual.ViewerIdle, Min: 5, Max: 3600, Doc: "seconds after which an unheard viewer is gone"},
-		{Name: "keep_alive", Kind: Number, Default: limits.Usual.KeepAlive, Min: 1, Max: 3600, Doc: "seconds between signs of life to a box"},
-		{Name: "connect_timeout", Kind: Number, Default: limits.Usual.ConnectTimeout, Min: 0.01, Max: 30, Doc: "seconds for a connection to a box"},
-		{Name: "probe_timeout", Kind: Number, Default: limits.Usual.ProbeTimeout, Min: 0.01, Max: 30, Doc: "seconds for a probe's answer"},
-		{Name: "write_stall", Kind: Number, Default: limits.Usual.WriteStall, Min: 0.5, Max: 300, Doc: "seconds that one write to a viewer may take"}}},
+		{Name: "connections", Kind: Whole, Default: float64(limits.Defaults.Connections), Min: 1, Doc: "of viewers, in all"},
+		{Name: "sessions", Kind: Whole, Default: float64(limits.Defaults.Sessions), Min: 1, Doc: "in all; more are busy-replied"},
+		{Name: "box_connections", Kind: Whole, Default: float64(limits.Defaults.BoxConnections), Min: 1, Doc: "to one box"},
+		{Name: "queue", Kind: Whole, Default: float64(limits.Defaults.Queue), Min: 1 << 14, Max: 1 << 28, Doc: "bytes of media that wait for one viewer"},
+		{Name: "viewer_idle", Kind: Number, Default: limits.Defaults.ViewerIdle, Min: 5, Max: 3600, Doc: "seconds after which an unheard viewer is gone"},
+		{Name: "keep_alive", Kind: Number, Default: limits.Defaults.KeepAlive, Min: 1, Max: 3600, Doc: "seconds between signs of life to a box"},
+		{Name: "connect_timeout", Kind: Number, Default: limits.Defaults.ConnectTimeout, Min: 0.01, Max: 30, Doc: "seconds for a connection to a box"},
+		{Name: "probe_timeout", Kind: Number, Default: limits.Defaults.ProbeTimeout, Min: 0.01, Max: 30, Doc: "seconds for a probe's answer"},
+		{Name: "write_stall", Kind: Number, Default: limits.Defaults.WriteStall, Min: 0.5, Max: 300, Doc: "seconds that one write to a viewer may take"}}},
 }
 
 // FrontForms are the forms of a front's settings.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,5 +1,5 @@
 // Package state keeps what a front must know again in a file of its instance's folder (bbolt), and the folder's lock. What
-// is believed of it is decided in choice/recall.
+// is believed of it is decided in choice/restore.
 //
 // The file holds one value: a line with the name of the form, its version and a checksum, then JSON. A file that is
 // damaged, of another version, or not a store at all is set aside under another name, and the front starts without.
@@ -22,7 +22,7 @@
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
 
-	"rainhaven/choice/recall"
+	"rainhaven/choice/restore"
 )
 
 const (
@@ -114,7 +114,7 @@
 
 // Load opens the store and reads what was kept. found is false where there is nothing or nothing usable; say tells why in
 // that case, if there is anything to tell. The error is that of a folder in which nothing can be kept.
-func (f *Folder) Load() (s *Store, kept recall.Stored, found bool, say string, err error) {
+func (f *Folder) Load() (s *Store, kept restore.Snapshot, found bool, say string, err error) {
 	// A file cut short is mapped past its end, and reading there faults: that too is damage and no reason to end.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	name := f.Path(file)
@@ -135,9 +135,9 @@
 		return nil, kept, false, say, err
 	}
 	if db, err = open(name); err != nil {
-		return nil, recall.Stored{}, false, say, err
+		return nil, restore.Snapshot{}, false, say, err
 	}
-	return &Store{db}, recall.Stored{}, false, say, nil
+	return &Store{db}, restore.Snapshot{}, false, say, nil
 }
 
 // open opens a file of bbolt's. Damaged pages may have it panic. The list of free pages is kept in the file: to gather it
@@ -151,7 +151,7 @@
 	return bbolt.Open(name, 0o600, &bbolt.Options{Timeout: time.Second})
 }
 
-func read(db *bbolt.DB) (kept recall.Stored, found bool, err error) {
+func read(db *bbolt.DB) (kept restore.Snapshot, found bool, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("damaged: %v", p)
@@ -174,7 +174,7 @@
 }
 
 // Encode writes what is kept as one value.
-func Encode(s recall.Stored) ([]byte, error) {
+func Encode(s restore.Snapshot) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -188,7 +188,7 @@
 }
 
 // Decode reads one value.
-func Decode(v []byte) (s recall.Stored, err error) {
+func Decode(v []byte) (s restore.Snapshot, err error) {
 	head, rest, ok := bytes.Cut(v, []byte("\n"))
 	var name string
 	var n int
@@ -202,13 +202,13 @@
 		return s, errors.New("the checksum is wrong")
 	}
 	if err := json.Unmarshal(rest[8:], &s); err != nil {
-		return recall.Stored{}, err
+		return restore.Snapshot{}, err
 	}
 	return s, nil
 }
 
 // Keep writes what is to be known again, whole or not at all.
-func (s *Store) Keep(m recall.Stored) (err error) {
+func (s *Store) Keep(m restore.Snapshot) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil { // damage that shows at a write only
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -9,18 +9,18 @@
 	"testing"
 
 	"rainhaven/choice"
-	"rainhaven/choice/recall"
+	"rainhaven/choice/restore"
 )
 
-func sample(n int) recall.Stored {
-	s := recall.Stored{Saved: float64(n), Memory: choice.Memory{Taken: []float64{1, 2}}}
+func sample(n int) restore.Snapshot {
+	s := restore.Snapshot{SavedAt: float64(n), Memory: choice.Memory{Taken: []float64{1, 2}}}
 	for i := range 300 {
 		s.Memory.Servers = append(s.Memory.Servers, choice.Remembered{ID: choice.ServerID(i), Born: float64(n), Gap: 3.25})
 	}
 	return s
 }
 
-func load(t *testing.T, f *Folder) (*Store, recall.Stored, bool, string) {
+func load(t *testing.T, f *Folder) (*Store, restore.Snapshot, bool, string) {
 	t.Helper()
 	s, kept, found, say, err := f.Load()
 	if err != nil {
@@ -53,8 +53,8 @@
 	s.Close()
 	s, kept, found, _ := load(t, f)
 	s.Close()
-	if !found || kept.Saved != 4 || len(kept.Memory.Servers) != 300 || kept.Memory.Servers[7].Gap != 3.25 {
-		t.Errorf("%v %+v", found, kept.Saved)
+	if !found || kept.SavedAt != 4 || len(kept.Memory.Servers) != 300 || kept.Memory.Servers[7].Gap != 3.25 {
+		t.Errorf("%v %+v", found, kept.SavedAt)
 	}
 	f.Close()
 	if g, err := Open(dir, "a"); err != nil {
@@ -111,16 +111,16 @@
 		s, kept, found, say := load(t, f)
 		defer s.Close()
 		switch {
-		case found && kept.Saved == 3:
+		case found && kept.SavedAt == 3:
 			old++
-		case found && kept.Saved == 4:
+		case found && kept.SavedAt == 4:
 			new++
 		case found && cut: // an older value, whose own instant tells its age
 			asides++
 		case !found && say != "":
 			asides++
 		default:
-			t.Fatalf("found %v, of %v, said %q", found, kept.Saved, say)
+			t.Fatalf("found %v, of %v, said %q", found, kept.SavedAt, say)
 		}
 		if err := s.Keep(sample(9)); err != nil {
 			t.Fatalf("nothing can be kept after it: %v", err)
