--- a/choice/choice.go
+++ b/choice/choice.go
@@ -149,7 +149,7 @@
 		f.slot = s.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
 		f.half = budget*0.75 < 2
 		if f.ownClock {
-			f.budget, f.slots = budget, slowstart.Slots(budget)
+			f.budget, f.slots = budget, slowstart.SlotsPerWindow(budget)
 			f.slot = s.OverloadTime / f.slots
 		}
 	}
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -597,7 +597,7 @@
 	t.mod.ProbeEnded(box, o, rep)
 }
 
-// ShortDelivery, Load pass on what choice/hearing makes of boxes.
+// ShortDelivery, Load pass on what choice/delivery makes of boxes.
 func (t *Table) ShortDelivery(box choice.ServerID, share float64) { t.mod.ShortDelivery(box, share) }
 
 // LoadNote passes on a load note that came with a session's media.
