--- a/choice/entry/entry.go
+++ b/choice/auth/auth.go
@@ -1,7 +1,7 @@
-// Package entry decides which requests of viewers pass where users are named: digest authentication by RFC 7616
+// Package auth decides which requests of viewers pass where users are named: digest authentication by RFC 7616
 // (SHA-256, and MD5 for old clients) and RFC 2069 as RFC 2326 names it. It does no I/O and keeps no table: what it must
 // know of a challenge stands in the challenge itself, signed.
-package entry
+package auth
 
 import (
 	"crypto/hmac"
@@ -19,15 +19,15 @@
 // User is one who may enter.
 type User struct{ Name, Password string }
 
-// Verdict is what becomes of a request.
-type Verdict int
+// Result is what becomes of a request.
+type Result int
 
-// The verdicts. Challenged and Stale are answered 401, Stale with the word that only the nonce was old.
+// The verdicts. NoCredentials and StaleNonce are answered 401, StaleNonce with the word that only the nonce was old.
 const (
-	Passed Verdict = iota + 1
-	Challenged
-	Stale
-	Wrong
+	Accepted Result = iota + 1
+	NoCredentials
+	StaleNonce
+	Rejected
 )
 
 const (
@@ -43,19 +43,19 @@
 	make func() hash.Hash
 }{{"SHA-256", sha256.New}, {"MD5", md5.New}}
 
-// Gate checks credentials. It keeps hashes of passwords, not the passwords.
-type Gate struct {
+// Authenticator checks credentials. It keeps hashes of passwords, not the passwords.
+type Authenticator struct {
 	realm string
 	key   []byte
 	users map[string][2]string // H(user:realm:password) by algorithm
 }
 
 // New makes a gate; key signs nonces and is secret. Without users it is nil, and everyone passes.
-func New(realm string, users []User, key []byte) *Gate {
+func New(realm string, users []User, key []byte) *Authenticator {
 	if len(users) == 0 {
 		return nil
 	}
-	g := &Gate{realm: realm, key: key, users: map[string][2]string{}}
+	g := &Authenticator{realm: realm, key: key, users: map[string][2]string{}}
 	for _, u := range users {
 		var h [2]string
 		for i, a := range algorithms {
@@ -73,7 +73,7 @@
 }
 
 // nonce is the instant in milliseconds, and a signature over it and the connection: it is of no use on another one.
-func (g *Gate) nonce(ms uint64, conn uint64) string {
+func (g *Authenticator) nonce(ms uint64, conn uint64) string {
 	b := binary.BigEndian.AppendUint64(nil, ms)
 	m := hmac.New(sha256.New, g.key)
 	m.Write(binary.BigEndian.AppendUint64(b, conn))
@@ -81,7 +81,7 @@
 }
 
 // Challenge is what a refused request is answered with: values for WWW-Authenticate.
-func (g *Gate) Challenge(now float64, conn uint64, stale bool) (list []string) {
+func (g *Authenticator) Challenge(now float64, conn uint64, stale bool) (list []string) {
 	n := g.nonce(uint64(max(now, 0)*1000), conn)
 	for _, a := range algorithms {
 		v := fmt.Sprintf(`Digest realm="%s", nonce="%s", algorithm=%s, qop="auth"`, g.realm, n, a.name)
@@ -93,20 +93,20 @@
 	return list
 }
 
-// Enough tells that a connection has given so many wrong answers that it is ended.
-func Enough(wrong int) bool { return wrong >= mostWrong }
+// TooManyFailures tells that a connection has given so many wrong answers that it is ended.
+func TooManyFailures(wrong int) bool { return wrong >= mostWrong }
 
 // Check judges a request by its Authorization field, empty where it has none.
-func (g *Gate) Check(now float64, conn uint64, method, url, authorization string) Verdict {
+func (g *Authenticator) Check(now float64, conn uint64, method, url, authorization string) Result {
 	if g == nil {
-		return Passed
+		return Accepted
 	}
 	if authorization == "" {
-		return Challenged
+		return NoCredentials
 	}
-	scheme, p, err := Parse(authorization)
+	scheme, p, err := ParseHeader(authorization)
 	if err != nil || !strings.EqualFold(scheme, "Digest") || p["realm"] != g.realm {
-		return Wrong
+		return Rejected
 	}
 	algorithm := -1
 	for i, a := range algorithms {
@@ -115,11 +115,11 @@
 		}
 	}
 	if algorithm < 0 || !covers(p["uri"], url) {
-		return Wrong
+		return Rejected
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(p["nonce"])
 	if err != nil || len(raw) != 24 {
-		return Wrong
+		return Rejected
 	}
 	ms := binary.BigEndian.Uint64(raw)
 	signed := subtle.ConstantTimeCompare([]byte(p["nonce"]), []byte(g.nonce(ms, conn))) == 1
@@ -131,11 +131,11 @@
 	good := subtle.ConstantTimeCompare([]byte(strings.ToLower(p["response"])), []byte(want)) == 1
 	switch age := now - float64(ms)/1000; {
 	case !good || !known:
-		return Wrong
+		return Rejected
 	case !signed || age > nonceTime || age < -1:
-		return Stale // the right password over a nonce that is old, or another connection's
+		return StaleNonce // the right password over a nonce that is old, or another connection's
 	}
-	return Passed
+	return Accepted
 }
 
 // covers tells whether a digest's uri names the request's URL, or the presentation that this is a track of. Players
@@ -169,9 +169,9 @@
 	return digest(h, u.Name+":"+realm+":"+u.Password)
 }
 
-// Parse reads an Authorization or WWW-Authenticate field: its scheme, and its parameters by their names in small
+// ParseHeader reads an Authorization or WWW-Authenticate field: its scheme, and its parameters by their names in small
 // letters. A name that stands twice is an error, as is more than there is in any honest field.
-func Parse(v string) (scheme string, p map[string]string, err error) {
+func ParseHeader(v string) (scheme string, p map[string]string, err error) {
 	scheme, rest, _ := strings.Cut(strings.TrimSpace(v), " ")
 	p = map[string]string{}
 	for rest = strings.TrimSpace(rest); rest != ""; rest = strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(rest), ",")) {
--- a/choice/entry/entry_test.go
+++ b/choice/auth/auth_test.go
@@ -1,4 +1,4 @@
-package entry
+package auth
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 // reply is what a client answers a challenge with.
 func reply(challenge string, u User, method, uri string, qop bool) string {
-	_, p, _ := Parse(challenge)
+	_, p, _ := ParseHeader(challenge)
 	q := map[string]string{"username": u.Name, "realm": p["realm"], "nonce": p["nonce"], "uri": uri, "algorithm": p["algorithm"]}
 	if qop {
 		q["qop"], q["nc"], q["cnonce"] = "auth", "00000001", "abc"
@@ -48,33 +48,33 @@
 		conn   uint64
 		method string
 		auth   string
-		want   Verdict
+		want   Result
 	}{
-		"SHA-256":            {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), Passed},
-		"MD5":                {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, true), Passed},
-		"an old client":      {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, false), Passed},
-		"the presentation":   {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url+"/", true), Passed},
-		"none":               {1001, 7, "SETUP", "", Challenged},
-		"another method":     {1001, 7, "SETUP", reply(ch[0], u, "PLAY", url, true), Wrong},
-		"another URL":        {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554/fault-clips/other", true), Wrong},
-		"a URL over all":     {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554", true), Wrong},
-		"wrong password":     {1001, 7, "SETUP", reply(ch[0], User{"lena", "x"}, "SETUP", url, true), Wrong},
-		"nobody":             {1001, 7, "SETUP", reply(ch[0], User{"eve", "x"}, "SETUP", url, true), Wrong},
-		"later":              {1301, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), Stale},
-		"another connection": {1001, 8, "SETUP", reply(ch[0], u, "SETUP", url, true), Stale},
-		"a made-up nonce":    {1001, 7, "SETUP", reply(strings.Replace(ch[0], `nonce="A`, `nonce="B`, 1), u, "SETUP", url, true), Stale},
-		"Basic":              {1001, 7, "SETUP", "Basic bGVuYTpwdw==", Wrong},
-		"broken":             {1001, 7, "SETUP", `Digest username="lena`, Wrong},
-		"twice":              {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true) + `, username="x"`, Wrong},
+		"SHA-256":            {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), Accepted},
+		"MD5":                {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, true), Accepted},
+		"an old client":      {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, false), Accepted},
+		"the presentation":   {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url+"/", true), Accepted},
+		"none":               {1001, 7, "SETUP", "", NoCredentials},
+		"another method":     {1001, 7, "SETUP", reply(ch[0], u, "PLAY", url, true), Rejected},
+		"another URL":        {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554/fault-clips/other", true), Rejected},
+		"a URL over all":     {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554", true), Rejected},
+		"wrong password":     {1001, 7, "SETUP", reply(ch[0], User{"lena", "x"}, "SETUP", url, true), Rejected},
+		"nobody":             {1001, 7, "SETUP", reply(ch[0], User{"eve", "x"}, "SETUP", url, true), Rejected},
+		"later":              {1301, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), StaleNonce},
+		"another connection": {1001, 8, "SETUP", reply(ch[0], u, "SETUP", url, true), StaleNonce},
+		"a made-up nonce":    {1001, 7, "SETUP", reply(strings.Replace(ch[0], `nonce="A`, `nonce="B`, 1), u, "SETUP", url, true), StaleNonce},
+		"Basic":              {1001, 7, "SETUP", "Basic bGVuYTpwdw==", Rejected},
+		"broken":             {1001, 7, "SETUP", `Digest username="lena`, Rejected},
+		"twice":              {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true) + `, username="x"`, Rejected},
 	} {
 		if got := g.Check(c.now, c.conn, c.method, url+"/track1?viewer=3", c.auth); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
-	if New("r", nil, nil).Check(1, 1, "SETUP", url, "") != Passed {
+	if New("r", nil, nil).Check(1, 1, "SETUP", url, "") != Accepted {
 		t.Error("without users not all pass")
 	}
-	if Enough(1) || !Enough(100) {
+	if TooManyFailures(1) || !TooManyFailures(100) {
 		t.Error("wrong answers are not counted")
 	}
 }
@@ -86,10 +86,10 @@
 	f.Add(`Digest a="\"", b=c,, d`)
 	f.Fuzz(func(t *testing.T, v string) {
 		// On another connection than the challenge's nothing passes, whatever it says.
-		if g.Check(1001, 8, "SETUP", url, v) == Passed {
+		if g.Check(1001, 8, "SETUP", url, v) == Accepted {
 			t.Fatalf("%q passes", v)
 		}
-		if _, p, err := Parse(v); err == nil && len(p) > 20 {
+		if _, p, err := ParseHeader(v); err == nil && len(p) > 20 {
 			t.Fatalf("%d parameters", len(p))
 		}
 	})
--- a/choice/account/account.go
+++ b/choice/decisionlog/decisionlog.go
@@ -1,6 +1,6 @@
-// Package account keeps the last decisions of a front and puts them into words: why a session got its box and rung, or was
+// Package decisionlog keeps the last decisions of a front and puts them into words: why a session got its box and rung, or was
 // turned away. It does no I/O.
-package account
+package decisionlog
 
 import (
 	"fmt"
@@ -10,33 +10,33 @@
 	"rainhaven/choice"
 )
 
-// Act is what was decided, or what came of it.
-type Act int
+// Kind is what was decided, or what came of it.
+type Kind int
 
 // The acts.
 const (
-	Asked Act = iota + 1
-	Setup
-	SetupOver
-	Rung
+	Requested Kind = iota + 1
+	SetupSent
+	SetupEnded
+	RungChanged
 	RungRefused
-	Busy
-	TornDown
+	BusyReplied
+	Failed
 	Ended
 )
 
 // Entry is one decision or outcome.
 type Entry struct {
-	At       float64
-	Sess     choice.SessID
-	Act      Act
-	Box      choice.ServerID
-	Rung     int
-	Seconds  float64 // a SETUP's wait, a busy reply's advice
-	Outcome  choice.Outcome
-	Word     string          // of an end
-	Standing choice.Standing // at a SETUP and at an answer; holders by most room, mostHolders of them
-	Holders  int             // in all
+	At          float64
+	Session     choice.SessID
+	Kind        Kind
+	Box         choice.ServerID
+	Rung        int
+	Seconds     float64 // a SETUP's wait, a busy reply's advice
+	Outcome     choice.Outcome
+	EndReason   string          // of an end
+	Snapshot    choice.Standing // at a SETUP and at an answer; holders by most room, mostHolders of them
+	HolderCount int             // in all
 }
 
 const (
@@ -52,10 +52,10 @@
 	next int
 }
 
-// Note keeps one.
-func (r *Ring) Note(e Entry) {
-	e.Holders = len(e.Standing.Holders)
-	slices.SortStableFunc(e.Standing.Holders, func(a, b choice.View) int {
+// Record keeps one.
+func (r *Ring) Record(e Entry) {
+	e.HolderCount = len(e.Snapshot.Holders)
+	slices.SortStableFunc(e.Snapshot.Holders, func(a, b choice.View) int {
 		switch {
 		case a.Room > b.Room:
 			return -1
@@ -64,7 +64,7 @@
 		}
 		return 0
 	})
-	e.Standing.Holders = slices.Clone(e.Standing.Holders[:min(len(e.Standing.Holders), mostHolders)])
+	e.Snapshot.Holders = slices.Clone(e.Snapshot.Holders[:min(len(e.Snapshot.Holders), mostHolders)])
 	if len(r.list) < most {
 		r.list = append(r.list, e)
 		return
@@ -73,21 +73,21 @@
 	r.next = (r.next + 1) % most
 }
 
-// Of gives what is kept of a session, oldest first.
-func (r *Ring) Of(id choice.SessID) (list []Entry) {
+// ForSession gives what is kept of a session, oldest first.
+func (r *Ring) ForSession(id choice.SessID) (list []Entry) {
 	for i := range r.list {
-		if e := r.list[(r.next+i)%len(r.list)]; e.Sess == id {
+		if e := r.list[(r.next+i)%len(r.list)]; e.Session == id {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// Turned gives the session that was turned away last; empty where none is kept.
-func (r *Ring) Turned() choice.SessID {
+// LastRejected gives the session that was turned away last; empty where none is kept.
+func (r *Ring) LastRejected() choice.SessID {
 	for i := len(r.list) - 1; i >= 0; i-- {
-		if e := r.list[(r.next+i)%len(r.list)]; e.Act == Busy || e.Act == TornDown {
-			return e.Sess
+		if e := r.list[(r.next+i)%len(r.list)]; e.Kind == BusyReplied || e.Kind == Failed {
+			return e.Session
 		}
 	}
 	return ""
@@ -98,8 +98,8 @@
 	choice.Cancelled: "given up", choice.Unsent: "not sent, the box left the list",
 	choice.Departed: "ended before its answer came"}
 
-// Say puts a session's entries into words, a line each, instants from the first one on.
-func Say(list []Entry) (lines []string) {
+// Explain puts a session's entries into words, a line each, instants from the first one on.
+func Explain(list []Entry) (lines []string) {
 	for _, e := range list {
 		lines = append(lines, fmt.Sprintf("%+.3f s  %s", e.At-list[0].At, e.words()))
 	}
@@ -107,30 +107,30 @@
 }
 
 func (e Entry) words() string {
-	switch e.Act {
-	case Asked:
+	switch e.Kind {
+	case Requested:
 		return fmt.Sprintf("asked for; rung %d at most by its viewer", e.Rung)
-	case Setup:
+	case SetupSent:
 		return fmt.Sprintf("SETUP to box %d at rung %d, waited for %.2f s; %s", e.Box, e.Rung, e.Seconds, e.holders())
-	case SetupOver:
+	case SetupEnded:
 		return fmt.Sprintf("SETUP to box %d: %s", e.Box, outcomes[e.Outcome])
-	case Rung:
+	case RungChanged:
 		return fmt.Sprintf("to rung %d, as demand over the target is now %s", e.Rung, e.pressure())
 	case RungRefused:
 		return fmt.Sprintf("the box did not make the change; rung %d stays", e.Rung)
-	case Busy:
+	case BusyReplied:
 		return fmt.Sprintf("busy-replied, to come back in %.0f s: %s; %s", e.Seconds, e.why(), e.holders())
-	case TornDown:
+	case Failed:
 		return "torn down: a SETUP may have run, and its group's are not repeated; " + e.holders()
 	case Ended:
-		return "over: " + e.Word
+		return "over: " + e.EndReason
 	}
 	return "unknown"
 }
 
 // pressure is that of the session's own box.
 func (e Entry) pressure() string {
-	for _, v := range e.Standing.Holders {
+	for _, v := range e.Snapshot.Holders {
 		if v.Box == e.Box {
 			return fmt.Sprintf("%.2f on its link and %.2f on its uplink", v.Link, v.Uplink)
 		}
@@ -140,7 +140,7 @@
 
 // why names the first cause that turned the session away, in the order in which the module looks.
 func (e Entry) why() string {
-	s := e.Standing
+	s := e.Snapshot
 	free := 0
 	for _, v := range s.Holders {
 		if v.State == choice.Ready && !v.Aside && !v.Full && !v.Waits && !v.Tried {
@@ -152,7 +152,7 @@
 		return "all seats of its title are taken"
 	case s.Sent > 0 && s.Spent:
 		return "the ration of further SETUPs is spent"
-	case e.Holders == 0:
+	case e.HolderCount == 0:
 		return "no box of the list holds its title"
 	case free == 0:
 		return "no holder may get it"
@@ -167,7 +167,7 @@
 	var not []string
 	count := func(what string, is func(v choice.View) bool) {
 		n := 0
-		for _, v := range e.Standing.Holders {
+		for _, v := range e.Snapshot.Holders {
 			if is(v) {
 				n++
 			}
@@ -181,11 +181,11 @@
 	count("full", func(v choice.View) bool { return v.Full })
 	count("cold, in another front's turn", func(v choice.View) bool { return v.Waits })
 	count("tried", func(v choice.View) bool { return v.Tried })
-	s := fmt.Sprintf("%d holders", e.Holders)
+	s := fmt.Sprintf("%d holders", e.HolderCount)
 	if len(not) > 0 {
 		s += " (" + strings.Join(not, ", ") + ")"
 	}
-	for i, v := range e.Standing.Holders[:min(len(e.Standing.Holders), 3)] {
+	for i, v := range e.Snapshot.Holders[:min(len(e.Snapshot.Holders), 3)] {
 		s += fmt.Sprintf("%s box %d has room for %.0f kB/s at %.2f/%.2f of its targets", [...]string{":", ",", ","}[i], v.Box, v.Room, v.Link, v.Uplink)
 	}
 	return s
--- a/choice/describe/describe.go
+++ b/choice/describe/describe.go
@@ -12,13 +12,13 @@
 	"rainhaven/choice"
 )
 
-// Step is what to do next for a title.
-type Step int
+// Action is what to do next for a title.
+type Action int
 
 // The steps. Wait: a holder was asked already. Fail: no holder gave a description that can be used.
 const (
-	Answer Step = iota + 1
-	Ask
+	Answer Action = iota + 1
+	Fetch
 	Wait
 	Fail
 )
@@ -33,7 +33,7 @@
 	// Holders asked before a viewer is told: it waits some seconds at most, and a third would rarely come to that.
 	mostAsked = 2
 	// Time a holder has to answer; it comes in milliseconds.
-	AskTime = 1.0
+	FetchTimeout = 1.0
 	// Titles kept: at 2 kB each this bounds the cache at 4 MB.
 	mostKept = 2000
 )
@@ -57,11 +57,11 @@
 // New makes a cache for boxes in so many cells.
 func New(cells int) *Cache { return &Cache{cells: max(cells, 1), titles: map[string]*entry{}} }
 
-// Cells changes how many cells there are.
-func (c *Cache) Cells(n int) { c.cells = max(n, 1) }
+// SetCells changes how many cells there are.
+func (c *Cache) SetCells(n int) { c.cells = max(n, 1) }
 
-// Boxes takes the list, whole or changed entries only.
-func (c *Cache) Boxes(whole bool, list []choice.Listing) {
+// UpdateBoxes takes the list, whole or changed entries only.
+func (c *Cache) UpdateBoxes(whole bool, list []choice.Listing) {
 	if whole {
 		c.boxes = nil
 	}
@@ -91,8 +91,8 @@
 	return 0, false
 }
 
-// Want takes a viewer's wish for a title that lies in span cells from start on.
-func (c *Cache) Want(now float64, title string, start, span int) (Step, choice.ServerID, []byte) {
+// Request takes a viewer's wish for a title that lies in span cells from start on.
+func (c *Cache) Request(now float64, title string, start, span int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
 	if e == nil {
 		c.room()
@@ -110,11 +110,11 @@
 	return c.ask(now, e, start, span)
 }
 
-func (c *Cache) ask(now float64, e *entry, start, span int) (Step, choice.ServerID, []byte) {
+func (c *Cache) ask(now float64, e *entry, start, span int) (Action, choice.ServerID, []byte) {
 	if len(e.asked) < mostAsked {
 		if id, ok := c.next(e, start, span); ok {
 			e.asked, e.out = append(e.asked, id), true
-			return Ask, id, nil
+			return Fetch, id, nil
 		}
 	}
 	if e.body != nil && now-e.at < stale {
@@ -123,9 +123,9 @@
 	return Fail, 0, nil
 }
 
-// Got takes what a holder answered; body is nil where it did not, or what it said can't be used. The step is for all who
+// HandleReply takes what a holder answered; body is nil where it did not, or what it said can't be used. The step is for all who
 // wait for the title.
-func (c *Cache) Got(now float64, title string, from choice.ServerID, body []byte, start, span int) (Step, choice.ServerID, []byte) {
+func (c *Cache) HandleReply(now float64, title string, from choice.ServerID, body []byte, start, span int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
 	if e == nil || !e.out || e.asked[len(e.asked)-1] != from {
 		return Wait, 0, nil // too late: another was asked since
--- a/choice/keys/keys.go
+++ b/choice/keys/keys.go
@@ -4,37 +4,37 @@
 
 import "fmt"
 
-// Pair is what was found in the files.
-type Pair struct {
-	Problem     string  // why they can't be used at all: half written, not a pair; empty is none
-	From, Until float64 // instants between which the certificate is good
-	Print       string  // of the certificate, to tell one from another
+// CertInfo is what was found in the files.
+type CertInfo struct {
+	Problem             string  // why they can't be used at all: half written, not a pair; empty is none
+	NotBefore, NotAfter float64 // instants between which the certificate is good
+	Fingerprint         string  // of the certificate, to tell one from another
 }
 
 // soon is how many seconds before its end a certificate is spoken of: two weeks are time to renew by hand.
 const soon = 14 * 24 * 3600.0
 
-// Take tells whether found replaces what is in use, and what there is to say of it; empty is nothing. At the start, where
+// ShouldReplace tells whether found replaces what is in use, and what there is to say of it; empty is nothing. At the start, where
 // nothing is in use, using is nil.
-func Take(now float64, using *Pair, found Pair) (take bool, say string) {
+func ShouldReplace(now float64, using *CertInfo, found CertInfo) (take bool, say string) {
 	switch {
 	case found.Problem != "":
 		// Against files that are being written: the next look finds them whole. Keeping the old pair harms nobody,
 		// as it is good until its own end.
 		return false, found.Problem
-	case using != nil && using.Print == found.Print:
-		if left := found.Until - now; left <= 0 {
+	case using != nil && using.Fingerprint == found.Fingerprint:
+		if left := found.NotAfter - now; left <= 0 {
 			return false, "the certificate in use has expired"
 		} else if left < soon {
 			return false, fmt.Sprintf("the certificate in use expires in %.0f hours", left/3600)
 		}
 		return false, ""
-	case now >= found.Until:
+	case now >= found.NotAfter:
 		return false, "the certificate has expired"
-	case now < found.From:
+	case now < found.NotBefore:
 		return false, "the certificate is not good yet"
-	case found.Until-now < soon:
-		return true, fmt.Sprintf("the certificate expires in %.0f hours", (found.Until-now)/3600)
+	case found.NotAfter-now < soon:
+		return true, fmt.Sprintf("the certificate expires in %.0f hours", (found.NotAfter-now)/3600)
 	}
 	return true, ""
 }
--- a/choice/pool/pool.go
+++ b/choice/pool/pool.go
@@ -9,8 +9,8 @@
 	"rainhaven/choice"
 )
 
-// Conn names a connection; its front numbers them.
-type Conn uint64
+// ConnID names a connection; its front numbers them.
+type ConnID uint64
 
 const (
 	// Idle connections kept a box: set-ups arrive about evenly, and four cover those that come together among a
@@ -22,7 +22,7 @@
 )
 
 type idle struct {
-	conn  Conn
+	conn  ConnID
 	since float64
 }
 
@@ -31,20 +31,20 @@
 	open int
 }
 
-// Keeper keeps account of one front's connections to boxes.
-type Keeper struct {
+// Pool keeps account of one front's connections to boxes.
+type Pool struct {
 	perBox int
 	boxes  map[choice.ServerID]*box // emptied as their connections are closed
 }
 
 // New makes a keeper that allows so many connections to a box.
-func New(perBox int) *Keeper { return &Keeper{max(perBox, 1), map[choice.ServerID]*box{}} }
+func New(perBox int) *Pool { return &Pool{max(perBox, 1), map[choice.ServerID]*box{}} }
 
-// PerBox changes how many connections to a box are allowed; those open past it go on.
-func (k *Keeper) PerBox(n int) { k.perBox = max(n, 1) }
+// SetMaxPerBox changes how many connections to a box are allowed; those open past it go on.
+func (k *Pool) SetMaxPerBox(n int) { k.perBox = max(n, 1) }
 
-// Take gives an idle connection to a box, the one used last, if there is one.
-func (k *Keeper) Take(id choice.ServerID) (Conn, bool) {
+// Get gives an idle connection to a box, the one used last, if there is one.
+func (k *Pool) Get(id choice.ServerID) (ConnID, bool) {
 	b := k.boxes[id]
 	if b == nil || len(b.idle) == 0 {
 		return 0, false
@@ -54,8 +54,8 @@
 	return c, true
 }
 
-// Open tells whether one more connection to a box may be opened, and counts it; Closed takes it back.
-func (k *Keeper) Open(id choice.ServerID) bool {
+// Reserve tells whether one more connection to a box may be opened, and counts it; Closed takes it back.
+func (k *Pool) Reserve(id choice.ServerID) bool {
 	b := k.boxes[id]
 	if b == nil {
 		b = &box{}
@@ -68,10 +68,10 @@
 	return true
 }
 
-// Clean tells whether a connection may carry another session after a box's last answer on it, of a SETUP or a TEARDOWN.
+// Reusable tells whether a connection may carry another session after a box's last answer on it, of a SETUP or a TEARDOWN.
 // Against a box that answers an error and goes on sending the old session's media, which the next viewer would get:
 // only these answers prove that it holds nothing there. It covers SETUPs that failed halfway. Harm: a new connection.
-func Clean(status int, tearDown bool) bool {
+func Reusable(status int, tearDown bool) bool {
 	if tearDown {
 		return status/100 == 2 || status == 454
 	}
@@ -79,7 +79,7 @@
 }
 
 // Put gives a connection back. It tells whether it is kept; else it is to be closed.
-func (k *Keeper) Put(id choice.ServerID, c Conn, now float64) bool {
+func (k *Pool) Put(id choice.ServerID, c ConnID, now float64) bool {
 	b := k.boxes[id]
 	if b == nil || len(b.idle) >= mostIdle || slices.ContainsFunc(b.idle, func(i idle) bool { return i.conn == c }) {
 		return false
@@ -89,7 +89,7 @@
 }
 
 // Closed tells that a connection is closed, by whichever side.
-func (k *Keeper) Closed(id choice.ServerID, c Conn) {
+func (k *Pool) Closed(id choice.ServerID, c ConnID) {
 	b := k.boxes[id]
 	if b == nil {
 		return
@@ -100,8 +100,8 @@
 	}
 }
 
-// Stale gives the idle connections that are to be closed by now. Closed follows for each.
-func (k *Keeper) Stale(now float64) (list []Conn) {
+// Expired gives the idle connections that are to be closed by now. Closed follows for each.
+func (k *Pool) Expired(now float64) (list []ConnID) {
 	for _, b := range k.boxes {
 		for len(b.idle) > 0 && now-b.idle[0].since >= idleTime {
 			list = append(list, b.idle[0].conn)
@@ -113,7 +113,7 @@
 }
 
 // Count is how many connections are open and how many of them idle.
-func (k *Keeper) Count() (open, unused int) {
+func (k *Pool) Count() (open, unused int) {
 	for _, b := range k.boxes {
 		open += b.open
 		unused += len(b.idle)
--- a/choice/pool/pool_test.go
+++ b/choice/pool/pool_test.go
@@ -11,9 +11,9 @@
 func TestKeeper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		per := rapid.IntRange(1, 6).Draw(t, "per box")
-		k, now, serial := New(per), 0.0, Conn(0)
-		busy, idle := map[Conn]choice.ServerID{}, map[Conn]choice.ServerID{}
-		on := func(id choice.ServerID, of map[Conn]choice.ServerID) (n int) {
+		k, now, serial := New(per), 0.0, ConnID(0)
+		busy, idle := map[ConnID]choice.ServerID{}, map[ConnID]choice.ServerID{}
+		on := func(id choice.ServerID, of map[ConnID]choice.ServerID) (n int) {
 			for _, b := range of {
 				if b == id {
 					n++
@@ -24,7 +24,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"use": func(t *rapid.T) {
 				id := choice.ServerID(rapid.IntRange(1, 3).Draw(t, "box"))
-				if c, ok := k.Take(id); ok {
+				if c, ok := k.Get(id); ok {
 					if idle[c] != id {
 						t.Fatalf("connection %d is not idle at %d", c, id)
 					}
@@ -35,7 +35,7 @@
 				if on(id, idle) > 0 {
 					t.Fatal("an idle connection was passed over")
 				}
-				ok := k.Open(id)
+				ok := k.Reserve(id)
 				if ok != (on(id, busy) < per) {
 					t.Fatalf("%d of %d open, one more: %v", on(id, busy), per, ok)
 				}
@@ -45,7 +45,7 @@
 				}
 			},
 			"give back": func(t *rapid.T) {
-				for c := Conn(1); c <= serial; c++ {
+				for c := ConnID(1); c <= serial; c++ {
 					if id, ok := busy[c]; ok {
 						delete(busy, c)
 						if k.Put(id, c, now) {
@@ -58,7 +58,7 @@
 				}
 			},
 			"break": func(t *rapid.T) {
-				for c := Conn(1); c <= serial; c++ {
+				for c := ConnID(1); c <= serial; c++ {
 					if id, ok := idle[c]; ok {
 						delete(idle, c)
 						k.Closed(id, c)
@@ -68,7 +68,7 @@
 			},
 			"time": func(t *rapid.T) {
 				now += rapid.Float64Range(0, 12).Draw(t, "dt")
-				for _, c := range k.Stale(now) {
+				for _, c := range k.Expired(now) {
 					id, ok := idle[c]
 					if !ok {
 						t.Fatalf("%d is stale and not idle", c)
@@ -90,7 +90,7 @@
 			},
 		})
 		now += 100
-		for _, c := range k.Stale(now) {
+		for _, c := range k.Expired(now) {
 			k.Closed(idle[c], c)
 		}
 		for c, id := range busy {
@@ -109,7 +109,7 @@
 		clean    bool
 	}{{200, true, true}, {454, true, true}, {500, true, false}, {455, true, false}, {453, false, true}, {503, false, true},
 		{500, false, false}, {404, false, false}} {
-		if got := Clean(c.status, c.tearDown); got != c.clean {
+		if got := Reusable(c.status, c.tearDown); got != c.clean {
 			t.Errorf("%d, TEARDOWN %v: %v", c.status, c.tearDown, got)
 		}
 	}
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -14,7 +14,7 @@
 	"slices"
 
 	"rainhaven/choice"
-	"rainhaven/choice/account"
+	"rainhaven/choice/decisionlog"
 )
 
 // Op is something asked of a box within a session, or by a viewer.
@@ -213,14 +213,14 @@
 	wake   float64                            // when the module wants Due; 0 is none
 	stop   bool
 	groups []choice.ServiceGroup
-	top    int           // of the ladder
-	kept   *account.Ring // of decisions
+	top    int               // of the ladder
+	kept   *decisionlog.Ring // of decisions
 }
 
 // New makes a table and its module.
 func New(now float64, fig choice.StartFigures, bounds Bounds, out Orders) *Table {
 	t := &Table{out: out, bounds: bounds, now: now, lives: map[choice.SessID]*life{},
-		list: map[choice.ServerID]choice.Listing{}, kept: &account.Ring{}}
+		list: map[choice.ServerID]choice.Listing{}, kept: &decisionlog.Ring{}}
 	t.module(fig)
 	return t
 }
@@ -309,7 +309,7 @@
 		l.verdict, l.comeBack = Busy, 1
 		return
 	}
-	t.note(l, account.Entry{Act: account.Asked, Rung: r.BestRung})
+	t.note(l, decisionlog.Entry{Kind: decisionlog.Requested, Rung: r.BestRung})
 	l.toldModule, l.req = true, r.request(id)
 	l.req.SetupTimeout = l.giveUp - margin
 	t.mod.Ask(l.req)
@@ -417,7 +417,7 @@
 func (t *Table) setupOver(l *life, o choice.Outcome, rep choice.Report) {
 	t.mark(l)
 	l.phase, l.wantSetup = idle, false
-	t.note(l, account.Entry{Act: account.SetupOver, Box: l.box, Outcome: o})
+	t.note(l, decisionlog.Entry{Kind: decisionlog.SetupEnded, Box: l.box, Outcome: o})
 	if l.alone {
 		ran := o != choice.Full && o != choice.NoConnection && o != choice.Unsent
 		if l.verdict, l.comeBack = Busy, 1; ran && t.groups[l.group].Paid {
@@ -496,7 +496,7 @@
 // rungStays answers a change of rung that the box did not make: the module goes on from the rung in force.
 func (t *Table) rungStays(l *life) {
 	l.wantRung = l.rung
-	t.note(l, account.Entry{Act: account.RungRefused, Rung: l.rung})
+	t.note(l, decisionlog.Entry{Kind: decisionlog.RungRefused, Rung: l.rung})
 	if l.toldModule {
 		t.mod.InForce(l.id, l.rung)
 	}
@@ -808,7 +808,7 @@
 	}
 	if l.wantEnd != 0 && !l.ended {
 		l.ended = true
-		t.note(l, account.Entry{Act: account.Ended, Word: l.wantEnd.String()})
+		t.note(l, decisionlog.Entry{Kind: decisionlog.Ended, EndReason: l.wantEnd.String()})
 		t.out.End(l.id, l.wantEnd)
 	}
 	if l.wantClose {
@@ -835,7 +835,7 @@
 	a.with(id, func(l *life) {
 		l.wantRung = rung
 		if l.phase >= ready {
-			a.t.note(l, account.Entry{Act: account.Rung, Box: l.box, Rung: rung})
+			a.t.note(l, decisionlog.Entry{Kind: decisionlog.RungChanged, Box: l.box, Rung: rung})
 		}
 	})
 }
@@ -845,14 +845,14 @@
 		l.try++
 		l.box, l.phase, l.wantSetup = box, connecting, true
 		l.until = a.t.now + max(wait, 0)
-		a.t.note(l, account.Entry{Act: account.Setup, Box: box, Rung: l.wantRung, Seconds: wait})
+		a.t.note(l, decisionlog.Entry{Kind: decisionlog.SetupSent, Box: box, Rung: l.wantRung, Seconds: wait})
 	})
 }
 
 func (a acts) BusyReply(id choice.SessID, comeBack float64) {
 	a.with(id, func(l *life) {
 		l.verdict, l.comeBack, l.toldModule = Busy, comeBack, false
-		a.t.note(l, account.Entry{Act: account.Busy, Seconds: comeBack})
+		a.t.note(l, decisionlog.Entry{Kind: decisionlog.BusyReplied, Seconds: comeBack})
 	})
 }
 
@@ -860,27 +860,27 @@
 func (a acts) TearDown(id choice.SessID) {
 	a.with(id, func(l *life) {
 		l.verdict, l.toldModule = TornDown, false
-		a.t.note(l, account.Entry{Act: account.TornDown})
+		a.t.note(l, decisionlog.Entry{Kind: decisionlog.Failed})
 	})
 }
 
 // note keeps a decision with the figures that the module sees now.
-func (t *Table) note(l *life, e account.Entry) {
-	e.At, e.Sess = t.now, l.id
-	switch e.Act {
-	case account.Setup, account.Rung, account.Busy, account.TornDown:
-		e.Standing, _ = t.mod.Standing(l.id)
+func (t *Table) note(l *life, e decisionlog.Entry) {
+	e.At, e.Session = t.now, l.id
+	switch e.Kind {
+	case decisionlog.SetupSent, decisionlog.RungChanged, decisionlog.BusyReplied, decisionlog.Failed:
+		e.Snapshot, _ = t.mod.Standing(l.id)
 	}
-	t.kept.Note(e)
+	t.kept.Record(e)
 }
 
 // Explain puts into words what was decided for a session, as far back as it is kept; an empty id stands for the one that was
 // turned away last, as viewers are not told the ids of those.
 func (t *Table) Explain(id choice.SessID) []string {
 	if id == "" {
-		id = t.kept.Turned()
+		id = t.kept.LastRejected()
 	}
-	return account.Say(t.kept.Of(id))
+	return decisionlog.Explain(t.kept.ForSession(id))
 }
 
 func (a acts) Probe(box choice.ServerID) { a.t.out.Probe(box) }
--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/internal/lab/day"
 	"rainhaven/internal/lab/measure"
 	"rainhaven/internal/lab/player"
@@ -40,10 +40,10 @@
 			if _, _, err := net.SplitHostPort(p.Host); err != nil {
 				p.Host = net.JoinHostPort(p.Host, "554")
 			}
-			var who *entry.User
+			var who *auth.User
 			if u, err := url.Parse(args[0]); err == nil && u.User != nil {
 				pw, _ := u.User.Password()
-				who = &entry.User{Name: u.User.Username(), Password: pw}
+				who = &auth.User{Name: u.User.Username(), Password: pw}
 			}
 			w := player.Want{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), Watch: watch.Seconds(),
 				Bandwidth: bandwidth, Tracks: tracks, Describe: true}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -22,7 +22,7 @@
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	h := host{fronts: map[string]*choice.Front{}, w: w}
 	for {
-		now, events, err := r.Batch()
+		now, events, err := r.ReadBatch()
 		if err == io.EOF {
 			return nil
 		}
@@ -32,7 +32,7 @@
 		if err := h.batch(now, events); err != nil {
 			return err
 		}
-		if err := w.Done(); err != nil {
+		if err := w.EndReply(); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 	defer func() {
 		if why := recover(); why != nil {
 			fmt.Fprintln(os.Stderr, "simhost:", front, why)
-			h.w.Broken(front, why)
+			h.w.ReportPanic(front, why)
 		}
 	}()
 	do()
@@ -81,7 +81,7 @@
 func (h *host) feed(now float64, e *wire.Event) {
 	switch e.Kind {
 	case wire.Start:
-		h.fronts[e.Front] = choice.New(now, e.Figures, wire.Acts{Front: e.Front, To: h.w})
+		h.fronts[e.Front] = choice.New(now, e.Figures, wire.ActWriter{Front: e.Front, Out: h.w})
 		return
 	case wire.Stop:
 		delete(h.fronts, e.Front)
@@ -89,5 +89,5 @@
 	}
 	f := h.fronts[e.Front]
 	f.At(now)
-	e.Feed(f)
+	e.Dispatch(f)
 }
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -24,7 +24,7 @@
 // boxConn is one connection to a box. It carries one session, one probe or one late TEARDOWN at a time.
 type boxConn struct {
 	f      *Front
-	num    pool.Conn
+	num    pool.ConnID
 	box    choice.ServerID
 	host   string // its address
 	conn   *rtsp.Conn
@@ -44,13 +44,13 @@
 
 // connect gives a connection to a box to got, in the loop and after the orders under way; nil where none could be had.
 func (f *Front) connect(ctx context.Context, box choice.ServerID, got func(*boxConn)) {
-	if num, ok := f.keeper.Take(box); ok {
+	if num, ok := f.keeper.Get(box); ok {
 		c := f.conns[num]
 		f.after = append(f.after, func() { got(c) })
 		return
 	}
 	host, listed := f.address[box]
-	if !listed || !f.keeper.Open(box) {
+	if !listed || !f.keeper.Reserve(box) {
 		f.after = append(f.after, func() { got(nil) })
 		return
 	}
@@ -82,7 +82,7 @@
 // begin starts a connection's goroutines.
 func (f *Front) begin(box choice.ServerID, host string, raw net.Conn) *boxConn {
 	f.serial++
-	c := &boxConn{f: f, num: pool.Conn(f.serial), box: box, host: host, conn: rtsp.NewConn(raw, rtsp.Bounds{Line: 2048}),
+	c := &boxConn{f: f, num: pool.ConnID(f.serial), box: box, host: host, conn: rtsp.NewConn(raw, rtsp.Bounds{Line: 2048}),
 		out: relay.NewOut(0), waits: map[int]func(*rtsp.Message){}}
 	f.conns[c.num] = c
 	f.work.Add(2)
@@ -305,7 +305,7 @@
 		c.session = m.Session()
 	} else {
 		delete(f.atBox, s.id)
-		c.leave(pool.Clean(status, false))
+		c.leave(pool.Reusable(status, false))
 	}
 	f.table.BoxAnswered(s.id, try, m.Status, report(m))
 }
@@ -349,7 +349,7 @@
 				return
 			}
 			f.count.orphans.WithLabelValues("torn down").Inc()
-			c.leave(pool.Clean(m.Status, true))
+			c.leave(pool.Reusable(m.Status, true))
 		})
 	})
 }
@@ -397,7 +397,7 @@
 			s.answer = m
 		case session.TearDown:
 			delete(f.atBox, id)
-			c.leave(pool.Clean(m.Status, true))
+			c.leave(pool.Reusable(m.Status, true))
 		}
 		f.table.OpAnswered(id, try, op, arg, m.Status, report(m))
 	})
--- a/internal/front/describe.go
+++ b/internal/front/describe.go
@@ -33,7 +33,7 @@
 		return
 	}
 	f.wait[p.Title] = append(f.wait[p.Title], waiter{v, s, p})
-	step, box, body := f.described.Want(f.now(), p.Title, title.StartCell, title.Span)
+	step, box, body := f.described.Request(f.now(), p.Title, title.StartCell, title.Span)
 	f.carryDescription(p.Title, step, box, body)
 }
 
@@ -45,9 +45,9 @@
 }
 
 // carryDescription carries out a step for a title.
-func (f *Front) carryDescription(title string, step describe.Step, box choice.ServerID, body []byte) {
+func (f *Front) carryDescription(title string, step describe.Action, box choice.ServerID, body []byte) {
 	switch step {
-	case describe.Ask:
+	case describe.Fetch:
 		f.askDescription(title, box)
 	case describe.Answer, describe.Fail:
 		list := f.wait[title]
@@ -79,7 +79,7 @@
 		}
 		over = true
 		f.count.descriptions.WithLabelValues(outcome).Inc()
-		step, next, b := f.described.Got(f.now(), title, box, body, t.StartCell, t.Span)
+		step, next, b := f.described.HandleReply(f.now(), title, box, body, t.StartCell, t.Span)
 		f.carryDescription(title, step, next, b)
 	}
 	f.connect(f.context, box, func(c *boxConn) {
@@ -87,7 +87,7 @@
 			got(nil, "no connection")
 			return
 		}
-		timer := time.AfterFunc(time.Duration(describe.AskTime*1e9), func() {
+		timer := time.AfterFunc(time.Duration(describe.FetchTimeout*1e9), func() {
 			f.post(func() {
 				if !over {
 					got(nil, "timed out")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -43,8 +43,8 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
+	"rainhaven/choice/auth"
 	"rainhaven/choice/describe"
-	"rainhaven/choice/entry"
 	"rainhaven/choice/health"
 	"rainhaven/choice/hearing"
 	"rainhaven/choice/limits"
@@ -88,16 +88,16 @@
 
 	// Owned by the loop.
 	table     *session.Table
-	gate      *entry.Gate // nil where no users are named
-	key       []byte      // of the gate's
-	users     string      // a print of those named
+	gate      *auth.Authenticator // nil where no users are named
+	key       []byte              // of the gate's
+	users     string              // a print of those named
 	ear       *hearing.Ear
-	keeper    *pool.Keeper
+	keeper    *pool.Pool
 	address   map[choice.ServerID]string // of boxes listed; a box that left is kept while sessions are there
 	viewers   map[*viewer]struct{}       // emptied as connections close
 	sess      map[choice.SessID]*sess    // emptied as sessions end
 	atBox     map[choice.SessID]*boxConn // sessions' connections to their boxes; emptied as those are given back
-	conns     map[pool.Conn]*boxConn     // emptied as connections close
+	conns     map[pool.ConnID]*boxConn   // emptied as connections close
 	described *describe.Cache
 	wait      map[string][]waiter // DESCRIBEs without answer, by title; emptied as a holder answers or none does
 	late      int                 // withdrawn SETUPs whose answer is waited for
@@ -114,7 +114,7 @@
 func New(terms settings.Terms, o Options) (*Front, error) {
 	f := &Front{log: o.Log, dial: o.Dial, began: time.Now(), events: make(chan func(), mostEvents),
 		done: make(chan struct{}), quit: make(chan struct{}), address: map[choice.ServerID]string{},
-		viewers: map[*viewer]struct{}{}, sess: map[choice.SessID]*sess{}, conns: map[pool.Conn]*boxConn{},
+		viewers: map[*viewer]struct{}{}, sess: map[choice.SessID]*sess{}, conns: map[pool.ConnID]*boxConn{},
 		atBox: map[choice.SessID]*boxConn{}}
 	if f.log == nil {
 		f.log = zap.NewNop()
@@ -141,7 +141,7 @@
 	if _, err := rand.Read(f.key); err != nil {
 		return nil, err
 	}
-	f.gate, f.users = entry.New(terms.Realm, terms.Users, f.key), usersPrint(&terms, f.key)
+	f.gate, f.users = auth.New(terms.Realm, terms.Users, f.key), usersPrint(&terms, f.key)
 	terms.Users = nil // the gate has what it needs of them
 	f.current.Store(&terms)
 	var orders session.Orders = carrier{f}
@@ -294,7 +294,7 @@
 		f.count.shorts.Inc()
 		f.table.Short(t.Box, t.Share)
 	}
-	for _, c := range f.keeper.Stale(now) {
+	for _, c := range f.keeper.Expired(now) {
 		if b := f.conns[c]; b != nil {
 			b.close()
 		}
@@ -324,7 +324,7 @@
 			delete(f.address, b.ID)
 		}
 	}
-	f.described.Boxes(whole, listings)
+	f.described.UpdateBoxes(whole, listings)
 	return listings
 }
 
--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/internal/lab/box"
 	"rainhaven/internal/lab/player"
 	"rainhaven/internal/rtsp"
@@ -270,17 +270,17 @@
 
 func TestOnlyUsersEnter(t *testing.T) {
 	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) {
-		terms.Realm, terms.Users = "r", []entry.User{{Name: "lena", Password: "pw"}}
+		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
 		w := b.want("clips")
-		w.User, w.Algorithm, w.Tracks = &entry.User{Name: "lena", Password: "pw"}, alg, 2
+		w.User, w.Algorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%s: %+v %v", alg, seen, err)
 		}
 	}
 	w := b.want("clips")
-	w.User = &entry.User{Name: "lena", Password: "guess"}
+	w.User = &auth.User{Name: "lena", Password: "guess"}
 	if seen, _ := player.Watch(context.Background(), w); seen.Status != 401 {
 		t.Errorf("a wrong password: %+v", seen)
 	}
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/choice/hearing"
 	"rainhaven/choice/renewal"
 	"rainhaven/choice/session"
@@ -42,18 +42,18 @@
 		return p
 	}
 	if p.Has(renewal.Users) {
-		f.gate, f.users = entry.New(t.Realm, t.Users, f.key), usersPrint(&t, f.key)
+		f.gate, f.users = auth.New(t.Realm, t.Users, f.key), usersPrint(&t, f.key)
 	}
 	t.Users = nil // the gate has what it needs of them
 	t.Figures.Seed = old.Figures.Seed
 	f.current.Store(&t)
 	if p.Has(renewal.Limits) {
-		f.keeper.PerBox(t.Bounds.BoxConnections)
+		f.keeper.SetMaxPerBox(t.Bounds.BoxConnections)
 	}
 	if p.Has(renewal.Ear) {
 		f.ear = hearing.New(t.Figures.NoteEvery)
 	}
-	f.described.Cells(t.Figures.Cells)
+	f.described.SetCells(t.Figures.Cells)
 	switch {
 	case p.Has(renewal.Module):
 		for _, x := range f.sess {
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/choice/limits"
 	"rainhaven/choice/session"
 	"rainhaven/internal/relay"
@@ -297,15 +297,15 @@
 // enters tells whether a request's credentials are good; else it is answered.
 func (v *viewer) enters(s *slot) bool {
 	verdict := v.f.gate.Check(v.f.now(), v.num, s.req.Method, s.req.URL, s.req.Header.Get("Authorization"))
-	if verdict == entry.Passed {
+	if verdict == auth.Accepted {
 		return true
 	}
 	r := rtsp.Response(s.req, rtsp.Unauthorized)
-	r.Header["Www-Authenticate"] = v.f.gate.Challenge(v.f.now(), v.num, verdict == entry.Stale)
-	if verdict == entry.Wrong {
+	r.Header["Www-Authenticate"] = v.f.gate.Challenge(v.f.now(), v.num, verdict == auth.StaleNonce)
+	if verdict == auth.Rejected {
 		v.f.count.unauthorized.Inc()
 		v.f.log.Info("wrong credentials", zap.Stringer("viewer", v.conn.RemoteAddr()))
-		if v.wrong++; entry.Enough(v.wrong) {
+		if v.wrong++; auth.TooManyFailures(v.wrong) {
 			r.With("Connection", "close")
 		}
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -24,17 +24,17 @@
 // following is what was taken last of some files. One goroutine looks; any may use what is in use.
 type following[T any] struct {
 	name  string // in the log
-	read  func() (keys.Pair, *T)
+	read  func() (keys.CertInfo, *T)
 	log   *zap.Logger
 	using atomic.Pointer[T]
-	pair  *keys.Pair // of using
+	pair  *keys.CertInfo // of using
 	said  string
 }
 
 // Look reads the files once and takes what is good. It tells whether it took something, and what there is to say.
 func (f *following[T]) Look(now time.Time) (took bool, say string) {
 	pair, found := f.read()
-	took, say = keys.Take(seconds(now), f.pair, pair)
+	took, say = keys.ShouldReplace(seconds(now), f.pair, pair)
 	if took {
 		f.pair = &pair
 		f.using.Store(found)
@@ -71,32 +71,32 @@
 
 // Open reads the files. They must be good at the start.
 func Open(cert, key string, log *zap.Logger) (*Files, error) {
-	f := &Files{following[tls.Certificate]{name: cert, log: log, read: func() (keys.Pair, *tls.Certificate) { return pair(cert, key) }}}
+	f := &Files{following[tls.Certificate]{name: cert, log: log, read: func() (keys.CertInfo, *tls.Certificate) { return pair(cert, key) }}}
 	if took, say := f.Look(time.Now()); !took {
 		return nil, fmt.Errorf("certificate %s with key %s: %s", cert, key, say)
 	}
 	return f, nil
 }
 
-func pair(certFile, keyFile string) (keys.Pair, *tls.Certificate) {
+func pair(certFile, keyFile string) (keys.CertInfo, *tls.Certificate) {
 	c, err := os.ReadFile(certFile)
 	if err != nil {
-		return keys.Pair{Problem: err.Error()}, nil
+		return keys.CertInfo{Problem: err.Error()}, nil
 	}
 	k, err := os.ReadFile(keyFile)
 	if err != nil {
-		return keys.Pair{Problem: err.Error()}, nil
+		return keys.CertInfo{Problem: err.Error()}, nil
 	}
 	cert, err := tls.X509KeyPair(c, k)
 	if err != nil {
-		return keys.Pair{Problem: err.Error()}, nil
+		return keys.CertInfo{Problem: err.Error()}, nil
 	}
 	leaf, err := x509.ParseCertificate(cert.Certificate[0])
 	if err != nil {
-		return keys.Pair{Problem: err.Error()}, nil
+		return keys.CertInfo{Problem: err.Error()}, nil
 	}
 	cert.Leaf = leaf
-	return keys.Pair{From: seconds(leaf.NotBefore), Until: seconds(leaf.NotAfter), Print: fmt.Sprintf("%x", sha256.Sum256(leaf.Raw))}, &cert
+	return keys.CertInfo{NotBefore: seconds(leaf.NotBefore), NotAfter: seconds(leaf.NotAfter), Fingerprint: fmt.Sprintf("%x", sha256.Sum256(leaf.Raw))}, &cert
 }
 
 // TLS is a configuration whose new connections get what is in use; those that go on keep what they began with.
@@ -109,7 +109,7 @@
 
 // OpenRoots reads the file. It must be good at the start.
 func OpenRoots(file string, log *zap.Logger) (*Roots, error) {
-	r := &Roots{following[x509.CertPool]{name: file, log: log, read: func() (keys.Pair, *x509.CertPool) { return roots(file) }}}
+	r := &Roots{following[x509.CertPool]{name: file, log: log, read: func() (keys.CertInfo, *x509.CertPool) { return roots(file) }}}
 	if took, say := r.Look(time.Now()); !took {
 		return nil, fmt.Errorf("certificates of boxes %s: %s", file, say)
 	}
@@ -118,32 +118,32 @@
 
 // roots reads certificates one after the other. They are good as long as any of them is: old and new stand side by side
 // while boxes change over.
-func roots(file string) (keys.Pair, *x509.CertPool) {
+func roots(file string) (keys.CertInfo, *x509.CertPool) {
 	all, err := os.ReadFile(file)
 	if err != nil {
-		return keys.Pair{Problem: err.Error()}, nil
+		return keys.CertInfo{Problem: err.Error()}, nil
 	}
-	p, pool := keys.Pair{Print: fmt.Sprintf("%x", sha256.Sum256(all))}, x509.NewCertPool()
+	p, pool := keys.CertInfo{Fingerprint: fmt.Sprintf("%x", sha256.Sum256(all))}, x509.NewCertPool()
 	for rest := all; ; {
 		var b *pem.Block
 		if b, rest = pem.Decode(rest); b == nil {
 			switch {
 			case bytes.Contains(rest, []byte("-----BEGIN")):
 				p.Problem = "its last certificate is not whole"
-			case p.Until == 0:
+			case p.NotAfter == 0:
 				p.Problem = "no certificate stands in it"
 			}
 			return p, pool
 		}
 		c, err := x509.ParseCertificate(b.Bytes)
 		if err != nil {
-			return keys.Pair{Problem: err.Error()}, nil
+			return keys.CertInfo{Problem: err.Error()}, nil
 		}
 		from, until := seconds(c.NotBefore), seconds(c.NotAfter)
-		if p.Until == 0 || from < p.From {
-			p.From = from
+		if p.NotAfter == 0 || from < p.NotBefore {
+			p.NotBefore = from
 		}
-		p.Until = max(p.Until, until)
+		p.NotAfter = max(p.NotAfter, until)
 		pool.AddCert(c)
 	}
 }
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/internal/lab/witness"
 	"rainhaven/internal/rtsp"
 )
@@ -33,7 +33,7 @@
 	Tracks       int     // 1 or 2
 	Describe     bool
 	TLS          *tls.Config // for a front over TLS
-	User         *entry.User // for a front that asks who it is; DESCRIBE comes first then
+	User         *auth.User  // for a front that asks who it is; DESCRIBE comes first then
 	Algorithm    string      // of the digest; the first one offered where empty
 	Save         io.Writer   // where the first track's payloads go; may be nil
 	Live         func(Seen)
@@ -138,7 +138,7 @@
 		q := map[string]string{"uri": url, "nonce": p.offer["nonce"], "qop": "auth", "nc": fmt.Sprintf("%08x", p.cseq), "cnonce": "rainhaven"}
 		alg, realm := p.offer["algorithm"], p.offer["realm"]
 		m.With("Authorization", fmt.Sprintf(`Digest username="%s", realm="%s", nonce="%s", uri="%s", algorithm=%s, qop=auth, nc=%s, cnonce="%s", response="%s"`,
-			p.w.User.Name, realm, q["nonce"], url, alg, q["nc"], q["cnonce"], entry.Response(alg, entry.HA1(alg, realm, *p.w.User), method, q)))
+			p.w.User.Name, realm, q["nonce"], url, alg, q["nc"], q["cnonce"], auth.Response(alg, auth.HA1(alg, realm, *p.w.User), method, q)))
 	}
 	return m
 }
@@ -146,7 +146,7 @@
 // challenged keeps the challenge that suits.
 func (p *play) challenged(r *rtsp.Message) bool {
 	for _, v := range r.Header["Www-Authenticate"] {
-		if scheme, q, err := entry.Parse(v); err == nil && scheme == "Digest" && (p.w.Algorithm == "" || p.w.Algorithm == q["algorithm"]) {
+		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.w.Algorithm == "" || p.w.Algorithm == q["algorithm"]) {
 			p.offer = q
 			return true
 		}
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"rainhaven/choice"
-	"rainhaven/choice/account"
+	"rainhaven/choice/decisionlog"
 	"rainhaven/internal/rtsp"
 	"rainhaven/internal/wire"
 )
@@ -34,12 +34,12 @@
 		return
 	}
 	if sv == nil {
-		n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
+		n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
 	n.log.Debug("setup", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", wait))
 	if !n.guard.Attempt(n.now, s.id) {
-		n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
+		n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
 	wait = n.trials.wait(wait)
@@ -63,12 +63,12 @@
 	}
 	n.counts[fmt.Sprintf("answer %d", status)]++
 	if n.log.Core().Enabled(zap.DebugLevel) {
-		act := account.Busy
+		act := decisionlog.BusyReplied
 		if status == rtsp.InternalError {
-			act = account.TornDown
+			act = decisionlog.Failed
 		}
 		st, _ := n.front.Standing(id)
-		why := account.Say([]account.Entry{{At: n.now, Sess: id, Act: act, Seconds: comeBack, Standing: st, Holders: len(st.Holders)}})
+		why := decisionlog.Explain([]decisionlog.Entry{{At: n.now, Session: id, Kind: act, Seconds: comeBack, Snapshot: st, HolderCount: len(st.Holders)}})
 		n.log.Debug("refused", str("sess", s.id), num("status", status), zap.Strings("why", why))
 	}
 	s.history.note(n.now, stepAnswered, strconv.Itoa(status))
@@ -83,7 +83,7 @@
 		n.probe(sv)
 		return
 	}
-	n.feed(wire.Event{Kind: wire.Probed, Server: number, Outcome: choice.NoConnection, Report: noReport})
+	n.feed(wire.Event{Kind: wire.ProbeEnded, Server: number, Outcome: choice.NoConnection, Report: noReport})
 }
 
 // Tell does nothing: the platform gives fronts no way to find each other.
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -34,7 +34,7 @@
 )
 
 // noteKinds are the kinds of a server's notes by their names.
-var noteKinds = map[string]wire.Kind{"served": wire.Note(1), "at_rung": wire.Note(2), "link_use": wire.Note(3), "rack_use": wire.Note(4)}
+var noteKinds = map[string]wire.Kind{"served": wire.NoteKind(1), "at_rung": wire.NoteKind(2), "link_use": wire.NoteKind(3), "rack_use": wire.NoteKind(4)}
 
 // ask is what a client's SETUP says.
 type ask struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -262,7 +262,7 @@
 		}
 		if n.due > 0 && n.now >= n.due {
 			n.due = 0
-			n.feed(wire.Event{Kind: wire.Due})
+			n.feed(wire.Event{Kind: wire.TimerFired})
 		}
 		n.settle()
 		n.compare()
@@ -297,7 +297,7 @@
 	n.front.At(n.now)
 	for range 64 { // acts bring about events at once at most a few times: a SETUP to each server left
 		for i := 0; i < len(n.later); i++ {
-			n.later[i].Feed(n.front)
+			n.later[i].Dispatch(n.front)
 		}
 		n.later = n.later[:0]
 		n.front.Settle()
@@ -310,7 +310,7 @@
 // listed takes a change to the list of servers.
 func (n *Node) listed(e feed.Event) {
 	n.index = max(n.index, e.Index)
-	ev := wire.Event{Kind: wire.Directory, Whole: e.Endpoints.Reset}
+	ev := wire.Event{Kind: wire.ServerList, FullList: e.Endpoints.Reset}
 	named := map[*server]bool{}
 	n.later = append(n.later, ev)
 	at := len(n.later) - 1
@@ -347,7 +347,7 @@
 		if anew {
 			n.startedAnew(sv, n.now-n.sinceStart(i.StartedAtMs))
 		}
-		n.later[at].List = append(n.later[at].List, entry)
+		n.later[at].Servers = append(n.later[at].Servers, entry)
 		n.log.Debug("listed", str("server", i.ID), str("state", i.State), num("cell", i.Cell))
 		n.moved(sv, entry.State)
 	}
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -63,7 +63,7 @@
 	on := sv.testOn
 	n.cancel(sv.testing)
 	sv.tested, sv.testOn, sv.testing = "", nil, nil
-	n.feed(wire.Event{Kind: wire.Probed, Server: sv.number, Outcome: o, Report: r})
+	n.feed(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
 	// Without an answer in its time the connection is of no more use; a SETUP on it may still be answered.
 	if o == choice.TimedOut && on != nil && len(on.open) == 0 {
 		n.retire(on)
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -181,7 +181,7 @@
 	if err != nil || hearing.Report(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
-	if kind == wire.InForce && int(x) >= len(n.start.Figures.Ladder) {
+	if kind == wire.RungInForce && int(x) >= len(n.start.Figures.Ladder) {
 		return
 	}
 	n.log.Debug("note", str("server", sv.id), str("kind", m.Header.Get(fieldNote)), str("figure", m.Header.Get(fieldFigure)))
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -27,7 +27,7 @@
 	n.complain(s.id)
 	s.history.note(at, stepRead, v.peer())
 	n.log.Debug("asked", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.Span), zap.Float64("patience", s.patience))
-	n.feed(wire.Event{Kind: wire.Ask, Request: s.request})
+	n.feed(wire.Event{Kind: wire.Request, Request: s.request})
 }
 
 // handed takes a session that stands already. It wants no answer.
@@ -49,7 +49,7 @@
 	v.proven = true
 	s.server.held = append(s.server.held, s)
 	n.counts["handed"]++
-	n.feed(wire.Event{Kind: wire.Handed, Request: s.request, Server: s.server.number})
+	n.feed(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
 }
 
 // carry takes a session's SETUP to a connection. The list may have taken its server from new work since it was chosen.
@@ -93,7 +93,7 @@
 	n.unlink(s)
 	n.cancel(s.waiting)
 	s.state, s.server, s.waiting = pending, nil, nil
-	n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
+	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
 	n.settleServer(sv)
 }
 
@@ -168,9 +168,9 @@
 	n.guard.Cancelled(s.id)
 	n.log.Debug("given up", str("sess", s.id), zap.Bool("out", was == attempting))
 	n.forget(s)
-	n.feed(wire.Event{Kind: wire.Left, Request: choice.Request{ID: choice.SessID(s.id)}})
+	n.feed(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
 	if was == attempting {
-		n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: choice.Cancelled, Final: true, Report: noReport})
+		n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: choice.Cancelled, Final: true, Report: noReport})
 		n.settleServer(sv)
 	}
 }
@@ -207,7 +207,7 @@
 	n.open--
 	s.server.held = append(s.server.held, s)
 	n.counts["served"]++
-	n.feed(wire.Event{Kind: wire.Playing, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
+	n.feed(wire.Event{Kind: wire.Established, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
 	v := s.client
 	v.Open--
 	v.Standing++
@@ -235,7 +235,7 @@
 	}
 	n.counts[fmt.Sprintf("ended %d", o)]++
 	n.forget(s)
-	n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
+	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
 	if cause != causeMoved && !n.spoils(SabotageRelease, s.id) {
 		n.release(v, tearDown(s.url, s.id, cause))
 	}
@@ -275,7 +275,7 @@
 // clientLeft ends a session that stood because its client has, or is gone.
 func (n *Node) clientLeft(s *session) {
 	n.toServer(s.server, tearDown(s.url, s.id, causeMoved))
-	n.feed(wire.Event{Kind: wire.Left, Request: choice.Request{ID: choice.SessID(s.id)}})
+	n.feed(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
 	n.ended(s, choice.Cancelled, causeMoved, noReport)
 }
 
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -77,7 +77,7 @@
 	}
 	flat := map[string]string{}
 	flatten("", f.Settings, flat)
-	figures, err := wire.Figures(flat)
+	figures, err := wire.ParseStartFigures(flat)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"rainhaven/choice"
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/choice/limits"
 )
 
@@ -136,7 +136,7 @@
 		s.Wrong(e.Line, "front: realm %q stands between quotes; none within would be right", t.Realm)
 	}
 	for _, e := range s.All("user") {
-		u := entry.User{Name: e.Text("name"), Password: e.Text("password")}
+		u := auth.User{Name: e.Text("name"), Password: e.Text("password")}
 		if strings.Contains(u.Name, ":") {
 			s.Wrong(e.Line, "user %s: a colon ends the name in a digest; a name without one would be right", u.Name)
 		}
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -4,7 +4,7 @@
 
 import (
 	"rainhaven/choice"
-	"rainhaven/choice/entry"
+	"rainhaven/choice/auth"
 	"rainhaven/choice/limits"
 )
 
@@ -24,7 +24,7 @@
 	Boxes    []Box
 	Redirect string // host:port that viewers are sent to while the front drains; empty is none
 	Realm    string
-	Users    []entry.User // none: everyone may enter
+	Users    []auth.User // none: everyone may enter
 	Zones    []string
 	Kinds    []string
 
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -21,16 +21,16 @@
 		g.fail(fmt.Errorf("salt=%q is not a whole number", f["salt"]))
 	}
 	g.fail(err)
-	e.Figures, err = Figures(f)
+	e.Figures, err = ParseStartFigures(f)
 	e.Figures.Seed = seed
 	g.fail(err)
 	return e, g.err
 }
 
-// Figures reads what a front is told at its start, by the names of the simulator's first message; lists are separated
+// ParseStartFigures reads what a front is told at its start, by the names of the simulator's first message; lists are separated
 // by commas, and entries of a list of objects are numbered. What a site leaves out stays at its zero, which switches
 // it off. The seed is the caller's.
-func Figures(f map[string]string) (s choice.StartFigures, err error) {
+func ParseStartFigures(f map[string]string) (s choice.StartFigures, err error) {
 	g := &getter{f: f}
 	s.Me, s.Fronts, s.Zone = g.whole("me", false), g.whole("balancers", false), g.whole("zone", false)
 	fam := "family_info."
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,64 +20,64 @@
 	Ignored Kind = iota
 	Start
 	Stop
-	Directory
-	Ask
-	Handed
-	Left
-	Playing
-	Ended
-	Probed
-	Due
-	Short
-	InForce
-	Load
+	ServerList
+	Request
+	Handover
+	ClientLeft
+	Established
+	SetupEnded
+	ProbeEnded
+	TimerFired
+	DeliveredShare
+	RungInForce
+	LinkLoad
 	UplinkLoad
 	Message
 )
 
 // Event is one thing that a front is told.
 type Event struct {
-	Front   string
-	Kind    Kind
-	Figures choice.StartFigures
-	Whole   bool
-	List    []choice.Listing
-	Request choice.Request
-	Server  choice.ServerID
-	Outcome choice.Outcome
-	Final   bool
-	Report  choice.Report
-	Took    float64
-	Value   float64
-	Words   []byte
+	Front    string
+	Kind     Kind
+	Figures  choice.StartFigures
+	FullList bool
+	Servers  []choice.Listing
+	Request  choice.Request
+	Server   choice.ServerID
+	Outcome  choice.Outcome
+	Final    bool
+	Report   choice.Report
+	Elapsed  float64
+	Value    float64
+	Payload  []byte
 }
 
-// Feed tells a front of an event; Start and Stop are its host's affair.
-func (e *Event) Feed(f *choice.Front) {
+// Dispatch tells a front of an event; Start and Stop are its host's affair.
+func (e *Event) Dispatch(f *choice.Front) {
 	switch e.Kind {
-	case Directory:
-		f.Directory(e.Whole, e.List)
-	case Ask:
+	case ServerList:
+		f.Directory(e.FullList, e.Servers)
+	case Request:
 		f.Ask(e.Request)
-	case Handed:
+	case Handover:
 		f.Handed(e.Request, e.Server)
-	case Left:
+	case ClientLeft:
 		f.Left(e.Request.ID)
-	case Playing:
+	case Established:
 		f.Playing(e.Request.ID)
-	case Ended:
+	case SetupEnded:
 		f.Ended(e.Request.ID, e.Server, e.Outcome, e.Final, e.Report)
-	case Probed:
+	case ProbeEnded:
 		f.Probed(e.Server, e.Outcome, e.Report)
-	case Due:
+	case TimerFired:
 		f.Due()
-	case Short:
+	case DeliveredShare:
 		f.Short(e.Server, e.Value)
-	case InForce:
+	case RungInForce:
 		f.InForce(e.Request.ID, int(e.Value))
 	case Message:
-		f.Told(e.Words)
-	case Load, UplinkLoad:
+		f.Told(e.Payload)
+	case LinkLoad, UplinkLoad:
 		f.Load(e.Request.ID, e.Server, e.Value, e.Kind == UplinkLoad)
 	}
 }
@@ -107,8 +107,8 @@
 	return word, rest, nil
 }
 
-// Batch reads one batch: the clock and the events. It returns io.EOF at the end of input.
-func (r *Reader) Batch() (now float64, events []Event, err error) {
+// ReadBatch reads one batch: the clock and the events. It returns io.EOF at the end of input.
+func (r *Reader) ReadBatch() (now float64, events []Event, err error) {
 	word, rest, err := r.next()
 	if err != nil {
 		return 0, nil, err
@@ -217,7 +217,7 @@
 		if raw := g.f["raw"]; raw != "-" {
 			words, err := base64.StdEncoding.DecodeString(raw)
 			g.fail(err)
-			e.Words = words
+			e.Payload = words
 		}
 	case "TOPOLOGY":
 		mode := g.whole("mode", true)
@@ -232,27 +232,27 @@
 		if !known {
 			g.fail(fmt.Errorf("list %d was never sent", id))
 		}
-		e.Kind, e.Whole, e.List = Directory, mode != 3, list
+		e.Kind, e.FullList, e.Servers = ServerList, mode != 3, list
 	case "ASK", "PREEXISTING":
-		e.Kind = Ask
+		e.Kind = Request
 		e.Request = choice.Request{ID: choice.SessID(g.text("xid")), Group: g.whole("tier_class", false),
 			Title: g.f["programme"], StartCell: g.whole("start_cell", false), Span: g.whole("span", false),
 			BestRung: g.whole("best_rung", false), SetupTimeout: g.seconds("expires", word == "ASK"),
 			Length: g.seconds("work", false)}
 		if word == "PREEXISTING" {
-			e.Kind, e.Server = Handed, g.server("server")
+			e.Kind, e.Server = Handover, g.server("server")
 		}
 	case "ABORTED":
-		e.Kind, e.Request.ID = Left, choice.SessID(g.text("xid"))
+		e.Kind, e.Request.ID = ClientLeft, choice.SessID(g.text("xid"))
 	case "BEGUN":
-		e.Kind, e.Request.ID = Playing, choice.SessID(g.text("xid"))
-		e.Server, e.Took = g.server("server"), g.seconds("elapsed", false)
+		e.Kind, e.Request.ID = Established, choice.SessID(g.text("xid"))
+		e.Server, e.Elapsed = g.server("server"), g.seconds("elapsed", false)
 	case "RESOLVED", "CHECK_RESULT":
-		e.Kind = Probed
+		e.Kind = ProbeEnded
 		if word == "RESOLVED" {
-			e.Kind, e.Request.ID, e.Final = Ended, choice.SessID(g.text("xid")), g.f["final"] == "1"
+			e.Kind, e.Request.ID, e.Final = SetupEnded, choice.SessID(g.text("xid")), g.f["final"] == "1"
 		}
-		e.Server, e.Took = g.server("server"), g.seconds("elapsed", false)
+		e.Server, e.Elapsed = g.server("server"), g.seconds("elapsed", false)
 		e.Outcome = choice.Outcome(g.whole("outcome", true))
 		if e.Outcome < choice.Served || e.Outcome > choice.Unsent {
 			g.fail(fmt.Errorf("outcome=%d is unknown", e.Outcome))
@@ -263,9 +263,9 @@
 		}
 	case "PROGRESS":
 		e.Request.ID, e.Server, e.Value = choice.SessID(g.text("xid")), g.server("server"), g.number("value")
-		e.Kind = Note(g.whole("sort", true))
+		e.Kind = NoteKind(g.whole("sort", true))
 	case "REMINDER":
-		e.Kind = Due
+		e.Kind = TimerFired
 	default:
 		return Event{}, fmt.Errorf("unknown message")
 	}
@@ -273,10 +273,10 @@
 }
 
 // notes are the kinds of note by number, from 1.
-var notes = [...]Kind{Ignored, Short, InForce, Load, UplinkLoad}
+var notes = [...]Kind{Ignored, DeliveredShare, RungInForce, LinkLoad, UplinkLoad}
 
-// Note is the kind of a note by its number; Ignored where there is none of that number.
-func Note(n int) Kind {
+// NoteKind is the kind of a note by its number; Ignored where there is none of that number.
+func NoteKind(n int) Kind {
 	if n < 1 || n >= len(notes) {
 		return Ignored
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 
 func TestBatch(t *testing.T) {
 	r := NewReader(strings.NewReader(batch))
-	now, ev, err := r.Batch()
+	now, ev, err := r.ReadBatch()
 	if err != nil || now != 8.41225 || len(ev) != 6 {
 		t.Fatal(now, len(ev), err)
 	}
@@ -35,10 +35,10 @@
 		s.Groups[1].StartTarget != 0.8 || s.Groups[0].Adds != 0 || s.Groups[1].Adds != 0.3 || !s.Peers {
 		t.Errorf("figures %+v", s)
 	}
-	if l := ev[1].List; !ev[1].Whole || len(l) != 2 || l[0].Cell != 4 || l[1].State != choice.Draining || l[1].Born != 6.1 {
+	if l := ev[1].Servers; !ev[1].FullList || len(l) != 2 || l[0].Cell != 4 || l[1].State != choice.Draining || l[1].Born != 6.1 {
 		t.Errorf("first list %+v", l)
 	}
-	if l := ev[2].List; ev[2].Whole || len(l) != 1 || l[0].State != choice.Gone {
+	if l := ev[2].Servers; ev[2].FullList || len(l) != 1 || l[0].State != choice.Gone {
 		t.Errorf("the list reused %+v", l)
 	}
 	if q := ev[3].Request; q.SetupTimeout != 8.65225 || q.Group != 1 || q.BestRung != 2 {
@@ -47,10 +47,10 @@
 	if e := ev[4]; e.Outcome != choice.Full || e.Final || e.Report != (choice.Report{Link: 0.5, Capped: true, Uplink: 1.25}) {
 		t.Errorf("outcome %+v", e)
 	}
-	if e := ev[5]; e.Kind != Message || string(e.Words) != "hi 7" {
+	if e := ev[5]; e.Kind != Message || string(e.Payload) != "hi 7" {
 		t.Errorf("message %+v", e)
 	}
-	if _, _, err := r.Batch(); err != io.EOF {
+	if _, _, err := r.ReadBatch(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
 	}
 }
@@ -67,7 +67,7 @@
 		"ROUND now=1\n": "within a batch",
 		"ROUND now=1\nRESOLVED i=front_1 xid=a outcome=99 server=1\n": "outcome=99",
 	} {
-		if _, _, err := NewReader(strings.NewReader(in)).Batch(); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := NewReader(strings.NewReader(in)).ReadBatch(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q gives %v, not %q", in, err, want)
 		}
 	}
@@ -76,12 +76,12 @@
 func TestReply(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	a := Acts{Front: "front_3", To: w}
+	a := ActWriter{Front: "front_3", Out: w}
 	a.Rung("x", 2)
 	a.Setup("x", 7, 0.08)
 	a.BusyReply("y", 1)
 	a.Tell(2, []byte("hi 7"))
-	if err := w.Done(); err != nil {
+	if err := w.EndReply(); err != nil {
 		t.Fatal(err)
 	}
 	want := "RATE i=front_3 xid=x tier_no=2\nTRY i=front_3 xid=x server=7 max_wait=80000\n" +
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -17,57 +17,57 @@
 // NewWriter writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<20)} }
 
-// Done ends the reply and flushes it.
-func (w *Writer) Done() error {
+// EndReply ends the reply and flushes it.
+func (w *Writer) EndReply() error {
 	fmt.Fprintln(w.out, "YIELD")
 	return w.out.Flush()
 }
 
-// Broken reports a failure of the decision code.
-func (w *Writer) Broken(front string, why any) {
+// ReportPanic reports a failure of the decision code.
+func (w *Writer) ReportPanic(front string, why any) {
 	words := strings.Join(strings.Fields(fmt.Sprint(why)), " ")
 	fmt.Fprintf(w.out, "BROKEN i=%s words=%s\n", front, words)
 }
 
-// Acts writes one front's acts.
-type Acts struct {
+// ActWriter writes one front's acts.
+type ActWriter struct {
 	Front string
-	To    *Writer
+	Out   *Writer
 }
 
 func us(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
 
 // Rung sets a session's rung.
-func (a Acts) Rung(id choice.SessID, rung int) {
-	fmt.Fprintf(a.To.out, "RATE i=%s xid=%s tier_no=%d\n", a.Front, id, rung)
+func (a ActWriter) Rung(id choice.SessID, rung int) {
+	fmt.Fprintf(a.Out.out, "RATE i=%s xid=%s tier_no=%d\n", a.Front, id, rung)
 }
 
 // Setup sends a SETUP.
-func (a Acts) Setup(id choice.SessID, server choice.ServerID, wait float64) {
-	fmt.Fprintf(a.To.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, us(wait))
+func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, wait float64) {
+	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, us(wait))
 }
 
 // BusyReply ends a request as busy.
-func (a Acts) BusyReply(id choice.SessID, comeBack float64) {
-	fmt.Fprintf(a.To.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, us(comeBack))
+func (a ActWriter) BusyReply(id choice.SessID, comeBack float64) {
+	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, us(comeBack))
 }
 
 // TearDown ends a request as failed.
-func (a Acts) TearDown(id choice.SessID) {
-	fmt.Fprintf(a.To.out, "DROP_REQUEST i=%s xid=%s\n", a.Front, id)
+func (a ActWriter) TearDown(id choice.SessID) {
+	fmt.Fprintf(a.Out.out, "DROP_REQUEST i=%s xid=%s\n", a.Front, id)
 }
 
 // Probe examines a server.
-func (a Acts) Probe(server choice.ServerID) {
-	fmt.Fprintf(a.To.out, "TOUCH i=%s server=%d\n", a.Front, server)
+func (a ActWriter) Probe(server choice.ServerID) {
+	fmt.Fprintf(a.Out.out, "TOUCH i=%s server=%d\n", a.Front, server)
 }
 
 // Tell sends a message to another front.
-func (a Acts) Tell(front int, words []byte) {
-	fmt.Fprintf(a.To.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(words))
+func (a ActWriter) Tell(front int, words []byte) {
+	fmt.Fprintf(a.Out.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(words))
 }
 
 // Wake sets a timer.
-func (a Acts) Wake(after float64) {
-	fmt.Fprintf(a.To.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, us(after))
+func (a ActWriter) Wake(after float64) {
+	fmt.Fprintf(a.Out.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, us(after))
 }
