--- a/choice/fleet/fleet.go
+++ b/choice/fleet/fleet.go
@@ -24,18 +24,18 @@
 
 func (p Phase) String() string { return [...]string{"down", "starting", "up", "stopping"}[p] }
 
-// Orders is what the fleet has done. Exited follows each Start once, whatever ended it.
-type Orders interface {
+// Actions is what the fleet has done. Exited follows each Start once, whatever ended it.
+type Actions interface {
 	Start(n int)
 	Stop(n int) // told to drain and end
 	Kill(n int)
 }
 
-// Terms are how a fleet is run.
-type Terms struct {
-	Fronts int
-	Share  float64 // of the fronts that may be away or starting at a time, by a rolling restart or a start of all
-	Drain  float64 // seconds that a front's sessions may play on
+// Config are how a fleet is run.
+type Config struct {
+	Fronts              int
+	MaxUnavailableShare float64 // of the fronts that may be away or starting at a time, by a rolling restart or a start of all
+	DrainSeconds        float64 // seconds that a front's sessions may play on
 }
 
 const (
@@ -72,8 +72,8 @@
 
 // Fleet is one machine's.
 type Fleet struct {
-	terms Terms
-	out   Orders
+	terms Config
+	out   Actions
 	now   float64
 	list  []instance
 	age   int    // generation wanted; a rolling restart raises it
@@ -82,7 +82,7 @@
 }
 
 // New makes a fleet of which nothing runs yet and all is wanted.
-func New(now float64, t Terms, out Orders) *Fleet {
+func New(now float64, t Config, out Actions) *Fleet {
 	f := &Fleet{terms: t, out: out, now: now, list: make([]instance, t.Fronts)}
 	for i := range f.list {
 		f.list[i].wanted = true
@@ -90,11 +90,13 @@
 	return f
 }
 
-// At sets the clock; it never runs back.
-func (f *Fleet) At(now float64) { f.now = max(f.now, now) }
+// SetTime sets the clock; it never runs back.
+func (f *Fleet) SetTime(now float64) { f.now = max(f.now, now) }
 
 // together is how many may be away at a time: one at least.
-func (f *Fleet) together() int { return max(int(f.terms.Share*float64(f.terms.Fronts)), 1) }
+func (f *Fleet) together() int {
+	return max(int(f.terms.MaxUnavailableShare*float64(f.terms.Fronts)), 1)
+}
 
 func (f *Fleet) to(n int, p Phase) { f.list[n].phase, f.list[n].since = p, f.now }
 
@@ -127,8 +129,8 @@
 	}
 }
 
-// Health tells what a process says of itself.
-func (f *Fleet) Health(n int, live, ready bool) {
+// ReportHealth tells what a process says of itself.
+func (f *Fleet) ReportHealth(n int, live, ready bool) {
 	i := &f.list[n]
 	if i.phase == Down {
 		return
@@ -142,29 +144,29 @@
 	}
 }
 
-// Want has one instance run, or end and stay away.
-func (f *Fleet) Want(n int, run bool) {
+// SetWanted has one instance run, or end and stay away.
+func (f *Fleet) SetWanted(n int, run bool) {
 	if i := &f.list[n]; !f.over && i.wanted != run {
 		i.wanted, i.fails, i.startAt = run, 0, f.now
 	}
 }
 
-// Restart begins a rolling restart of all that run; one that was held begins anew.
-func (f *Fleet) Restart() {
+// StartRollingRestart begins a rolling restart of all that run; one that was held begins anew.
+func (f *Fleet) StartRollingRestart() {
 	f.age++
 	f.held = ""
 }
 
-// End has all instances end; nothing is started after it.
-func (f *Fleet) End() {
+// Shutdown has all instances end; nothing is started after it.
+func (f *Fleet) Shutdown() {
 	f.over = true
 	for i := range f.list {
 		f.list[i].wanted = false
 	}
 }
 
-// Over tells that nothing runs and nothing is wanted.
-func (f *Fleet) Over() bool {
+// Finished tells that nothing runs and nothing is wanted.
+func (f *Fleet) Finished() bool {
 	for _, i := range f.list {
 		if i.wanted || i.phase != Down {
 			return false
@@ -185,13 +187,13 @@
 
 // Status is an instance's, for people.
 type Status struct {
-	N     int
-	Phase string
-	Ready bool
-	Age   float64 // seconds in this phase
-	Fails int
-	Last  string // how its last process ended
-	Old   bool   // a rolling restart has not come to it yet
+	Index               int     `json:"N"`
+	Phase               string  `json:"Phase"`
+	Ready               bool    `json:"Ready"`
+	PhaseSeconds        float64 `json:"Age"` // seconds in this phase
+	ConsecutiveFailures int     `json:"Fails"`
+	LastExit            string  `json:"Last"` // how its last process ended
+	RestartPending      bool    `json:"Old"`  // a rolling restart has not come to it yet
 }
 
 // Status gives all instances', and why a rolling restart is held.
@@ -202,8 +204,8 @@
 	return list, f.held
 }
 
-// Next is the instant at which Settle is wanted by the clock, 0 where none is.
-func (f *Fleet) Next() float64 {
+// NextWakeup is the instant at which Settle is wanted by the clock, 0 where none is.
+func (f *Fleet) NextWakeup() float64 {
 	next := 0.0
 	at := func(x float64) {
 		if next == 0 || x < next {
@@ -216,7 +218,7 @@
 			at(max(i.startAt, f.now+0.05)) // others may have to get ready first; their health comes as an event
 		case i.killed:
 		case i.phase == Stopping:
-			at(i.since + f.terms.Drain + endTime)
+			at(i.since + f.terms.DrainSeconds + endTime)
 		case i.phase == Starting:
 			at(i.since + readyTime)
 		case i.phase == Up:
@@ -226,8 +228,8 @@
 	return next
 }
 
-// Settle gives the orders that lead from what runs to what is wanted.
-func (f *Fleet) Settle() {
+// Reconcile gives the orders that lead from what runs to what is wanted.
+func (f *Fleet) Reconcile() {
 	away := 0 // wanted, and not serving for a reason that a restart or a start has part in
 	for _, i := range f.list {
 		if i.wanted && !(i.phase == Up && i.ready) {
@@ -244,7 +246,7 @@
 		i := &f.list[n]
 		switch {
 		case i.killed:
-		case i.phase == Stopping && f.now >= i.since+f.terms.Drain+endTime:
+		case i.phase == Stopping && f.now >= i.since+f.terms.DrainSeconds+endTime:
 			f.kill(n, "it did not end")
 		case i.phase == Starting && f.now >= i.since+readyTime:
 			f.kill(n, "it was not ready in time")
@@ -292,13 +294,13 @@
 
 // Claim is what one instance takes of the machine by its settings.
 type Claim struct {
-	N         int
+	Index     int
 	Name      string
 	Addresses []string // that it listens on; those that leave the port to the system are nobody's
 }
 
-// Clashes tells which instances would step on each other, in words; at most some.
-func Clashes(list []Claim) (words []string) {
+// Conflicts tells which instances would step on each other, in words; at most some.
+func Conflicts(list []Claim) (words []string) {
 	const most = 10
 	taken := map[string]int{}
 	claim := func(n int, what, key string) {
@@ -311,10 +313,10 @@
 		taken[key] = n
 	}
 	for _, c := range list {
-		claim(c.N, "the name "+c.Name, "name "+c.Name)
+		claim(c.Index, "the name "+c.Name, "name "+c.Name)
 		for _, a := range c.Addresses {
 			if a != "" && !strings.HasSuffix(a, ":0") {
-				claim(c.N, "the address "+a, "address "+a)
+				claim(c.Index, "the address "+a, "address "+a)
 			}
 		}
 	}
--- a/choice/fleet/fleet_test.go
+++ b/choice/fleet/fleet_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"encoding/json"
 	"slices"
 	"testing"
 
@@ -20,7 +21,7 @@
 	least   int // fronts ready at the worst moment since it was set
 }
 
-func newMachine(tb rapid.TB, t Terms) *machine {
+func newMachine(tb rapid.TB, t Config) *machine {
 	m := &machine{tb: tb, runs: make([]bool, t.Fronts), ready: make([]bool, t.Fronts), stopped: make([]bool, t.Fronts)}
 	m.f = New(0, t, m)
 	return m
@@ -50,9 +51,9 @@
 
 func (m *machine) do(after float64, event func()) {
 	m.now += after
-	m.f.At(m.now)
+	m.f.SetTime(m.now)
 	event()
-	m.f.Settle()
+	m.f.Reconcile()
 	n := 0
 	for _, r := range m.ready {
 		if r {
@@ -78,7 +79,7 @@
 				m.exit(n, 0)
 			case m.runs[n]:
 				m.ready[n] = true
-				m.do(0, func() { m.f.Health(n, true, true) })
+				m.do(0, func() { m.f.ReportHealth(n, true, true) })
 			}
 		}
 	}
@@ -94,7 +95,7 @@
 }
 
 func TestRollingRestart(t *testing.T) {
-	m := newMachine(t, Terms{Fronts: 20, Share: 0.2, Drain: 5})
+	m := newMachine(t, Config{Fronts: 20, MaxUnavailableShare: 0.2, DrainSeconds: 5})
 	m.do(0, func() {})
 	if count(m.runs) != 4 {
 		t.Fatalf("%d start at a time", count(m.runs))
@@ -104,13 +105,13 @@
 		t.Fatalf("%d started, %d ready", m.starts, count(m.ready))
 	}
 	m.least = 20
-	m.do(0, m.f.Restart)
+	m.do(0, m.f.StartRollingRestart)
 	m.goOn(20)
 	if m.starts != 40 || count(m.ready) != 20 || m.least != 16 {
 		t.Errorf("%d started, %d ready, %d at the worst moment", m.starts, count(m.ready), m.least)
 	}
 	// One that falls after its restart holds the rest back.
-	m.do(0, m.f.Restart)
+	m.do(0, m.f.StartRollingRestart)
 	first := slices.Index(m.stopped, true)
 	m.exit(first, 0)
 	m.do(0, func() {})
@@ -120,26 +121,26 @@
 	if _, held := m.f.Status(); held == "" || m.starts-before > 5 || count(m.ready) != 20 {
 		t.Errorf("held %q, %d more starts, %d ready", held, m.starts-before, count(m.ready))
 	}
-	m.do(0, m.f.Restart)
+	m.do(0, m.f.StartRollingRestart)
 	m.goOn(30)
-	if list, held := m.f.Status(); held != "" || slices.ContainsFunc(list, func(s Status) bool { return s.Old }) {
+	if list, held := m.f.Status(); held != "" || slices.ContainsFunc(list, func(s Status) bool { return s.RestartPending }) {
 		t.Errorf("held %q, %+v", held, list)
 	}
-	m.do(0, m.f.End)
+	m.do(0, m.f.Shutdown)
 	m.goOn(3)
-	if !m.f.Over() || count(m.runs) > 0 {
+	if !m.f.Finished() || count(m.runs) > 0 {
 		t.Errorf("%d still run", count(m.runs))
 	}
 }
 
 // A third of the fronts away already: a rolling restart waits for them.
 func TestRestartWaitsForThoseAway(t *testing.T) {
-	m := newMachine(t, Terms{Fronts: 9, Share: 0.34, Drain: 5})
+	m := newMachine(t, Config{Fronts: 9, MaxUnavailableShare: 0.34, DrainSeconds: 5})
 	m.goOn(6)
 	for n := range 3 {
 		m.exit(n, -1)
 	}
-	m.do(0, m.f.Restart)
+	m.do(0, m.f.StartRollingRestart)
 	if count(m.stopped) != 0 {
 		t.Errorf("%d stopped while three are away", count(m.stopped))
 	}
@@ -150,13 +151,13 @@
 }
 
 func TestFallsAndSilence(t *testing.T) {
-	m := newMachine(t, Terms{Fronts: 1, Share: 1, Drain: 5})
+	m := newMachine(t, Config{Fronts: 1, MaxUnavailableShare: 1, DrainSeconds: 5})
 	m.do(0, func() {})
 	var at []float64
 	for range 6 {
 		m.exit(0, 1)
 		for !m.runs[0] {
-			if n := m.f.Next(); n == 0 {
+			if n := m.f.NextWakeup(); n == 0 {
 				t.Fatal("nothing is wanted of the clock")
 			} else {
 				m.do(max(n-m.now, 0.01), func() {})
@@ -179,7 +180,7 @@
 	}
 	m.exit(0, -1)
 	m.goOn(60)
-	m.do(0, func() { m.f.Want(0, false) })
+	m.do(0, func() { m.f.SetWanted(0, false) })
 	m.do(5+endTime, func() {})
 	if m.kills != 3 {
 		t.Error("one that does not end is left")
@@ -189,7 +190,7 @@
 	if m.runs[0] {
 		t.Error("one that is not wanted is started")
 	}
-	m.do(0, func() { m.f.Want(0, true) })
+	m.do(0, func() { m.f.SetWanted(0, true) })
 	m.exit(0, usage)
 	m.goOn(100)
 	if m.runs[0] {
@@ -201,7 +202,7 @@
 func TestAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fronts := rapid.IntRange(1, 8).Draw(t, "fronts")
-		m := newMachine(t, Terms{Fronts: fronts, Share: rapid.Float64Range(0, 1).Draw(t, "share"), Drain: 3})
+		m := newMachine(t, Config{Fronts: fronts, MaxUnavailableShare: rapid.Float64Range(0, 1).Draw(t, "share"), DrainSeconds: 3})
 		one := func(t *rapid.T) int { return rapid.IntRange(0, fronts-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"exit": func(t *rapid.T) {
@@ -212,18 +213,18 @@
 			"health": func(t *rapid.T) {
 				if n := one(t); m.runs[n] && !m.stopped[n] {
 					m.ready[n] = rapid.Bool().Draw(t, "ready")
-					m.do(0, func() { m.f.Health(n, true, m.ready[n]) })
+					m.do(0, func() { m.f.ReportHealth(n, true, m.ready[n]) })
 				}
 			},
-			"want":    func(t *rapid.T) { n := one(t); m.do(0, func() { m.f.Want(n, rapid.Bool().Draw(t, "run")) }) },
-			"restart": func(*rapid.T) { m.do(0, m.f.Restart) },
+			"want":    func(t *rapid.T) { n := one(t); m.do(0, func() { m.f.SetWanted(n, rapid.Bool().Draw(t, "run")) }) },
+			"restart": func(*rapid.T) { m.do(0, m.f.StartRollingRestart) },
 			"time":    func(t *rapid.T) { m.do(rapid.Float64Range(0, 20).Draw(t, "seconds"), func() {}) },
 			"go on":   func(*rapid.T) { m.goOn(2) },
 		})
 		for n := range fronts {
-			m.do(0, func() { m.f.Want(n, true) })
+			m.do(0, func() { m.f.SetWanted(n, true) })
 		}
-		m.do(0, m.f.Restart)
+		m.do(0, m.f.StartRollingRestart)
 		for range 200 {
 			m.goOn(1)
 			for n := range m.runs { // what was killed ends
@@ -238,9 +239,9 @@
 				t.Fatalf("left alone: %+v", list)
 			}
 		}
-		m.do(0, m.f.End)
+		m.do(0, m.f.Shutdown)
 		m.goOn(3)
-		if !m.f.Over() {
+		if !m.f.Finished() {
 			t.Fatal("it does not end")
 		}
 	})
@@ -258,8 +259,26 @@
 		"both":         {Claim{1, "a", []string{"127.0.0.1:1"}}, 2},
 		"its own port": {Claim{1, "b", []string{"127.0.0.1:3", "127.0.0.1:3"}}, 1},
 	} {
-		if w := Clashes([]Claim{a, c.second}); len(w) != c.words {
+		if w := Conflicts([]Claim{a, c.second}); len(w) != c.words {
 			t.Errorf("%s: %q", name, w)
 		}
 	}
 }
+
+// TestStatusJSON pins the JSON names of Status. internal/fleet embeds Status in its status report, so a tag lost when a
+// field is renamed changes what operators' tools read.
+func TestStatusJSON(t *testing.T) {
+	status := Status{Index: 1, Phase: "up", Ready: true, PhaseSeconds: 2.5, ConsecutiveFailures: 3, LastExit: "exit 0", RestartPending: true}
+	embedded := struct {
+		Status
+		Process int
+	}{status, 4}
+	for want, v := range map[string]any{
+		`{"N":1,"Phase":"up","Ready":true,"Age":2.5,"Fails":3,"Last":"exit 0","Old":true}`:             status,
+		`{"N":1,"Phase":"up","Ready":true,"Age":2.5,"Fails":3,"Last":"exit 0","Old":true,"Process":4}`: embedded,
+	} {
+		if got, err := json.Marshal(v); err != nil || string(got) != want {
+			t.Errorf("got %s, %v, want %s", got, err, want)
+		}
+	}
+}
--- a/choice/lifecycle/lifecycle.go
+++ b/choice/lifecycle/lifecycle.go
@@ -8,7 +8,7 @@
 import (
 	"fmt"
 
-	"rainhaven/choice/renewal"
+	"rainhaven/choice/reload"
 )
 
 // State is where the process stands.
@@ -27,25 +27,25 @@
 	return [...]string{"starting", "serving", "draining", "cutting", "stopped"}[s]
 }
 
-// Code is a process's exit code.
-type Code int
+// ExitCode is a process's exit code.
+type ExitCode int
 
 // The exit codes. 2 is wrong use of the command line.
 const (
-	Clean    Code = 0
-	Failed   Code = 1 // settings, files, listeners: what the message says
-	Address  Code = 3 // an address is taken or can't be had
-	Folder   Code = 4 // the state folder is missing, can't be written, or belongs to another process
-	CutShort Code = 5 // sessions were cut because a second signal asked for it
-	Stuck    Code = 6 // the front did not end within its time
+	ExitClean              ExitCode = 0
+	ExitFailed             ExitCode = 1 // settings, files, listeners: what the message says
+	ExitAddressUnavailable ExitCode = 3 // an address is taken or can't be had
+	ExitStateFolder        ExitCode = 4 // the state folder is missing, can't be written, or belongs to another process
+	ExitForced             ExitCode = 5 // sessions were cut because a second signal asked for it
+	ExitTimeout            ExitCode = 6 // the front did not end within its time
 )
 
-// Orders is what the process has done. All are given from within Settle.
-type Orders interface {
-	Reload()                    // read the settings and have them take hold; Reloaded follows
-	Drain()                     // busy-reply what is new; Drained follows when the last session is over
-	Cut()                       // end all sessions; Ended follows
-	Exit(code Code, why string) // nothing follows
+// Actions is what the process has done. All are given from within Settle.
+type Actions interface {
+	Reload()                        // read the settings and have them take hold; Reloaded follows
+	Drain()                         // busy-reply what is new; Drained follows when the last session is over
+	EndSessions()                   // end all sessions; Ended follows
+	Exit(code ExitCode, why string) // nothing follows
 }
 
 const (
@@ -59,14 +59,14 @@
 	same = 0.2
 )
 
-// Life is one process's.
-type Life struct {
-	out     Orders
+// Machine is one process's.
+type Machine struct {
+	out     Actions
 	now     float64
 	drain   float64 // seconds that sessions may play on
 	state   State
 	wanted  State
-	code    Code
+	code    ExitCode
 	why     string
 	until   float64 // end of the drain, or of the cut
 	least   float64 // the drain's end if the last session is over by then
@@ -80,31 +80,31 @@
 }
 
 // New begins a process; sessions may play on for drain seconds once it is told to stop.
-func New(now, drain float64, out Orders) *Life { return &Life{out: out, now: now, drain: drain} }
+func New(now, drain float64, out Actions) *Machine { return &Machine{out: out, now: now, drain: drain} }
 
-// At sets the clock; it never runs back.
-func (l *Life) At(now float64) { l.now = max(l.now, now) }
+// SetTime sets the clock; it never runs back.
+func (l *Machine) SetTime(now float64) { l.now = max(l.now, now) }
 
 // State is where the process stands, and why it is to end, if it is.
-func (l *Life) State() (State, string) { return l.state, l.why }
+func (l *Machine) State() (State, string) { return l.state, l.why }
 
-// Refused is why the last reload was not taken; empty where it was.
-func (l *Life) Refused() string { return l.refused }
+// ReloadError is why the last reload was not taken; empty where it was.
+func (l *Machine) ReloadError() string { return l.refused }
 
-// Up tells that the front serves.
-func (l *Life) Up() { l.want(Serving) }
+// Started tells that the front serves.
+func (l *Machine) Started() { l.want(Serving) }
 
-func (l *Life) want(s State) { l.wanted = max(l.wanted, s) }
+func (l *Machine) want(s State) { l.wanted = max(l.wanted, s) }
 
-// Hangup is the signal to read the settings again. Several that come before the first is carried out are one.
-func (l *Life) Hangup() {
+// RequestReload is the signal to read the settings again. Several that come before the first is carried out are one.
+func (l *Machine) RequestReload() {
 	if l.wanted <= Serving {
 		l.reload = true
 	}
 }
 
 // Reloaded tells how a reload went: why it was refused, empty where it took hold.
-func (l *Life) Reloaded(refused string) {
+func (l *Machine) Reloaded(refused string) {
 	if l.loading = false; refused == "" {
 		l.loaded = l.now
 	}
@@ -112,26 +112,26 @@
 }
 
 // Terminate is a signal to end: the first drains, one more cuts, and a third is not waited for.
-func (l *Life) Terminate(signal string) {
+func (l *Machine) Terminate(signal string) {
 	if l.asked > 0 && l.now-l.asked < same {
 		return
 	}
 	l.asked = l.now
 	switch {
 	case l.wanted < Serving:
-		l.end(Stopped, Clean, signal+" before the front served")
+		l.end(Stopped, ExitClean, signal+" before the front served")
 	case l.wanted == Serving:
-		l.end(Draining, Clean, signal)
+		l.end(Draining, ExitClean, signal)
 	case l.wanted == Draining:
-		l.end(Cutting, CutShort, "a second signal: "+signal)
+		l.end(Cutting, ExitForced, "a second signal: "+signal)
 	case l.wanted == Cutting:
-		l.end(Stopped, CutShort, "a third signal: "+signal)
+		l.end(Stopped, ExitForced, "a third signal: "+signal)
 	}
 }
 
 // Failed tells that something failed for good. Before the front serves that is its end; afterwards what plays still may
 // play on for the time of a drain, as it needs nothing of a listener.
-func (l *Life) Failed(code Code, what string) {
+func (l *Machine) Failed(code ExitCode, what string) {
 	if l.wanted < Serving {
 		l.end(Stopped, code, what)
 	} else if l.wanted == Serving {
@@ -140,52 +140,52 @@
 }
 
 // TakenOver tells that another process has the listeners now: this one drains.
-func (l *Life) TakenOver() {
+func (l *Machine) TakenOver() {
 	if l.wanted == Serving {
-		l.end(Draining, Clean, "another process has taken over")
+		l.end(Draining, ExitClean, "another process has taken over")
 	}
 }
 
 // Drained tells that the last session is over.
-func (l *Life) Drained() {
+func (l *Machine) Drained() {
 	l.drained = l.wanted == Draining
 }
 
 // Resumed tells that a session began after the last one was over, where requests are still taken during a drain.
-func (l *Life) Resumed() { l.drained = false }
+func (l *Machine) Resumed() { l.drained = false }
 
-// Ended tells that the front has ended.
-func (l *Life) Ended() {
+// SessionsEnded tells that the front has ended.
+func (l *Machine) SessionsEnded() {
 	if l.wanted == Cutting {
 		l.end(Stopped, l.code, l.why)
 	}
 }
 
 // end goes on towards the exit. The first failure's code stays.
-func (l *Life) end(to State, code Code, why string) {
-	if l.want(to); l.code == Clean {
+func (l *Machine) end(to State, code ExitCode, why string) {
+	if l.want(to); l.code == ExitClean {
 		l.code = code
 	}
-	if l.why == "" || code != Clean {
+	if l.why == "" || code != ExitClean {
 		l.why = why
 	}
 }
 
-// Next is the instant at which Settle is wanted, 0 where none is.
-func (l *Life) Next() float64 {
+// NextWakeup is the instant at which Settle is wanted, 0 where none is.
+func (l *Machine) NextWakeup() float64 {
 	switch {
 	case l.state == Draining && l.drained:
 		return min(l.until, l.least)
 	case l.state == Draining || l.state == Cutting:
 		return l.until
 	case l.reload && !l.loading && l.state == Serving:
-		return l.now + renewal.Wait(l.now, l.loaded)
+		return l.now + reload.Delay(l.now, l.loaded)
 	}
 	return 0
 }
 
-// Settle gives the orders that lead from where the process is to where it is wanted.
-func (l *Life) Settle() {
+// Reconcile gives the orders that lead from where the process is to where it is wanted.
+func (l *Machine) Reconcile() {
 	if l.state == Draining && l.drained && l.now >= l.least {
 		l.end(Cutting, l.code, l.why)
 	}
@@ -194,8 +194,8 @@
 		case Draining:
 			l.end(Cutting, l.code, l.why)
 		case Cutting:
-			l.end(Stopped, Stuck, fmt.Sprintf("the front did not end within %v s", cutTime))
-			l.code = Stuck
+			l.end(Stopped, ExitTimeout, fmt.Sprintf("the front did not end within %v s", cutTime))
+			l.code = ExitTimeout
 		}
 	}
 	for l.state < l.wanted {
@@ -206,12 +206,12 @@
 			l.out.Drain()
 		case l.state == Cutting && l.wanted == Cutting:
 			l.until = l.now + cutTime
-			l.out.Cut()
+			l.out.EndSessions()
 		case l.state == Stopped:
 			l.out.Exit(l.code, l.why)
 		}
 	}
-	if l.reload && !l.loading && l.state == Serving && renewal.Wait(l.now, l.loaded) == 0 {
+	if l.reload && !l.loading && l.state == Serving && reload.Delay(l.now, l.loaded) == 0 {
 		l.reload, l.loading = false, true
 		l.out.Reload()
 	}
--- a/choice/lifecycle/lifecycle_test.go
+++ b/choice/lifecycle/lifecycle_test.go
@@ -10,11 +10,11 @@
 // process notes the orders and breaks the test where they come out of turn.
 type process struct {
 	t                    rapid.TB
-	l                    *Life
+	l                    *Machine
 	log                  []string
 	loading, exited, cut bool
 	drained              bool
-	code                 Code
+	code                 ExitCode
 	now                  float64
 }
 
@@ -39,14 +39,14 @@
 	p.drained = true
 }
 
-func (p *process) Cut() {
+func (p *process) EndSessions() {
 	if p.note("cut"); p.cut {
 		p.t.Fatal("cut twice")
 	}
 	p.cut = true
 }
 
-func (p *process) Exit(code Code, why string) {
+func (p *process) Exit(code ExitCode, why string) {
 	if p.note("exit"); why == "" {
 		p.t.Fatal("an exit without a word")
 	}
@@ -61,9 +61,9 @@
 
 func (p *process) do(after float64, event func()) {
 	p.now += after
-	p.l.At(p.now)
+	p.l.SetTime(p.now)
 	event()
-	p.l.Settle()
+	p.l.Reconcile()
 }
 
 func TestLives(t *testing.T) {
@@ -71,33 +71,33 @@
 		after float64
 		do    func(p *process)
 	}
-	up := step{0, func(p *process) { p.l.Up() }}
-	hup := step{0.1, func(p *process) { p.l.Hangup() }}
+	up := step{0, func(p *process) { p.l.Started() }}
+	hup := step{0.1, func(p *process) { p.l.RequestReload() }}
 	term := step{1, func(p *process) { p.l.Terminate("terminated") }}
 	again := step{0.05, func(p *process) { p.l.Terminate("terminated") }}
 	drained := step{1, func(p *process) { p.l.Drained() }}
-	ended := step{0.1, func(p *process) { p.l.Ended() }}
+	ended := step{0.1, func(p *process) { p.l.SessionsEnded() }}
 	loaded := step{0.1, func(p *process) { p.loading = false; p.l.Reloaded("") }}
 	wait := func(s float64) step { return step{s, func(*process) {}} }
 	for name, c := range map[string]struct {
 		steps []step
 		log   string
-		code  Code
+		code  ExitCode
 	}{
-		"drained":                  {[]step{up, term, drained, ended}, "drain cut exit", Clean},
+		"drained":                  {[]step{up, term, drained, ended}, "drain cut exit", ExitClean},
 		"another begins meanwhile": {[]step{up, term, {0.1, func(p *process) { p.l.Drained() }}, {0.1, func(p *process) { p.l.Resumed() }}, wait(5)}, "drain", 0},
-		"the drain takes long":     {[]step{up, term, wait(30), ended}, "drain cut exit", Clean},
-		"a second signal":          {[]step{up, term, term, ended}, "drain cut exit", CutShort},
-		"the same one twice":       {[]step{up, term, again, drained, ended}, "drain cut exit", Clean},
-		"a third":                  {[]step{up, term, term, term}, "drain cut exit", CutShort},
-		"it does not end":          {[]step{up, term, drained, wait(6)}, "drain cut exit", Stuck},
-		"the port is taken":        {[]step{{0, func(p *process) { p.l.Failed(Address, "taken") }}}, "exit", Address},
-		"stopped while it starts":  {[]step{term}, "exit", Clean},
-		"a listener breaks":        {[]step{up, {1, func(p *process) { p.l.Failed(Failed, "closed") }}, drained, ended}, "drain cut exit", Failed},
-		"taken over":               {[]step{up, {1, func(p *process) { p.l.TakenOver() }}, drained, ended}, "drain cut exit", Clean},
+		"the drain takes long":     {[]step{up, term, wait(30), ended}, "drain cut exit", ExitClean},
+		"a second signal":          {[]step{up, term, term, ended}, "drain cut exit", ExitForced},
+		"the same one twice":       {[]step{up, term, again, drained, ended}, "drain cut exit", ExitClean},
+		"a third":                  {[]step{up, term, term, term}, "drain cut exit", ExitForced},
+		"it does not end":          {[]step{up, term, drained, wait(6)}, "drain cut exit", ExitTimeout},
+		"the port is taken":        {[]step{{0, func(p *process) { p.l.Failed(ExitAddressUnavailable, "taken") }}}, "exit", ExitAddressUnavailable},
+		"stopped while it starts":  {[]step{term}, "exit", ExitClean},
+		"a listener breaks":        {[]step{up, {1, func(p *process) { p.l.Failed(ExitFailed, "closed") }}, drained, ended}, "drain cut exit", ExitFailed},
+		"taken over":               {[]step{up, {1, func(p *process) { p.l.TakenOver() }}, drained, ended}, "drain cut exit", ExitClean},
 		"reloads one at a time":    {[]step{up, hup, hup, hup, loaded, wait(0.1), wait(1)}, "reload reload", 0},
 		"a reload before it is up": {[]step{hup, up}, "reload", 0},
-		"none while it drains":     {[]step{up, term, hup, drained, ended}, "drain cut exit", Clean},
+		"none while it drains":     {[]step{up, term, hup, drained, ended}, "drain cut exit", ExitClean},
 	} {
 		p := begin(t)
 		for _, s := range c.steps {
@@ -114,12 +114,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := begin(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"up":      func(*rapid.T) { p.do(0, p.l.Up) },
-			"hangup":  func(*rapid.T) { p.do(0, p.l.Hangup) },
+			"up":      func(*rapid.T) { p.do(0, p.l.Started) },
+			"hangup":  func(*rapid.T) { p.do(0, p.l.RequestReload) },
 			"end":     func(t *rapid.T) { p.do(rapid.Float64Range(0, 2).Draw(t, "after"), func() { p.l.Terminate("x") }) },
-			"fail":    func(*rapid.T) { p.do(0, func() { p.l.Failed(Failed, "broken") }) },
+			"fail":    func(*rapid.T) { p.do(0, func() { p.l.Failed(ExitFailed, "broken") }) },
 			"drained": func(*rapid.T) { p.do(0, p.l.Drained) },
-			"ended":   func(*rapid.T) { p.do(0, p.l.Ended) },
+			"ended":   func(*rapid.T) { p.do(0, p.l.SessionsEnded) },
 			"reloaded": func(t *rapid.T) {
 				if !p.loading {
 					t.Skip("none")
@@ -129,7 +129,7 @@
 			},
 			"time": func(t *rapid.T) { p.do(rapid.Float64Range(0, 40).Draw(t, "seconds"), func() {}) },
 		})
-		p.do(1, func() { p.l.Failed(Failed, "the end") })
+		p.do(1, func() { p.l.Failed(ExitFailed, "the end") })
 		for range 4 {
 			p.do(1, func() { p.l.Terminate("x") })
 		}
--- /dev/null
+++ b/choice/reload/reload_test.go
@@ -0,0 +1,63 @@
+package reload
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+	"rainhaven/choice"
+)
+
+func TestWhatTakesWhat(t *testing.T) {
+	for name, c := range map[string]struct {
+		in    Change
+		steps Action
+		why   string
+	}{
+		"nothing":             {Change{}, 0, ""},
+		"a title":             {Change{Sections: []Section{"title"}}, ReadOnUse, ""},
+		"boxes only":          {Change{Sections: []Section{"box"}}, UpdateBoxes, ""},
+		"a ladder and limits": {Change{Sections: []Section{"ladder", "limits"}}, RebuildChoice | UpdateLimits, ""},
+		"a port":              {Change{Sections: []Section{"limits", "front(listen, tls_listen, admin)"}}, 0, "sockets"},
+		"an unknown part":     {Change{Sections: []Section{"weather"}}, 0, "nobody has said"},
+		"a group that is gone": {Change{Sections: []Section{"group"}, NewGroups: []string{"b"}, OldGroups: []string{"a", "b"}}, 0,
+			"group a is gone"},
+	} {
+		p := NewPlan(c.in)
+		if p.Actions != c.steps || (c.why == "") != (len(p.Rejections) == 0) || !strings.Contains(strings.Join(p.Rejections, "; "), c.why) {
+			t.Errorf("%s: %+v", name, p)
+		}
+	}
+	if p := NewPlan(Change{Sections: []Section{"group"}, NewGroups: []string{"c", "b", "a"}, OldGroups: []string{"a", "b"}}); !slices.Equal(p.NewGroupIndex, []int{2, 1}) {
+		t.Errorf("groups in another order: %v", p.NewGroupIndex)
+	}
+	if Delay(5, 0) != 0 || Delay(5, 4.5) != 0.5 || Delay(9, 4.5) != 0 {
+		t.Error("waits")
+	}
+}
+
+// Whatever changes, what rules count is kept, and a slot is never believed less used than it was.
+func TestKeepsWhatRulesCount(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var changed []Section
+		for _, r := range Rules {
+			if rapid.Bool().Draw(t, string(r.Section)) {
+				changed = append(changed, r.Section)
+			}
+		}
+		m := choice.Memory{Taken: []float64{1, 2}, Further: []float64{2}, Servers: []choice.Remembered{{ID: 3, Slot: 7, Used: 2, Born: 5}},
+			Uplinks: []choice.Reading{{Told: 1}}}
+		p := NewPlan(Change{Sections: changed})
+		k := p.DiscardStale(m)
+		if !slices.Equal(k.Taken, m.Taken) || !slices.Equal(k.Further, m.Further) || k.Servers[0].Born != 5 || m.Servers[0].Slot != 7 {
+			t.Fatalf("%v: %+v of %+v", changed, k, m)
+		}
+		if s := k.Servers[0]; s.Slot >= 0 && s.Used != 2 || (s.Slot < 0) != (slices.Contains(changed, "cold") || slices.Contains(changed, "kind")) {
+			t.Fatalf("%v: %+v", changed, s)
+		}
+		if len(p.Rejections) > 0 && p.Actions != 0 {
+			t.Fatalf("%v: refused, and steps %b", changed, p.Actions)
+		}
+	})
+}
--- a/cmd/rainhaven/fleet.go
+++ b/cmd/rainhaven/fleet.go
@@ -55,11 +55,11 @@
 
 func fleetUp(folder *string) *cobra.Command {
 	var script, level, format string
-	var t decisions.Terms
+	var t decisions.Config
 	c := &cobra.Command{Use: "up --config FILE --fronts N", Short: "Start the fronts and keep them running until told to end",
 		Example: "  rainhaven fleet up --config examples/fleet.star --fronts 4\n  rainhaven fleet status", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if t.Fronts < 1 || t.Share <= 0 || t.Share > 1 || t.Drain < 0 {
+			if t.Fronts < 1 || t.MaxUnavailableShare <= 0 || t.MaxUnavailableShare > 1 || t.DrainSeconds < 0 {
 				return fmt.Errorf("--fronts is 1 or more, --share above 0 and at most 1, --drain not below 0")
 			}
 			log, err := logger(level, format)
@@ -83,8 +83,8 @@
 		}}
 	c.Flags().StringVarP(&script, "config", "c", "", "settings of all fronts, a Starlark script that knows each by the name instance")
 	c.Flags().IntVar(&t.Fronts, "fronts", 1, "how many")
-	c.Flags().Float64Var(&t.Share, "share", 0.2, "of the fronts that may be away at a time in a rolling restart")
-	c.Flags().Float64Var(&t.Drain, "drain", 30, "seconds that sessions may play on in a front that is told to end")
+	c.Flags().Float64Var(&t.MaxUnavailableShare, "share", 0.2, "of the fronts that may be away at a time in a rolling restart")
+	c.Flags().Float64Var(&t.DrainSeconds, "drain", 30, "seconds that sessions may play on in a front that is told to end")
 	c.MarkFlagRequired("config")
 	logFlags(c, &level, &format)
 	return c
@@ -110,10 +110,10 @@
 			fmt.Fprintln(w, "front\tphase\tready\tfor\tfalls\tlast end\t")
 			for _, s := range r.Fronts {
 				old := ""
-				if s.Old {
+				if s.RestartPending {
 					old = ", to be restarted"
 				}
-				fmt.Fprintf(w, "%d\t%s%s\t%v\t%.0f s\t%d\t%s\t\n", s.N, s.Phase, old, s.Ready, s.Age, s.Fails, s.Last)
+				fmt.Fprintf(w, "%d\t%s%s\t%v\t%.0f s\t%d\t%s\t\n", s.Index, s.Phase, old, s.Ready, s.PhaseSeconds, s.ConsecutiveFailures, s.LastExit)
 			}
 			w.Flush()
 			if r.Held != "" {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -60,7 +60,7 @@
 }
 
 func (c controlled) Drain()  { c.d.post(func() { c.d.life.Terminate("asked to drain") }) }
-func (c controlled) Reload() { c.d.post(c.d.life.Hangup) }
+func (c controlled) Reload() { c.d.post(c.d.life.RequestReload) }
 
 // control answers until the process ends.
 func (d *daemon) control() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -48,7 +48,7 @@
 type daemon struct {
 	Options
 	began  time.Time
-	life   *lifecycle.Life
+	life   *lifecycle.Machine
 	events chan func() // bounded: each owner below has at most one event under way
 	work   sync.WaitGroup
 	over   context.Context // done when the process is to end
@@ -57,7 +57,7 @@
 	terms  settings.Terms
 	front  *front.Front
 	folder *state.Folder
-	files  *keys.Files // for viewers over TLS; nil without
+	files  *keys.KeyPair // for viewers over TLS; nil without
 	// What an upgrade gives away: listeners by use and the folder's lock, as files of their own. Set before it may come.
 	sockets []given
 	storeMu sync.Mutex
@@ -65,7 +65,7 @@
 	first   error        // of the start
 	ended   bool         // the front has
 	exit    bool
-	code    lifecycle.Code
+	code    lifecycle.ExitCode
 	why     string
 
 	said  atomic.Pointer[said]  // for health; read by anyone
@@ -84,7 +84,7 @@
 }
 
 // Run is a process from its start to its exit code. The error tells what went wrong, in words for whoever started it.
-func Run(o Options) (lifecycle.Code, error) {
+func Run(o Options) (lifecycle.ExitCode, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
@@ -97,7 +97,7 @@
 		d.life.Failed(code, err.Error())
 		d.first = err
 	} else {
-		d.life.Up()
+		d.life.Started()
 	}
 	if o.Owner != nil {
 		go func() { // ends with the process: nothing can be done about a read under way
@@ -110,7 +110,7 @@
 	if d.first != nil {
 		return d.code, d.first
 	}
-	if d.code != lifecycle.Clean {
+	if d.code != lifecycle.ExitClean {
 		return d.code, errors.New(d.why)
 	}
 	d.Log.Info("over", zap.String("why", d.why))
@@ -128,26 +128,26 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		d.life.At(time.Since(d.began).Seconds())
-		d.life.Settle()
+		d.life.SetTime(time.Since(d.began).Seconds())
+		d.life.Reconcile()
 		s, _ := d.life.State()
-		d.said.Store(&said{s, d.life.Refused()})
+		d.said.Store(&said{s, d.life.ReloadError()})
 		if d.exit {
 			return
 		}
 		wait := time.Hour
-		if n := d.life.Next(); n > 0 {
+		if n := d.life.NextWakeup(); n > 0 {
 			wait = max(time.Duration((n-time.Since(d.began).Seconds())*1e9), time.Millisecond)
 		}
 		timer.Reset(wait)
 		select {
 		case e := <-d.events:
-			d.life.At(time.Since(d.began).Seconds())
+			d.life.SetTime(time.Since(d.began).Seconds())
 			e()
 		case s := <-d.Signals:
-			d.life.At(time.Since(d.began).Seconds())
+			d.life.SetTime(time.Since(d.began).Seconds())
 			if s == syscall.SIGHUP {
-				d.life.Hangup()
+				d.life.RequestReload()
 			} else {
 				d.life.Terminate(s.String())
 			}
@@ -157,10 +157,10 @@
 }
 
 // start brings everything up, or tells what can't be.
-func (d *daemon) start() (lifecycle.Code, error) {
+func (d *daemon) start() (lifecycle.ExitCode, error) {
 	var err error
 	if d.terms, err = d.Read(); err != nil {
-		return lifecycle.Failed, err
+		return lifecycle.ExitFailed, err
 	}
 	t := &d.terms
 	d.level(t)
@@ -170,18 +170,18 @@
 	var from *taking
 	if d.Upgrade {
 		if t.State == "" {
-			return lifecycle.Folder, errors.New("an upgrade in service needs front(state = ...), where the two processes meet")
+			return lifecycle.ExitStateFolder, errors.New("an upgrade in service needs front(state = ...), where the two processes meet")
 		}
 		if from, err = take(state.PathOf(t.State, t.Name, socket)); err != nil {
-			return lifecycle.Folder, err
+			return lifecycle.ExitStateFolder, err
 		}
 		defer from.drop()
 		if d.folder, err = state.Adopt(t.State, t.Name, from.files[forLock]); err != nil {
-			return lifecycle.Folder, err
+			return lifecycle.ExitStateFolder, err
 		}
 	} else if t.State != "" {
 		if o.Memory, err = d.recall(t); err != nil {
-			return lifecycle.Folder, err
+			return lifecycle.ExitStateFolder, err
 		}
 	}
 	listen := func(use, address string) (net.Listener, error) {
@@ -199,18 +199,18 @@
 	if t.BoxTLS.Roots != "" {
 		roots, err := keys.OpenRoots(t.BoxTLS.Roots, d.Log)
 		if err != nil {
-			return lifecycle.Failed, err
+			return lifecycle.ExitFailed, err
 		}
-		d.work.Go(func() { roots.Follow(d.over, 2*time.Second) })
-		o.Dial = roots.Dial(t.BoxTLS.Name)
+		d.work.Go(func() { roots.Watch(d.over, 2*time.Second) })
+		o.Dial = roots.Dialer(t.BoxTLS.Name)
 	}
 	if t.TLS.Listen != "" {
-		if d.files, err = keys.Open(t.TLS.Cert, t.TLS.Key, d.Log); err != nil {
-			return lifecycle.Failed, err
+		if d.files, err = keys.OpenKeyPair(t.TLS.Cert, t.TLS.Key, d.Log); err != nil {
+			return lifecycle.ExitFailed, err
 		}
 	}
 	open := map[string]net.Listener{}
-	fail := func(code lifecycle.Code, err error) (lifecycle.Code, error) {
+	fail := func(code lifecycle.ExitCode, err error) (lifecycle.ExitCode, error) {
 		for _, l := range open {
 			l.Close()
 		}
@@ -222,18 +222,18 @@
 		}
 		if open[use], err = listen(use, address); err != nil {
 			delete(open, use)
-			return fail(lifecycle.Address, err)
+			return fail(lifecycle.ExitAddressUnavailable, err)
 		}
 	}
 	if d.front, err = front.New(*t, o); err != nil {
-		return fail(lifecycle.Failed, err)
+		return fail(lifecycle.ExitFailed, err)
 	}
 	if from != nil { // all that can fail is behind; from here on this process decides
 		m, err := from.ready()
 		if err != nil {
 			d.front.Close()
 			d.front = nil
-			return fail(lifecycle.Failed, fmt.Errorf("taking over: %w", err))
+			return fail(lifecycle.ExitFailed, fmt.Errorf("taking over: %w", err))
 		}
 		d.front.Recall(m)
 		if d.store, _, _, _, err = d.folder.Load(); err != nil {
@@ -257,7 +257,7 @@
 		}
 	}
 	if d.files != nil {
-		d.work.Go(func() { d.files.Follow(d.over, 2*time.Second) })
+		d.work.Go(func() { d.files.Watch(d.over, 2*time.Second) })
 	}
 	if d.folder != nil {
 		d.work.Go(d.keep)
@@ -278,7 +278,7 @@
 	if d.Up != nil {
 		d.Up(addresses[forViewers], at)
 	}
-	return lifecycle.Clean, nil
+	return lifecycle.ExitClean, nil
 }
 
 // socket is where processes of one instance meet, in its folder.
@@ -311,7 +311,7 @@
 // served hears that a listener takes nobody any more.
 func (d *daemon) served(err error) {
 	if err != nil {
-		d.post(func() { d.life.Failed(lifecycle.Failed, "taking viewers: "+err.Error()) })
+		d.post(func() { d.life.Failed(lifecycle.ExitFailed, "taking viewers: "+err.Error()) })
 	}
 }
 
@@ -386,7 +386,7 @@
 	d.saved.Store(is)
 }
 
-// Reload implements lifecycle.Orders.
+// Reload implements lifecycle.Actions.
 func (d *daemon) Reload() {
 	d.work.Go(func() {
 		refused := ""
@@ -396,7 +396,7 @@
 		} else if plan, err := d.front.Renew(t); err != nil {
 			refused = err.Error()
 		} else {
-			if refused = strings.Join(plan.Refused, "; "); refused == "" {
+			if refused = strings.Join(plan.Rejections, "; "); refused == "" {
 				d.level(&t)
 			}
 		}
@@ -413,7 +413,7 @@
 	}
 }
 
-// Drain implements lifecycle.Orders.
+// Drain implements lifecycle.Actions.
 func (d *daemon) Drain() {
 	d.Log.Info("draining", zap.Int("sessions", d.front.Sessions()), zap.Duration("at most", d.Options.Drain))
 	d.work.Go(func() {
@@ -422,21 +422,21 @@
 	})
 }
 
-// Cut implements lifecycle.Orders.
-func (d *daemon) Cut() {
+// EndSessions implements lifecycle.Actions.
+func (d *daemon) EndSessions() {
 	d.Log.Info("stopping", zap.Int("sessions", d.front.Sessions()))
 	d.work.Go(func() {
 		d.front.Close()
 		d.write(recall.Stored{Saved: now(), Clean: true, Memory: d.front.Last()})
 		d.post(func() {
 			d.ended = true
-			d.life.Ended()
+			d.life.SessionsEnded()
 		})
 	})
 }
 
-// Exit implements lifecycle.Orders.
-func (d *daemon) Exit(code lifecycle.Code, why string) { d.exit, d.code, d.why = true, code, why }
+// Exit implements lifecycle.Actions.
+func (d *daemon) Exit(code lifecycle.ExitCode, why string) { d.exit, d.code, d.why = true, code, why }
 
 // stop gives everything back. A front that has not ended by then is left to the process's end.
 func (d *daemon) stop() {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -35,7 +35,7 @@
 	file          string
 	signals       chan os.Signal
 	listen, admin string
-	code          chan lifecycle.Code
+	code          chan lifecycle.ExitCode
 	err           error
 }
 
@@ -76,7 +76,7 @@
 func run(t *testing.T, file string) *process { return begin(t, file, false) }
 
 func begin(t *testing.T, file string, upgrade bool) *process {
-	p := &process{t: t, file: file, signals: make(chan os.Signal, 4), code: make(chan lifecycle.Code, 1)}
+	p := &process{t: t, file: file, signals: make(chan os.Signal, 4), code: make(chan lifecycle.ExitCode, 1)}
 	up := make(chan struct{})
 	go func() {
 		code, err := Run(Options{Read: func() (settings.Terms, error) { return settings.ReadTerms(file) }, Drain: 20 * time.Second, Signals: p.signals,
@@ -124,7 +124,7 @@
 	}
 }
 
-func (p *process) end(want lifecycle.Code) {
+func (p *process) end(want lifecycle.ExitCode) {
 	p.t.Helper()
 	if c := <-p.code; c != want {
 		p.t.Errorf("exit code %d (%v), want %d", c, p.err, want)
@@ -171,7 +171,7 @@
 		t.Errorf("the session that played: %+v %v", e.seen, e.err)
 	}
 	p.signals <- syscall.SIGTERM
-	p.end(lifecycle.Clean)
+	p.end(lifecycle.ExitClean)
 }
 
 // A drain turns new requests away, is told by health, and ends with the last session; a second signal cuts.
@@ -202,14 +202,14 @@
 		if cut {
 			time.Sleep(250 * time.Millisecond) // a signal so soon after the first would be the same wish
 			p.signals <- syscall.SIGTERM
-			p.end(lifecycle.CutShort)
+			p.end(lifecycle.ExitForced)
 			<-done
 			continue
 		}
 		if err := <-done; err != nil {
 			t.Errorf("the session that played: %v", err)
 		}
-		p.end(lifecycle.Clean)
+		p.end(lifecycle.ExitClean)
 	}
 }
 
@@ -226,14 +226,14 @@
 	first := run(t, file)
 	for name, c := range map[string]struct {
 		front string
-		code  lifecycle.Code
+		code  lifecycle.ExitCode
 		say   string
 	}{
-		"the same name":   {fmt.Sprintf(", state = %q", dir), lifecycle.Folder, "another front of this name is running"},
-		"no folder":       {fmt.Sprintf(", state = %q", dir+"/none"), lifecycle.Folder, "no such file"},
-		"a file":          {fmt.Sprintf(", state = %q", file), lifecycle.Folder, "not a folder"},
-		"a port is taken": {fmt.Sprintf(", tls_listen = %q, cert = %q, key = %q", taken.Addr(), dir+"/c", dir+"/k"), lifecycle.Failed, "certificate"},
-		"a mistake":       {", colour = 1", lifecycle.Failed, "no field colour"},
+		"the same name":   {fmt.Sprintf(", state = %q", dir), lifecycle.ExitStateFolder, "another front of this name is running"},
+		"no folder":       {fmt.Sprintf(", state = %q", dir+"/none"), lifecycle.ExitStateFolder, "no such file"},
+		"a file":          {fmt.Sprintf(", state = %q", file), lifecycle.ExitStateFolder, "not a folder"},
+		"a port is taken": {fmt.Sprintf(", tls_listen = %q, cert = %q, key = %q", taken.Addr(), dir+"/c", dir+"/k"), lifecycle.ExitFailed, "certificate"},
+		"a mistake":       {", colour = 1", lifecycle.ExitFailed, "no field colour"},
 	} {
 		other := filepath.Join(dir, "other.star")
 		script(t, other, c.front, "", list)
@@ -247,13 +247,13 @@
 	s, _ := os.ReadFile(file)
 	os.WriteFile(other, []byte(strings.Replace(strings.Replace(string(s), `listen = "127.0.0.1:0"`, fmt.Sprintf("listen = %q", taken.Addr()), 1), `"f"`, `"g"`, 1)), 0o600)
 	p := run(t, other)
-	p.end(lifecycle.Address)
+	p.end(lifecycle.ExitAddressUnavailable)
 	var op *net.OpError
 	if !errors.As(p.err, &op) {
 		t.Errorf("a port that is taken: %v", p.err)
 	}
 	first.signals <- syscall.SIGTERM
-	first.end(lifecycle.Clean)
+	first.end(lifecycle.ExitClean)
 }
 
 // A front that was killed, or ended in order, has used of the ration what it has: with all boxes failing, the next one sends
@@ -299,7 +299,7 @@
 			})
 		}
 		p.signals <- syscall.SIGTERM
-		p.end(lifecycle.Clean)
+		p.end(lifecycle.ExitClean)
 		script(t, file, fmt.Sprintf(", state = %q", from), terms, list)
 		p = run(t, file)
 		was := setups()
@@ -314,7 +314,7 @@
 			t.Errorf("killed %v: %d SETUPs for three requests, want %d", killed, n, want)
 		}
 		p.signals <- syscall.SIGTERM
-		p.end(lifecycle.Clean)
+		p.end(lifecycle.ExitClean)
 	}
 }
 
@@ -351,7 +351,7 @@
 	} {
 		script(t, wrong, c.front, c.more, list)
 		p := upgrade(wrong)
-		if p.end(lifecycle.Failed); p.err == nil || !strings.Contains(p.err.Error(), c.say) {
+		if p.end(lifecycle.ExitFailed); p.err == nil || !strings.Contains(p.err.Error(), c.say) {
 			t.Errorf("%v", p.err)
 		}
 	}
@@ -378,7 +378,7 @@
 	if next.listen != old.listen || next.admin != old.admin {
 		t.Fatalf("other sockets: %q and %q, %v", next.listen, old.listen, next.err)
 	}
-	old.end(lifecycle.Clean) // its last session is over
+	old.end(lifecycle.ExitClean) // its last session is over
 	if err := <-done; err != nil {
 		t.Errorf("the session that played: %v", err)
 	}
@@ -389,17 +389,17 @@
 	}
 	next.eventually("the next one is well", func(w health.Word) bool { return w.Ready && len(w.Degraded) == 0 })
 	third := upgrade(file)
-	next.end(lifecycle.Clean)
+	next.end(lifecycle.ExitClean)
 	if seen, err := third.watch(0.2); err != nil || seen.Status != 200 {
 		t.Errorf("after the second upgrade: %+v %v", seen, err)
 	}
 	third.signals <- syscall.SIGTERM
-	third.end(lifecycle.Clean)
+	third.end(lifecycle.ExitClean)
 	again := run(t, file) // the folder is free, and what was kept can be read
 	again.signals <- syscall.SIGTERM
-	again.end(lifecycle.Clean)
+	again.end(lifecycle.ExitClean)
 	p := upgrade(file)
-	p.end(lifecycle.Folder)
+	p.end(lifecycle.ExitStateFolder)
 }
 
 // A process that takes the sockets and ends before it serves leaves everything as it was.
@@ -431,7 +431,7 @@
 	}
 	p.eventually("it is well", func(w health.Word) bool { return w.Ready && len(w.Degraded) == 0 })
 	p.signals <- syscall.SIGTERM
-	p.end(lifecycle.Clean)
+	p.end(lifecycle.ExitClean)
 }
 
 // People ask a front over its socket: what it holds, why a session is where it is, and have it read its settings and drain.
@@ -481,5 +481,5 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	p.end(lifecycle.Clean)
+	p.end(lifecycle.ExitClean)
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -138,7 +138,7 @@
 		}
 		l, err := net.FileListener(x.file)
 		if err != nil {
-			d.post(func() { d.life.Failed(lifecycle.Failed, "taking sockets back: "+err.Error()) })
+			d.post(func() { d.life.Failed(lifecycle.ExitFailed, "taking sockets back: "+err.Error()) })
 			return
 		}
 		d.serve(x.use, l)
@@ -151,7 +151,7 @@
 	case forViewers:
 		d.work.Go(func() { d.served(d.front.Serve(l)) })
 	case forTLS:
-		d.work.Go(func() { d.served(d.front.ServeTLS(l, d.files.TLS())) })
+		d.work.Go(func() { d.served(d.front.ServeTLS(l, d.files.ServerConfig())) })
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,7 +31,7 @@
 type Options struct {
 	Program string // rainhaven itself
 	Script  string // settings of all, by the name instance
-	Terms   fleet.Terms
+	Terms   fleet.Config
 	Socket  string    // where it answers
 	Logs    io.Writer // of the fronts
 	Log     *zap.Logger
@@ -113,9 +113,9 @@
 			return nil, fmt.Errorf("instance %d: front(admin = %q) must name a port: health is asked there", n, t.Admin)
 		}
 		admin = append(admin, t.Admin)
-		list = append(list, fleet.Claim{N: n, Name: t.Name, Addresses: []string{t.Listen, t.TLS.Listen, t.Admin}})
+		list = append(list, fleet.Claim{Index: n, Name: t.Name, Addresses: []string{t.Listen, t.TLS.Listen, t.Admin}})
 	}
-	if words := fleet.Clashes(list); len(words) > 0 {
+	if words := fleet.Conflicts(list); len(words) > 0 {
 		return nil, errors.New(strings.Join(words, "; "))
 	}
 	return admin, nil
@@ -150,33 +150,33 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		s.fleet.At(s.now())
-		s.fleet.Settle()
-		if s.fleet.Over() {
+		s.fleet.SetTime(s.now())
+		s.fleet.Reconcile()
+		if s.fleet.Finished() {
 			return
 		}
 		wait := time.Hour
-		if n := s.fleet.Next(); n > 0 {
+		if n := s.fleet.NextWakeup(); n > 0 {
 			wait = max(time.Duration((n-s.now())*1e9), time.Millisecond)
 		}
 		timer.Reset(wait)
 		select {
 		case e := <-s.events:
-			s.fleet.At(s.now())
+			s.fleet.SetTime(s.now())
 			e()
 		case g := <-s.Signals:
 			s.Log.Info("all fronts are to end", zap.Stringer("signal", g))
-			s.fleet.At(s.now())
-			s.fleet.End()
+			s.fleet.SetTime(s.now())
+			s.fleet.Shutdown()
 		case <-timer.C:
 		}
 	}
 }
 
-// Start implements fleet.Orders.
+// Start implements fleet.Actions.
 func (s *supervisor) Start(n int) {
 	cmd := exec.Command(s.Program, "front", "--config", s.Script, "--instance", strconv.Itoa(n), "--drain",
-		strconv.FormatFloat(s.Terms.Drain, 'f', -1, 64)+"s", "--supervised")
+		strconv.FormatFloat(s.Terms.DrainSeconds, 'f', -1, 64)+"s", "--supervised")
 	cmd.Stderr = s.Logs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a terminal's signal is the supervisor's to pass on
 	stdin, err := cmd.StdinPipe()
@@ -203,14 +203,14 @@
 	})
 }
 
-// Stop implements fleet.Orders.
+// Stop implements fleet.Actions.
 func (s *supervisor) Stop(n int) {
 	if p := s.run[n]; p != nil {
 		p.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
-// Kill implements fleet.Orders.
+// Kill implements fleet.Actions.
 func (s *supervisor) Kill(n int) {
 	if p := s.run[n]; p != nil {
 		s.Log.Warn("front killed", zap.Int("instance", n))
@@ -231,7 +231,7 @@
 		}
 		w, ok := s.ask(n)
 		if ok {
-			s.post(func() { s.fleet.Health(n, w.Live, w.Ready) })
+			s.post(func() { s.fleet.ReportHealth(n, w.Live, w.Ready) })
 		}
 		if t.Reset(quick); ok && w.Ready {
 			t.Reset(slow)
@@ -281,7 +281,7 @@
 			if n < 0 {
 				return errors.New("which instance?")
 			}
-			s.fleet.Want(n, run)
+			s.fleet.SetWanted(n, run)
 			return nil
 		}
 	}
@@ -315,10 +315,10 @@
 		if !slices.Equal(admin, s.admin) {
 			return errors.New("addresses of health have changed; that takes down and up")
 		}
-		s.fleet.Restart()
+		s.fleet.StartRollingRestart()
 		return nil
 	}))
-	mux.HandleFunc("POST /down", do(func(int) error { s.fleet.End(); return nil }))
+	mux.HandleFunc("POST /down", do(func(int) error { s.fleet.Shutdown(); return nil }))
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	s.work.Go(func() { srv.Serve(l) })
 	s.work.Go(func() {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -114,7 +114,7 @@
 	s.write(1)
 	up := make(chan struct{})
 	go func() {
-		s.over <- Run(Options{Program: bin, Script: s.script, Terms: fleet.Terms{Fronts: fronts, Share: share, Drain: 4}, Socket: SocketIn(s.dir),
+		s.over <- Run(Options{Program: bin, Script: s.script, Terms: fleet.Config{Fronts: fronts, MaxUnavailableShare: share, DrainSeconds: 4}, Socket: SocketIn(s.dir),
 			Logs: s, Log: zap.NewNop(), Up: func() { close(up) }})
 	}()
 	select {
@@ -174,7 +174,7 @@
 
 func allReady(r Report) bool {
 	for _, f := range r.Fronts {
-		if !f.Ready || f.Phase != "up" || f.Old {
+		if !f.Ready || f.Phase != "up" || f.RestartPending {
 			return false
 		}
 	}
@@ -226,7 +226,7 @@
 			var ready []int
 			for _, f := range s.status().Fronts {
 				if f.Ready && f.Phase == "up" {
-					ready = append(ready, f.N)
+					ready = append(ready, f.Index)
 				}
 			}
 			if len(ready) == 0 {
@@ -245,12 +245,12 @@
 	// A third is killed in the middle of it.
 	before := s.status()
 	for _, f := range before.Fronts[:n/3] {
-		s.wit.FrontKilled(fmt.Sprint("f", f.N), s.now())
+		s.wit.FrontKilled(fmt.Sprint("f", f.Index), s.now())
 		syscall.Kill(f.Process, syscall.SIGKILL)
 	}
 	s.reach("the killed ones are back", func(r Report) bool {
 		for n := range n / 3 {
-			if r.Fronts[n].Process == before.Fronts[n].Process || r.Fronts[n].Fails == 0 {
+			if r.Fronts[n].Process == before.Fronts[n].Process || r.Fronts[n].ConsecutiveFailures == 0 {
 				return false
 			}
 		}
@@ -348,7 +348,7 @@
 		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := Run(Options{Program: "none", Script: file, Terms: fleet.Terms{Fronts: 2, Share: 1}, Socket: SocketIn(dir), Log: zap.NewNop()})
+		err := Run(Options{Program: "none", Script: file, Terms: fleet.Config{Fronts: 2, MaxUnavailableShare: 1}, Socket: SocketIn(dir), Log: zap.NewNop()})
 		if err == nil || !strings.Contains(err.Error(), c.say) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -78,7 +78,7 @@
 		if b.roots, err = keys.OpenRoots(b.terms.BoxTLS.Roots, zap.NewNop()); err != nil {
 			t.Fatal(err)
 		}
-		o.Dial = b.roots.Dial(b.terms.BoxTLS.Name)
+		o.Dial = b.roots.Dialer(b.terms.BoxTLS.Name)
 	}
 	f, err := front.New(b.terms, o)
 	if err != nil {
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -11,7 +11,7 @@
 
 	"rainhaven/choice/entry"
 	"rainhaven/choice/hearing"
-	"rainhaven/choice/renewal"
+	"rainhaven/choice/reload"
 	"rainhaven/choice/session"
 	"rainhaven/internal/settings"
 )
@@ -20,52 +20,52 @@
 var ErrOver = errors.New("the front has ended")
 
 // Renew has new terms take hold in service, all of them or none; the plan says which and why. Sessions go on.
-func (f *Front) Renew(t settings.Terms) (plan renewal.Plan, err error) {
+func (f *Front) Renew(t settings.Terms) (plan reload.Plan, err error) {
 	if !f.call(func() { plan = f.renew(t) }) {
 		return plan, ErrOver
 	}
 	return plan, nil
 }
 
-func (f *Front) renew(t settings.Terms) renewal.Plan {
+func (f *Front) renew(t settings.Terms) reload.Plan {
 	old := f.terms()
-	terms := renewal.Terms{Changed: changed(old, &t)}
-	terms.Changed = append(terms.Changed, f.usersChanged(&t)...)
+	terms := reload.Change{Sections: changed(old, &t)}
+	terms.Sections = append(terms.Sections, f.usersChanged(&t)...)
 	for _, g := range old.Groups {
-		terms.Before = append(terms.Before, g.Name)
+		terms.OldGroups = append(terms.OldGroups, g.Name)
 	}
 	for _, g := range t.Groups {
-		terms.Groups = append(terms.Groups, g.Name)
+		terms.NewGroups = append(terms.NewGroups, g.Name)
 	}
-	p := renewal.Decide(terms)
-	if len(p.Refused) > 0 {
+	p := reload.NewPlan(terms)
+	if len(p.Rejections) > 0 {
 		return p
 	}
-	if p.Has(renewal.Users) {
+	if p.Has(reload.UpdateUsers) {
 		f.gate, f.users = entry.New(t.Realm, t.Users, f.key), usersPrint(&t, f.key)
 	}
 	t.Users = nil // the gate has what it needs of them
 	t.Figures.Seed = old.Figures.Seed
 	f.current.Store(&t)
-	if p.Has(renewal.Limits) {
+	if p.Has(reload.UpdateLimits) {
 		f.keeper.PerBox(t.Bounds.BoxConnections)
 	}
-	if p.Has(renewal.Ear) {
+	if p.Has(reload.ResetReporting) {
 		f.ear = hearing.New(t.Figures.NoteEvery)
 	}
 	f.described.Cells(t.Figures.Cells)
 	switch {
-	case p.Has(renewal.Module):
+	case p.Has(reload.RebuildChoice):
 		for _, x := range f.sess {
-			x.group = p.Groups[x.group]
+			x.group = p.NewGroupIndex[x.group]
 		}
 		list := f.listed(true, t.Boxes)
-		f.table.Renew(session.Terms{Figures: t.Figures, Bounds: f.bounds(), Groups: p.Groups}, list, p.Keep)
+		f.table.Renew(session.Terms{Figures: t.Figures, Bounds: f.bounds(), Groups: p.NewGroupIndex}, list, p.DiscardStale)
 	default:
-		if p.Has(renewal.Limits) {
+		if p.Has(reload.UpdateLimits) {
 			f.table.Bound(f.bounds())
 		}
-		if p.Has(renewal.Boxes) {
+		if p.Has(reload.UpdateBoxes) {
 			f.boxes(true, t.Boxes)
 		}
 	}
@@ -74,11 +74,11 @@
 	return p
 }
 
-// changed names the parts in which terms differ, by the names of choice/renewal; users are compared apart.
-func changed(a, b *settings.Terms) (list []renewal.Part) {
+// changed names the parts in which terms differ, by the names of choice/reload; users are compared apart.
+func changed(a, b *settings.Terms) (list []reload.Section) {
 	x, y := &a.Figures, &b.Figures
 	for _, c := range []struct {
-		part   renewal.Part
+		part   reload.Section
 		of, to any
 	}{
 		{"front(name)", a.Name, b.Name},
@@ -122,9 +122,9 @@
 	return string(h.Sum(nil))
 }
 
-func (f *Front) usersChanged(t *settings.Terms) []renewal.Part {
+func (f *Front) usersChanged(t *settings.Terms) []reload.Section {
 	if usersPrint(t, f.key) == f.users {
 		return nil
 	}
-	return []renewal.Part{"front(realm) and user"}
+	return []reload.Section{"front(realm) and user"}
 }
--- a/internal/front/renew_test.go
+++ b/internal/front/renew_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"rainhaven/choice/renewal"
+	"rainhaven/choice/reload"
 	"rainhaven/internal/front"
 	"rainhaven/internal/lab/box"
 	"rainhaven/internal/lab/player"
@@ -58,12 +58,12 @@
 	slices.Reverse(terms.Groups)
 	terms.Bounds.Sessions = 500
 	plan, err := b.Renew(terms)
-	if err != nil || !plan.Has(renewal.Module) || !plan.Has(renewal.Limits) || !slices.Equal(plan.Groups, []int{1, 0}) {
+	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
 	wrong := terms
 	wrong.Listen, wrong.Bounds.Sessions = "127.0.0.1:1", 1
-	if plan, err := b.Renew(wrong); err != nil || len(plan.Refused) != 1 {
+	if plan, err := b.Renew(wrong); err != nil || len(plan.Rejections) != 1 {
 		t.Errorf("another port: %+v %v", plan, err)
 	}
 	for _, x := range b.boxes {
@@ -96,7 +96,7 @@
 	terms.Boxes = slices.Clone(terms.Boxes[:1])
 	terms.Titles = map[string]settings.Title{"vents": {Span: 2}, "fans": {Span: 2}}
 	plan, err := b.Renew(terms)
-	if err != nil || plan.Steps != renewal.Boxes|renewal.Fresh {
+	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
 	b.wit.Told("front-0", 2, false, b.now())
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -62,11 +62,11 @@
 	cert1, key1 := pair(t, 1, later)
 	cert2, key2 := pair(t, 2, later)
 	old, oldKey := pair(t, 3, time.Now().Add(-time.Hour))
-	if _, err := keys.Open(certFile, keyFile, zap.NewNop()); err == nil {
+	if _, err := keys.OpenKeyPair(certFile, keyFile, zap.NewNop()); err == nil {
 		t.Fatal("files that are not there were taken")
 	}
 	write(cert1, key1)
-	files, err := keys.Open(certFile, keyFile, zap.NewNop())
+	files, err := keys.OpenKeyPair(certFile, keyFile, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	}
 	addr := l.Addr().String()
 	served := make(chan error, 1)
-	go func() { served <- b.ServeTLS(l, files.TLS()) }()
+	go func() { served <- b.ServeTLS(l, files.ServerConfig()) }()
 	serial := func() int64 {
 		c, err := tls.Dial("tcp", addr, &tls.Config{InsecureSkipVerify: true})
 		if err != nil {
@@ -98,12 +98,12 @@
 	<-playing
 	for name, x := range map[string][2][]byte{"half written": {cert2[:len(cert2)/2], key2}, "not a pair": {cert2, key1}, "expired": {old, oldKey}} {
 		write(x[0], x[1])
-		if took, say := files.Look(time.Now()); took || say == "" || serial() != 1 {
+		if took, say := files.Reload(time.Now()); took || say == "" || serial() != 1 {
 			t.Errorf("%s: taken %v, said %q, serial %d", name, took, say, serial())
 		}
 	}
 	write(cert2, key2)
-	if took, say := files.Look(time.Now()); !took || serial() != 2 {
+	if took, say := files.Reload(time.Now()); !took || serial() != 2 {
 		t.Errorf("a good pair: taken %v, said %q, serial %d", took, say, serial())
 	}
 	if err := <-done; err != nil {
@@ -170,7 +170,7 @@
 	use(cert2, key2)
 	for name, x := range map[string][]byte{"none": nil, "half written": append(slices.Clone(cert1), cert2[:len(cert2)/2]...)} {
 		write(x)
-		if took, say := b.roots.Look(time.Now()); took || say == "" {
+		if took, say := b.roots.Reload(time.Now()); took || say == "" {
 			t.Errorf("%s: taken, said %q", name, say)
 		}
 	}
@@ -178,7 +178,7 @@
 		t.Errorf("a box that is not trusted: %+v, %d SETUPs", seen, b.boxes[0].Count().Setups)
 	}
 	write(append(slices.Clone(cert1), cert2...))
-	if took, say := b.roots.Look(time.Now()); !took {
+	if took, say := b.roots.Reload(time.Now()); !took {
 		t.Errorf("old and new together: %q", say)
 	}
 	b.eventually("the box serves again", func() bool {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -56,12 +56,12 @@
 
 func (v Violation) Error() string { return fmt.Sprintf("%v: %s: %s", v.Reason, v.Request, v.Detail) }
 
-// Answer is the kind of a final answer.
-type Answer int
+// AnswerKind is the kind of a final answer.
+type AnswerKind int
 
 // The answers. Refused promises that nothing ran; Failed does not.
 const (
-	Served Answer = iota
+	Served AnswerKind = iota
 	Refused
 	Failed
 )
@@ -75,7 +75,7 @@
 
 // Budget is the budget of further attempts: in any window of so many seconds, at most Spare plus Share of the requests read
 // in it. A window of 0 is no budget.
-type Budget struct{ Spare, Share, Window float64 }
+type Budget struct{ BaseAllowance, RequestShare, WindowSeconds float64 }
 
 // Guard is one node's. It belongs to one goroutine. Its tables hold the open requests, and the attempts of one window.
 type Guard struct {
@@ -118,19 +118,19 @@
 	return seen
 }
 
-// Open is how many requests are without a final answer.
-func (g *Guard) Open() int { return len(g.open) }
+// OpenRequests is how many requests are without a final answer.
+func (g *Guard) OpenRequests() int { return len(g.open) }
 
-// Read takes a request that was read whole; single ones may not be repeated.
-func (g *Guard) Read(now float64, id string, single bool, deadline float64) {
+// RequestRead takes a request that was read whole; single ones may not be repeated.
+func (g *Guard) RequestRead(now float64, id string, single bool, deadline float64) {
 	g.open[id] = &request{single: single, deadline: deadline}
-	if g.budget.Window > 0 {
-		g.read = append(after(g.read, now-g.budget.Window), now)
+	if g.budget.WindowSeconds > 0 {
+		g.read = append(after(g.read, now-g.budget.WindowSeconds), now)
 	}
 }
 
-// Attempt tells whether an attempt may begin.
-func (g *Guard) Attempt(now float64, id string) bool {
+// StartAttempt tells whether an attempt may begin.
+func (g *Guard) StartAttempt(now float64, id string) bool {
 	q := g.open[id]
 	switch {
 	case q == nil:
@@ -140,10 +140,10 @@
 	case q.single && q.mayRan:
 		return g.violated(AttemptRepeated, id, "one of %d attempts may have run", q.attempts)
 	}
-	if q.attempts > 0 && g.budget.Window > 0 {
-		g.read, g.further = after(g.read, now-g.budget.Window), after(g.further, now-g.budget.Window)
-		if most := g.budget.Spare + g.budget.Share*float64(len(g.read)); float64(len(g.further)+1) > most {
-			return g.violated(RetryBudget, id, "%d further attempts in %g s, %g allowed", len(g.further)+1, g.budget.Window, most)
+	if q.attempts > 0 && g.budget.WindowSeconds > 0 {
+		g.read, g.further = after(g.read, now-g.budget.WindowSeconds), after(g.further, now-g.budget.WindowSeconds)
+		if most := g.budget.BaseAllowance + g.budget.RequestShare*float64(len(g.read)); float64(len(g.further)+1) > most {
+			return g.violated(RetryBudget, id, "%d further attempts in %g s, %g allowed", len(g.further)+1, g.budget.WindowSeconds, most)
 		}
 		g.further = append(g.further, now)
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// Over takes the end of an attempt; unrun tells that it provably had no effect.
-func (g *Guard) Over(id string, unrun bool) {
+// AttemptEnded takes the end of an attempt; unrun tells that it provably had no effect.
+func (g *Guard) AttemptEnded(id string, unrun bool) {
 	if q := g.open[id]; q != nil {
 		q.out = false
 		q.mayRan = q.mayRan || !unrun
@@ -186,7 +186,7 @@
 }
 
 // Answer tells whether a request's final answer may be written.
-func (g *Guard) Answer(now float64, id string, a Answer) bool {
+func (g *Guard) Answer(now float64, id string, a AnswerKind) bool {
 	q := g.open[id]
 	if q == nil {
 		return g.violated(AnswerTwice, id, "the request is not open")
@@ -224,8 +224,8 @@
 	return true
 }
 
-// End takes the end of the process: whatever is still open has been dropped.
-func (g *Guard) End() {
+// ProcessEnded takes the end of the process: whatever is still open has been dropped.
+func (g *Guard) ProcessEnded() {
 	for id := range g.open {
 		g.Dropped(id)
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,11 +8,11 @@
 // Each way to break a rule is refused, counted and reported by its reason; what keeps the rules passes.
 func TestGuard(t *testing.T) {
 	type step = func(g *Guard) bool
-	read := func(single bool) step { return func(g *Guard) bool { g.Read(0, "a", single, 2); return true } }
-	attempt := func(g *Guard) bool { return g.Attempt(1, "a") }
+	read := func(single bool) step { return func(g *Guard) bool { g.RequestRead(0, "a", single, 2); return true } }
+	attempt := func(g *Guard) bool { return g.StartAttempt(1, "a") }
 	send := func(g *Guard) bool { return g.Send(1, "a", 1, true) }
-	over := func(unrun bool) step { return func(g *Guard) bool { g.Over("a", unrun); return true } }
-	answer := func(a Answer) step { return func(g *Guard) bool { return g.Answer(1, "a", a) } }
+	over := func(unrun bool) step { return func(g *Guard) bool { g.AttemptEnded("a", unrun); return true } }
+	answer := func(a AnswerKind) step { return func(g *Guard) bool { return g.Answer(1, "a", a) } }
 	cancelled := func(g *Guard) bool { g.Cancelled("a"); return true }
 	for _, c := range []struct {
 		name  string
@@ -22,7 +22,7 @@
 		{"served", []step{read(true), attempt, send, answer(Served)}, nil},
 		{"repeated after proof", []step{read(true), attempt, over(true), attempt, send, over(true), answer(Refused)}, nil},
 		{"two answers", []step{read(false), answer(Refused), answer(Failed)}, []Reason{AnswerTwice}},
-		{"no answer", []step{read(false), func(g *Guard) bool { g.End(); return true }}, []Reason{AnswerMissing}},
+		{"no answer", []step{read(false), func(g *Guard) bool { g.ProcessEnded(); return true }}, []Reason{AnswerMissing}},
 		{"late", []step{read(false), func(g *Guard) bool { return g.Answer(2.6, "a", Failed) }}, []Reason{AnswerLate}},
 		{"refused though it may have run", []step{read(true), attempt, send, over(false), answer(Refused)}, []Reason{AnswerUnproven}},
 		{"attempt after the answer", []step{read(false), answer(Failed), attempt}, []Reason{AttemptAfterEnd}},
@@ -39,7 +39,7 @@
 		{"closed unanswered", []step{func(g *Guard) bool { return g.Close("c", 1, true) }}, []Reason{CloseUnanswered}},
 	} {
 		var got []Reason
-		g := New(Budget{Spare: 1, Share: 0.1, Window: 10}, func(v Violation) { got = append(got, v.Reason) })
+		g := New(Budget{BaseAllowance: 1, RequestShare: 0.1, WindowSeconds: 10}, func(v Violation) { got = append(got, v.Reason) })
 		for _, do := range c.steps {
 			do(g)
 		}
@@ -57,13 +57,13 @@
 // The budget's window slides: what lies before it no longer counts, for requests or for further attempts.
 func TestBudgetSlides(t *testing.T) {
 	broken := 0
-	g := New(Budget{Spare: 1, Share: 0, Window: 10}, func(Violation) { broken++ })
+	g := New(Budget{BaseAllowance: 1, RequestShare: 0, WindowSeconds: 10}, func(Violation) { broken++ })
 	for k, at := range []float64{0, 10, 19, 20} {
 		id := string(rune('a' + k))
-		g.Read(at, id, false, at+2)
-		g.Attempt(at, id)
-		g.Over(id, true)
-		if ok := g.Attempt(at, id); ok != (at != 19) {
+		g.RequestRead(at, id, false, at+2)
+		g.StartAttempt(at, id)
+		g.AttemptEnded(id, true)
+		if ok := g.StartAttempt(at, id); ok != (at != 19) {
 			t.Errorf("at %g: %v", at, ok)
 		}
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -31,8 +31,8 @@
 	said  string
 }
 
-// Look reads the files once and takes what is good. It tells whether it took something, and what there is to say.
-func (f *following[T]) Look(now time.Time) (took bool, say string) {
+// Reload reads the files once and takes what is good. It tells whether it took something, and what there is to say.
+func (f *following[T]) Reload(now time.Time) (took bool, say string) {
 	pair, found := f.read()
 	took, say = keys.Take(seconds(now), f.pair, pair)
 	if took {
@@ -50,8 +50,8 @@
 	return took, say
 }
 
-// Follow looks at the files at an even pace until the context is done.
-func (f *following[T]) Follow(ctx context.Context, every time.Duration) {
+// Watch looks at the files at an even pace until the context is done.
+func (f *following[T]) Watch(ctx context.Context, every time.Duration) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -59,20 +59,20 @@
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			f.Look(now)
+			f.Reload(now)
 		}
 	}
 }
 
 func seconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
-// Files follows a certificate's file and its key's.
-type Files struct{ following[tls.Certificate] }
+// KeyPair follows a certificate's file and its key's.
+type KeyPair struct{ following[tls.Certificate] }
 
-// Open reads the files. They must be good at the start.
-func Open(cert, key string, log *zap.Logger) (*Files, error) {
-	f := &Files{following[tls.Certificate]{name: cert, log: log, read: func() (keys.Pair, *tls.Certificate) { return pair(cert, key) }}}
-	if took, say := f.Look(time.Now()); !took {
+// OpenKeyPair reads the files. They must be good at the start.
+func OpenKeyPair(cert, key string, log *zap.Logger) (*KeyPair, error) {
+	f := &KeyPair{following[tls.Certificate]{name: cert, log: log, read: func() (keys.Pair, *tls.Certificate) { return pair(cert, key) }}}
+	if took, say := f.Reload(time.Now()); !took {
 		return nil, fmt.Errorf("certificate %s with key %s: %s", cert, key, say)
 	}
 	return f, nil
@@ -99,8 +99,8 @@
 	return keys.Pair{From: seconds(leaf.NotBefore), Until: seconds(leaf.NotAfter), Print: fmt.Sprintf("%x", sha256.Sum256(leaf.Raw))}, &cert
 }
 
-// TLS is a configuration whose new connections get what is in use; those that go on keep what they began with.
-func (f *Files) TLS() *tls.Config {
+// ServerConfig is a configuration whose new connections get what is in use; those that go on keep what they began with.
+func (f *KeyPair) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return f.using.Load(), nil }}
 }
 
@@ -110,7 +110,7 @@
 // OpenRoots reads the file. It must be good at the start.
 func OpenRoots(file string, log *zap.Logger) (*Roots, error) {
 	r := &Roots{following[x509.CertPool]{name: file, log: log, read: func() (keys.Pair, *x509.CertPool) { return roots(file) }}}
-	if took, say := r.Look(time.Now()); !took {
+	if took, say := r.Reload(time.Now()); !took {
 		return nil, fmt.Errorf("certificates of boxes %s: %s", file, say)
 	}
 	return r, nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// Dial connects to a box over TLS. name is what its certificate must be for; empty is the host of its address.
-func (r *Roots) Dial(name string) func(ctx context.Context, address string) (net.Conn, error) {
+// Dialer connects to a box over TLS. name is what its certificate must be for; empty is the host of its address.
+func (r *Roots) Dialer(name string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		d := tls.Dialer{Config: &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: r.using.Load(), ServerName: name}}
 		c, err := d.DialContext(ctx, "tcp", address)
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -503,8 +503,8 @@
 	terms.Figures.Advice += float64(p.reloads%2) / 2
 	terms.Bounds.Sessions += p.reloads % 2
 	plan, err := p.f.Renew(terms)
-	if err != nil || len(plan.Refused) > 0 {
-		r.log.Info("a reload was not taken", zap.Strings("why", plan.Refused), zap.Error(err))
+	if err != nil || len(plan.Rejections) > 0 {
+		r.log.Info("a reload was not taken", zap.Strings("why", plan.Rejections), zap.Error(err))
 	}
 	// A word on the list that came while it was read must not be undone by it.
 	r.mu.Lock()
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -38,7 +38,7 @@
 		return
 	}
 	n.log.Debug("setup", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", wait))
-	if !n.guard.Attempt(n.now, s.id) {
+	if !n.guard.StartAttempt(n.now, s.id) {
 		n.feed(wire.Event{Kind: wire.Ended, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -120,7 +120,7 @@
 	w.want("503")
 	code := <-f.over
 	f.over <- code
-	if code != lifecycle.Clean { // the platform counts other codes as crashes
+	if code != lifecycle.ExitClean { // the platform counts other codes as crashes
 		t.Errorf("exit %d", code)
 	}
 }
@@ -597,7 +597,7 @@
 		t.Fatal(err)
 	}
 	other, s2 := single(t, 256)
-	next := &farm{t: t, addr: f.addr, over: make(chan lifecycle.Code, 1)}
+	next := &farm{t: t, addr: f.addr, over: make(chan lifecycle.ExitCode, 1)}
 	got := make(chan *Node, 1)
 	go func() {
 		code, err := Run(Options{Start: s, Log: zap.NewNop(), serving: func(n *Node) { got <- n }})
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -29,7 +29,7 @@
 	}
 	n.serveUntil(stopReading, func() bool { n.answerOpen(); return n.readersStopped() && len(n.events) == 0 })
 	n.closeAll()
-	n.guard.End()
+	n.guard.ProcessEnded()
 	for reason, times := range n.guard.Counts() {
 		n.counts["violation "+reason] = times
 	}
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -8,7 +8,7 @@
 // budget is the platform's budget of further attempts, as the settings state it.
 func (n *Node) budget() invariant.Budget {
 	f := n.start.Figures
-	return invariant.Budget{Spare: f.SpareSetups, Share: f.SetupShare, Window: f.SetupWindow}
+	return invariant.Budget{BaseAllowance: f.SpareSetups, RequestShare: f.SetupShare, WindowSeconds: f.SetupWindow}
 }
 
 // violated logs a violation; the guard counts it.
@@ -22,7 +22,7 @@
 }
 
 // refusalKind is what a refusing status promises: 453, 454 and 503 that nothing ran.
-func refusalKind(status int) invariant.Answer {
+func refusalKind(status int) invariant.AnswerKind {
 	switch status {
 	case 453, 454, 503:
 		return invariant.Refused
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,7 +71,7 @@
 	trials  Trials
 	front   *choice.Front
 	guard   *invariant.Guard
-	life    *lifecycle.Life
+	life    *lifecycle.Machine
 	began   time.Time
 	epoch   float64 // the wall clock at began, in seconds
 	now     float64
@@ -149,7 +149,7 @@
 }
 
 // Run is a front node from its start to its exit.
-func Run(o Options) (lifecycle.Code, error) {
+func Run(o Options) (lifecycle.ExitCode, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{start: o.Start, reread: o.Reread, log: o.Log, ctx: ctx, events: make(chan event, queue), began: time.Now(),
 		sessions: map[string]*session{}, numbers: map[choice.ServerID]*server{}, byID: map[string]*server{}, past: map[string]*server{}, early: map[string]bool{},
@@ -172,7 +172,7 @@
 	if l == nil {
 		var err error
 		if l, err = n.listen(o.Start.Listen, o.Ends); err != nil {
-			return lifecycle.Address, err
+			return lifecycle.ExitAddressUnavailable, err
 		}
 	}
 	defer l.Close()
@@ -181,7 +181,7 @@
 	n.settle()
 	n.followCoordinator(o.Start.Coordinator)
 	n.ready = true
-	n.life.Up()
+	n.life.Started()
 	n.accepting = make(chan struct{})
 	n.wg.Add(1)
 	go n.accept(l)
@@ -230,12 +230,12 @@
 		select {
 		case e = <-n.events:
 		case <-hangups:
-			e.do = func() { n.life.At(n.now); n.life.Hangup() }
+			e.do = func() { n.life.SetTime(n.now); n.life.RequestReload() }
 		case sig := <-ends:
 			if n.trials.deaf() {
 				break
 			}
-			e.do = func() { n.life.At(n.now); n.life.Terminate(sig.String()) }
+			e.do = func() { n.life.SetTime(n.now); n.life.Terminate(sig.String()) }
 		case <-timer.C:
 		}
 		n.tick()
@@ -266,13 +266,13 @@
 		}
 		n.settle()
 		n.compare()
-		n.life.At(n.now)
+		n.life.SetTime(n.now)
 		if len(n.sessions) == 0 {
 			n.life.Drained()
 		} else {
 			n.life.Resumed()
 		}
-		n.life.Settle()
+		n.life.Reconcile()
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -512,13 +512,13 @@
 	f.serve(s1, w)
 	// While its session stands the node stays, but SIGKILL, 0.7 s after the longest setup timeout, finds nothing.
 	f.see(func(n *Node) {
-		if d := n.life.Next() - drains; d < 1.2 || d > n.start.SetupTimeout+0.7 {
+		if d := n.life.NextWakeup() - drains; d < 1.2 || d > n.start.SetupTimeout+0.7 {
 			t.Errorf("exit %v s after SIGTERM", d)
 		}
 	})
 	select {
 	case code := <-f.over:
-		if code != lifecycle.Clean {
+		if code != lifecycle.ExitClean {
 			t.Errorf("exit %d", code)
 		}
 		f.over <- code
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -32,10 +32,10 @@
 // Drain has tests fail; requests are still taken.
 func (o orders) Drain() { o.n.ready = false }
 
-// Cut ends it; finish answers what is open.
-func (o orders) Cut() { o.n.life.Ended() }
+// EndSessions ends it; finish answers what is open.
+func (o orders) EndSessions() { o.n.life.SessionsEnded() }
 
-func (o orders) Exit(code lifecycle.Code, why string) {
+func (o orders) Exit(code lifecycle.ExitCode, why string) {
 	o.n.over = true
 	o.n.log.Info("exit", num("code", int(code)), str("why", why))
 }
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -18,7 +18,7 @@
 func (n *Node) ask(v *client, a ask, at float64) {
 	s := &session{ask: a, client: v, rung: n.start.Figures.Groups[a.group].Floor, from: -1}
 	s.request.SetupTimeout = at + max(a.patience-share.Margin, 0)
-	n.guard.Read(n.now, s.id, n.start.Figures.Groups[a.group].Paid, at+a.patience)
+	n.guard.RequestRead(n.now, s.id, n.start.Figures.Groups[a.group].Paid, at+a.patience)
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
 	v.Open++
@@ -85,7 +85,7 @@
 	if s.release != nil { // it has stood, and its end was heard before its answer
 		o = choice.Departed
 	}
-	n.guard.Over(s.id, unrun(o))
+	n.guard.AttemptEnded(s.id, unrun(o))
 	s.history.note(n.now, stepOutcome, outcomeName(o))
 	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.Departed
 	n.log.Debug("setup over", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -228,7 +228,7 @@
 	addr    string
 	hangups chan os.Signal
 	ends    chan os.Signal
-	over    chan lifecycle.Code
+	over    chan lifecycle.ExitCode
 	feed    net.Listener
 	follows chan *feedPeer
 	reread  func() (*start.Start, error)
@@ -312,7 +312,7 @@
 
 // newFarm starts a front node that knows these hosts.
 func newFarm(t testing.TB, sockets int, hosts func(f *farm) []*host) *farm {
-	f := &farm{t: t, hangups: make(chan os.Signal, 1), ends: make(chan os.Signal, 3), over: make(chan lifecycle.Code, 1)}
+	f := &farm{t: t, hangups: make(chan os.Signal, 1), ends: make(chan os.Signal, 3), over: make(chan lifecycle.ExitCode, 1)}
 	f.feed, f.follows = f.coordinator()
 	var entries []string
 	for _, h := range hosts(f) {
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	s.Listen = before.Addr().String()
-	ends, over := make(chan os.Signal, 3), make(chan lifecycle.Code, 1)
+	ends, over := make(chan os.Signal, 3), make(chan lifecycle.ExitCode, 1)
 	go func() {
 		code, err := Run(Options{Start: s, Log: zap.NewNop(), Ends: ends})
 		if err != nil {
@@ -168,7 +168,7 @@
 		t.Error("it does not serve")
 	}
 	ends <- syscall.SIGTERM
-	if code := <-over; code != lifecycle.Clean {
+	if code := <-over; code != lifecycle.ExitClean {
 		t.Errorf("exit %d", code)
 	}
 }
