--- a/choice/session/heap.go
+++ b/choice/session/heap.go
@@ -1,27 +1,27 @@
 package session
 
-// heapOf keeps sessions by when they want to be looked at, for container/heap.
-type heapOf []*life
+// timerHeap keeps sessions by when they want to be looked at, for container/heap.
+type timerHeap []*session
 
-func (h heapOf) Len() int           { return len(h) }
-func (h heapOf) Less(i, j int) bool { return h[i].next < h[j].next }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].timerAt < h[j].timerAt }
 
-func (h heapOf) Swap(i, j int) {
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *heapOf) Push(x any) {
-	l := x.(*life)
-	l.at = len(*h)
-	*h = append(*h, l)
+func (h *timerHeap) Push(x any) {
+	s := x.(*session)
+	s.heapIndex = len(*h)
+	*h = append(*h, s)
 }
 
-func (h *heapOf) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
-	l := old[len(old)-1]
+	s := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	l.at = -1
-	return l
+	s.heapIndex = -1
+	return s
 }
--- a/choice/session/reload.go
+++ b/choice/session/reload.go
@@ -24,53 +24,53 @@
 //	answered otherwise         nothing more is asked
 //
 // No SETUP leaves because of it, so that no number of reloads touches rules 2 and 6.
-func (t *Table) Reload(terms Config, list []choice.Listing, keep func(choice.Memory) choice.Memory) {
-	t.mod.Settle() // what was decided stands
-	m := keep(t.mod.Memory())
-	lives := t.inOrder()
-	again := 0
-	for _, l := range lives {
-		l.group = terms.GroupMap[l.group]
-		if l.req.Group = l.group; l.waits() {
-			again++
+func (t *Table) Reload(cfg Config, list []choice.Listing, prune func(choice.Memory) choice.Memory) {
+	t.module.Settle() // what was decided stands
+	saved := prune(t.module.Memory())
+	sessions := t.sortedSessions()
+	resubmitted := 0
+	for _, s := range sessions {
+		s.group = cfg.GroupMap[s.group]
+		if s.req.Group = s.group; s.awaitsPlacement() {
+			resubmitted++
 		}
 	}
 	// Those asked anew count as taken again; their first count goes, so that the ration grows by nothing.
-	m.Taken = m.Taken[:max(len(m.Taken)-again, 0)]
-	t.bounds = terms.Limits
-	t.module(terms.Figures)
-	t.mod.Directory(true, list)
-	t.mod.Recall(m)
+	saved.Taken = saved.Taken[:max(len(saved.Taken)-resubmitted, 0)]
+	t.limits = cfg.Limits
+	t.newModule(cfg.Figures)
+	t.module.Directory(true, list)
+	t.module.Recall(saved)
 	// Boxes that have left the list are told of as long as it takes to hand their sessions over: those hold seats.
 	t.UpdateDirectory(true, list)
-	var left []choice.Listing
-	for id, e := range t.list {
+	var removed []choice.Listing
+	for id, e := range t.boxes {
 		if e.State == choice.Gone {
-			left = append(left, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, Born: e.Born})
+			removed = append(removed, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, Born: e.Born})
 		}
 	}
-	slices.SortFunc(left, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
-	t.mod.Directory(false, left)
-	for _, l := range lives {
-		t.renew(l)
+	slices.SortFunc(removed, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
+	t.module.Directory(false, removed)
+	for _, s := range sessions {
+		t.reload(s)
 	}
-	for i := range left {
-		left[i].State = choice.Gone
+	for i := range removed {
+		removed[i].State = choice.Gone
 	}
-	t.mod.Directory(false, left)
+	t.module.Directory(false, removed)
 }
 
 // SetLimits takes new bounds alone: they hold for what begins from now on.
-func (t *Table) SetLimits(b Limits) { t.bounds = b }
+func (t *Table) SetLimits(limits Limits) { t.limits = limits }
 
 // Snapshot and Recall are the module's: what it learned, and its taking that again after the first list and before any
 // session.
-func (t *Table) Snapshot() choice.Memory { return t.mod.Memory() }
-func (t *Table) Restore(m choice.Memory) { t.mod.Recall(m) }
+func (t *Table) Snapshot() choice.Memory { return t.module.Memory() }
+func (t *Table) Restore(m choice.Memory) { t.module.Recall(m) }
 
 // BoxCounts is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
 func (t *Table) BoxCounts() (listed, usable int) {
-	for _, e := range t.list {
+	for _, e := range t.boxes {
 		if e.State != choice.Gone {
 			listed++
 		}
@@ -84,54 +84,56 @@
 // Freeze has no SETUP ordered any more, as another process decides from here on for this front: requests without one are
 // busy-replied, those with one out get what it brings. Sessions go on. It gives what the module has learned.
 func (t *Table) Freeze() choice.Memory {
-	t.stop = true
-	t.mod.Settle()
-	for _, l := range t.inOrder() {
+	t.refuseNew = true
+	t.module.Settle()
+	for _, s := range t.sortedSessions() {
 		switch {
-		case l.waits():
-			t.mark(l)
-			l.verdict, l.comeBack, l.toldModule = Busy, 1, false
-			t.mod.Left(l.id)
-		case l.phase == connecting || l.phase == asked:
-			t.mark(l)
-			l.alone, l.until = true, max(l.until, l.giveUp-margin)
+		case s.awaitsPlacement():
+			t.markDirty(s)
+			s.answer, s.retryAfter, s.inModule = Busy, 1, false
+			t.module.Left(s.id)
+		case s.phase == connecting || s.phase == setupSent:
+			t.markDirty(s)
+			s.noRetry, s.phaseDeadline = true, max(s.phaseDeadline, s.answerDeadline-answerMarginSeconds)
 		}
 	}
-	return t.mod.Memory()
+	return t.module.Memory()
 }
 
 // Resume takes new requests again after Freeze: the other process came to nothing.
-func (t *Table) Resume() { t.stop = false }
+func (t *Table) Resume() { t.refuseNew = false }
 
-// waits tells whether a request waits within the module and no SETUP was ever ordered for it.
-func (l *life) waits() bool { return l.phase == idle && l.toldModule && l.verdict == 0 && l.try == 0 }
+// awaitsPlacement tells whether a request awaitsPlacement within the module and no SETUP was ever ordered for it.
+func (s *session) awaitsPlacement() bool {
+	return s.phase == idle && s.inModule && s.answer == 0 && s.attempt == 0
+}
 
-// renew tells the new module of one session.
-func (t *Table) renew(l *life) {
-	t.mark(l)
+// reload tells the new module of one session.
+func (t *Table) reload(s *session) {
+	t.markDirty(s)
 	switch {
-	case l.waits():
-		t.mod.Ask(l.req)
+	case s.awaitsPlacement():
+		t.module.Ask(s.req)
 		return
-	case !l.toldModule || l.verdict == Busy || l.verdict == Failed || l.phase == gone:
+	case !s.inModule || s.answer == Busy || s.answer == Failed || s.phase == ended:
 		return
-	case l.phase == idle || l.wantSetup && t.list[l.box].State != choice.Ready:
+	case s.phase == idle || s.wantSetup && t.boxes[s.box].State != choice.Ready:
 		// Its box left the list with this very reload, before the SETUP had left. Earlier ones of a paid group's
 		// provably never ran, or it would have been torn down.
-		l.phase, l.wantSetup, l.toldModule = idle, false, false
-		l.verdict, l.comeBack = Busy, 1
+		s.phase, s.wantSetup, s.inModule = idle, false, false
+		s.answer, s.retryAfter = Busy, 1
 		return
-	case l.phase == connecting || l.phase == asked:
+	case s.phase == connecting || s.phase == setupSent:
 		// As no other follows, this SETUP may take all the time there is.
-		l.alone, l.until = true, max(l.until, l.giveUp-margin)
+		s.noRetry, s.phaseDeadline = true, max(s.phaseDeadline, s.answerDeadline-answerMarginSeconds)
 	}
-	t.mod.Handed(l.req, l.box)
-	rung := l.rung
-	if l.phase == connecting || l.phase == asked {
-		rung = l.wantRung
+	t.module.Handed(s.req, s.box)
+	rung := s.rung
+	if s.phase == connecting || s.phase == setupSent {
+		rung = s.wantRung
 	}
 	// A step that is out stays out; the one to the new bounds follows it.
-	g := t.groups[l.group]
-	l.wantRung = max(min(rung, g.Top, t.top), g.Floor)
-	t.mod.InForce(l.id, l.wantRung)
+	g := t.groups[s.group]
+	s.wantRung = max(min(rung, g.Top, t.topRung), g.Floor)
+	t.module.InForce(s.id, s.wantRung)
 }
--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -12,29 +12,29 @@
 
 var depth = flag.Int("search.depth", 5, "events in a row that the search tries")
 
-// trailed breaks the test with the events that led to the fault.
-type trailed struct {
+// tracedT breaks the test with the events that led to the fault.
+type tracedT struct {
 	*testing.T
-	trail *[]string
+	trace *[]string
 }
 
-func (t trailed) Fatalf(format string, args ...any) {
+func (t tracedT) Fatalf(format string, args ...any) {
 	t.T.Helper()
-	t.T.Fatalf("after %s: %s", strings.Join(*t.trail, ", "), fmt.Sprintf(format, args...))
+	t.T.Fatalf("after %s: %s", strings.Join(*t.trace, ", "), fmt.Sprintf(format, args...))
 }
 
-// move is something that a viewer, a box, the list, the clock or an operator may do next; do is false where it can't.
-type move struct {
-	name string
-	do   func(w *world) bool
+// event is something that a viewer, a box, the list, the clock or an operator may do next; do is false where it can't.
+type event struct {
+	name  string
+	apply func(h *harness) bool
 }
 
-// one is the session that the search follows.
-const one = choice.SessID("s000")
+// searchedID is the session that the search follows.
+const searchedID = choice.SessID("s000")
 
-// tries gives the session's SETUPs in their order.
-func (w *world) tries(is func(a *atBox) bool) (list []int) {
-	for n, a := range w.viewers[one].tries {
+// attemptsWhere gives the session's SETUPs in their order.
+func (h *harness) attemptsWhere(is func(a *boxAttempt) bool) (list []int) {
+	for n, a := range h.viewers[searchedID].attempts {
 		if is(a) {
 			list = append(list, n)
 		}
@@ -43,173 +43,173 @@
 	return list
 }
 
-func answered(status int, sent bool) func(w *world) bool {
-	return func(w *world) bool {
-		out := w.tries(func(a *atBox) bool { return a.out })
+func setupAnswer(status int, sent bool) func(h *harness) bool {
+	return func(h *harness) bool {
+		out := h.attemptsWhere(func(a *boxAttempt) bool { return a.inFlight })
 		if len(out) == 0 {
 			return false
 		}
-		w.box(one, out[0], status, sent)
+		h.answerSetup(searchedID, out[0], status, sent)
 		return true
 	}
 }
 
-func asks(op Op) func(w *world) bool {
-	return func(w *world) bool {
-		if v := w.viewers[one]; v.gone || len(v.asks) >= 3 {
+func viewerRequest(op Op) func(h *harness) bool {
+	return func(h *harness) bool {
+		if v := h.viewers[searchedID]; v.left || len(v.pending) >= 3 {
 			return false
 		}
-		w.request(one, op)
+		h.request(searchedID, op)
 		return true
 	}
 }
 
-func listed(s choice.Lifecycle) func(w *world) bool {
-	return func(w *world) bool {
-		all := w.tries(func(*atBox) bool { return true })
+func listBox(s choice.Lifecycle) func(h *harness) bool {
+	return func(h *harness) bool {
+		all := h.attemptsWhere(func(*boxAttempt) bool { return true })
 		if len(all) == 0 {
 			return false
 		}
-		box := w.viewers[one].tries[all[len(all)-1]].box
-		if w.state[box] == s {
+		box := h.viewers[searchedID].attempts[all[len(all)-1]].box
+		if h.boxState[box] == s {
 			return false
 		}
-		w.state[box] = s
-		w.do(func() {
-			w.t.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
+		h.boxState[box] = s
+		h.apply(func() {
+			h.table.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
 		})
 		return true
 	}
 }
 
-func operation(status int) func(w *world) bool {
-	return func(w *world) bool {
-		if len(w.ops) == 0 {
+func opAnswer(status int) func(h *harness) bool {
+	return func(h *harness) bool {
+		if len(h.pendingOps) == 0 {
 			return false
 		}
-		op := w.ops[0]
-		w.ops = w.ops[1:]
-		w.do(func() { op(status) })
+		op := h.pendingOps[0]
+		h.pendingOps = h.pendingOps[1:]
+		h.apply(func() { op(status) })
 		return true
 	}
 }
 
-var moves = []move{
-	{"PLAY", asks(Play)}, {"PAUSE", asks(Pause)}, {"second track", asks(Join)}, {"TEARDOWN", asks(TearDown)},
-	{"disconnect", func(w *world) bool {
-		if w.viewers[one].gone {
+var events = []event{
+	{"PLAY", viewerRequest(Play)}, {"PAUSE", viewerRequest(Pause)}, {"second track", viewerRequest(Join)}, {"TEARDOWN", viewerRequest(TearDown)},
+	{"disconnect", func(h *harness) bool {
+		if h.viewers[searchedID].left {
 			return false
 		}
-		w.viewers[one].gone = true
-		w.do(func() { w.t.ViewerGone(one) })
+		h.viewers[searchedID].left = true
+		h.apply(func() { h.table.ViewerGone(searchedID) })
 		return true
 	}},
-	{"SETUP sent", func(w *world) bool {
-		l := w.t.lives[one]
-		if l == nil || l.phase != connecting {
+	{"SETUP sent", func(h *harness) bool {
+		s := h.table.sessions[searchedID]
+		if s == nil || s.phase != connecting {
 			return false
 		}
-		if w.state[l.box] != choice.Ready {
-			w.tb.Fatalf("a SETUP is still to leave for box %d, which is not ready", l.box)
+		if h.boxState[s.box] != choice.Ready {
+			h.tb.Fatalf("a SETUP is still to leave for box %d, which is not ready", s.box)
 		}
-		w.do(func() { w.t.SetupSent(one, l.try) })
+		h.apply(func() { h.table.SetupSent(searchedID, s.attempt) })
 		return true
 	}},
-	{"200", answered(200, true)}, {"full", answered(453, true)}, {"error", answered(500, true)}, {"reset", answered(0, true)},
-	{"no connection", answered(0, false)},
-	{"late 200", func(w *world) bool {
-		over := w.tries(func(a *atBox) bool { return !a.out && !a.held })
+	{"200", setupAnswer(200, true)}, {"full", setupAnswer(453, true)}, {"error", setupAnswer(500, true)}, {"reset", setupAnswer(0, true)},
+	{"no connection", setupAnswer(0, false)},
+	{"late 200", func(h *harness) bool {
+		over := h.attemptsWhere(func(a *boxAttempt) bool { return !a.inFlight && !a.established })
 		if len(over) == 0 {
 			return false
 		}
-		w.box(one, over[0], 200, false)
+		h.answerSetup(searchedID, over[0], 200, false)
 		return true
 	}},
-	{"session breaks", func(w *world) bool {
-		held := w.tries(func(a *atBox) bool { return a.held })
+	{"session breaks", func(h *harness) bool {
+		held := h.attemptsWhere(func(a *boxAttempt) bool { return a.established })
 		if len(held) == 0 {
 			return false
 		}
-		w.viewers[one].tries[held[0]].held = false
-		w.do(func() { w.t.BoxFailed(one, held[0]) })
+		h.viewers[searchedID].attempts[held[0]].established = false
+		h.apply(func() { h.table.BoxFailed(searchedID, held[0]) })
 		return true
 	}},
-	{"done", operation(200)}, {"refused", operation(455)}, {"lost at the box", operation(454)},
-	{"rung down", func(w *world) bool {
-		l := w.t.lives[one]
-		if l == nil || l.phase < ready || l.phase > paused || l.wantRung == 0 || l.wantRung != l.rung {
+	{"done", opAnswer(200)}, {"refused", opAnswer(455)}, {"lost at the box", opAnswer(454)},
+	{"rung down", func(h *harness) bool {
+		s := h.table.sessions[searchedID]
+		if s == nil || s.phase < ready || s.phase > paused || s.wantRung == 0 || s.wantRung != s.rung {
 			return false
 		}
-		w.do(func() { acts{w.t}.Rung(one, l.wantRung-1) })
+		h.apply(func() { moduleActions{h.table}.Rung(searchedID, s.wantRung-1) })
 		return true
 	}},
-	{"probe answered", func(w *world) bool {
-		if len(w.probes) == 0 {
+	{"probe answered", func(h *harness) bool {
+		if len(h.pendingProbes) == 0 {
 			return false
 		}
-		box := w.probes[0]
-		w.probes = w.probes[1:]
-		w.do(func() { w.t.Probed(box, 200, 0, choice.Report{Link: 0.3, Uplink: -1}) })
+		box := h.pendingProbes[0]
+		h.pendingProbes = h.pendingProbes[1:]
+		h.apply(func() { h.table.Probed(box, 200, 0, choice.Report{Link: 0.3, Uplink: -1}) })
 		return true
 	}},
-	{"time", func(w *world) bool {
-		before := w.now
-		if n := w.t.NextTimer(); n > 0 {
-			w.pass(n - w.now + 1e-6)
+	{"time", func(h *harness) bool {
+		before := h.now
+		if n := h.table.NextTimer(); n > 0 {
+			h.advance(n - h.now + 1e-6)
 		}
-		return w.now > before
+		return h.now > before
 	}},
-	{"a second", func(w *world) bool { w.pass(1); return true }},
-	{"drains", listed(choice.Draining)}, {"is gone", listed(choice.Gone)}, {"is ready", listed(choice.Ready)},
-	{"reload", func(w *world) bool {
-		if w.reloads == 2 {
+	{"a second", func(h *harness) bool { h.advance(1); return true }},
+	{"drains", listBox(choice.Draining)}, {"is gone", listBox(choice.Gone)}, {"is ready", listBox(choice.Ready)},
+	{"reload", func(h *harness) bool {
+		if h.reloads == 2 {
 			return false
 		}
-		w.reload()
+		h.reload()
 		return true
 	}},
-	{"front is frozen", func(w *world) bool {
-		if w.t.stop {
+	{"front is frozen", func(h *harness) bool {
+		if h.table.refuseNew {
 			return false
 		}
-		w.do(func() { w.t.Freeze() })
-		w.frozen = len(w.tries(func(*atBox) bool { return true }))
+		h.apply(func() { h.table.Freeze() })
+		h.attemptsAtFreeze = len(h.attemptsWhere(func(*boxAttempt) bool { return true }))
 		return true
 	}},
-	{"front stops", func(w *world) bool {
-		if w.t.stop {
+	{"front stops", func(h *harness) bool {
+		if h.table.refuseNew {
 			return false
 		}
-		w.do(w.t.StopAccepting)
+		h.apply(h.table.StopAccepting)
 		return true
 	}},
-	{"front cuts", func(w *world) bool {
-		if w.t.stop && w.t.Len() == 0 {
+	{"front cuts", func(h *harness) bool {
+		if h.table.refuseNew && h.table.Len() == 0 {
 			return false
 		}
-		w.do(w.t.EndAll)
+		h.apply(h.table.EndAll)
 		return true
 	}},
 }
 
-// print is a state as far as anything that comes after can tell: the session, what its SETUPs came to and where, what is
+// fingerprint is a state as far as anything that comes after can tell: the session, what its SETUPs came to and where, what is
 // out, the list, the time gone by.
-func (w *world) print() string {
+func (h *harness) fingerprint() string {
 	var b strings.Builder
-	if l := w.t.lives[one]; l != nil {
-		fmt.Fprint(&b, l.phase, l.owed, l.verdict, l.viewer, l.try, l.box, l.rung, l.wantRung, l.sentRung, l.op.op, l.wantClose, l.toldModule, l.alone,
-			len(l.queue), int(l.until*1000-w.now*1000), int(l.giveUp*100-w.now*100))
-		for _, q := range l.queue {
+	if s := h.table.sessions[searchedID]; s != nil {
+		fmt.Fprint(&b, s.phase, s.answerOwed, s.answer, s.viewerPresent, s.attempt, s.box, s.rung, s.wantRung, s.pendingRung, s.pendingOp.op, s.wantTeardown, s.inModule, s.noRetry,
+			len(s.queue), int(s.phaseDeadline*1000-h.now*1000), int(s.answerDeadline*100-h.now*100))
+		for _, q := range s.queue {
 			fmt.Fprint(&b, q.op)
 		}
 	}
-	v := w.viewers[one]
-	for _, n := range w.tries(func(*atBox) bool { return true }) {
-		fmt.Fprint(&b, "|", n, *v.tries[n])
+	v := h.viewers[searchedID]
+	for _, n := range h.attemptsWhere(func(*boxAttempt) bool { return true }) {
+		fmt.Fprint(&b, "|", n, *v.attempts[n])
 	}
-	fmt.Fprint(&b, "|", v.gone, v.answers, len(v.asks), v.ended, v.mayRan, len(w.ops), len(w.probes), w.t.stop, w.reloads, w.frozen, int(w.now*50))
+	fmt.Fprint(&b, "|", v.left, v.answers, len(v.pending), v.ended, v.mayHaveRun, len(h.pendingOps), len(h.pendingProbes), h.table.refuseNew, h.reloads, h.attemptsAtFreeze, int(h.now*50))
 	for id := choice.ServerID(10); id < 14; id++ {
-		fmt.Fprint(&b, w.state[id])
+		fmt.Fprint(&b, h.boxState[id])
 	}
 	return b.String()
 }
@@ -221,45 +221,45 @@
 	for group, name := range []string{"paid", "free"} {
 		t.Run(name, func(t *testing.T) {
 			var trail []string
-			start := func(path []int) *world {
+			start := func(path []int) *harness {
 				trail = trail[:0]
-				w := newWorld(trailed{t, &trail})
-				w.ask(group, "vents")
+				h := newHarness(tracedT{t, &trail})
+				h.open(group, "vents")
 				for _, m := range path {
-					trail = append(trail, moves[m].name)
-					if !moves[m].do(w) {
+					trail = append(trail, events[m].name)
+					if !events[m].apply(h) {
 						return nil
 					}
 				}
-				return w
+				return h
 			}
 			seen := map[string]bool{}
 			level, visited, orders := [][]int{nil}, 0, 0
 			for d := 0; d <= *depth && len(level) > 0; d++ {
 				var next [][]int
 				for _, path := range level {
-					w := start(path)
-					if w == nil {
+					h := start(path)
+					if h == nil {
 						continue
 					}
 					orders++
-					if p := w.print(); seen[p] {
+					if p := h.fingerprint(); seen[p] {
 						continue
 					} else {
 						seen[p] = true
 					}
 					visited++
-					w.rest()
+					h.finish()
 					// Nobody does anything any more: the answer comes all the same, before the viewer gives up.
-					w = start(path)
-					v := w.viewers[one]
-					w.pass(v.giveUp - w.now + 1)
-					if !v.gone && len(v.answers) != 1 {
+					h = start(path)
+					v := h.viewers[searchedID]
+					h.advance(v.deadline - h.now + 1)
+					if !v.left && len(v.answers) != 1 {
 						t.Fatalf("after %s and silence: answers %v", strings.Join(trail, ", "), v.answers)
 					}
-					w.rest()
+					h.finish()
 					if d < *depth {
-						for m := range moves {
+						for m := range events {
 							next = append(next, append(slices.Clone(path), m))
 						}
 					}
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -89,20 +89,20 @@
 // Actions is what a table has done. All orders are given from within Settle.
 type Actions interface {
 	// Setup sends a SETUP to a box, connecting first if need be. SetupSent, BoxAnswered or BoxFailed follow.
-	Setup(id choice.SessID, try int, box choice.ServerID, rung int)
+	Setup(id choice.SessID, attempt int, box choice.ServerID, rung int)
 	// CancelSetup ends a SETUP that is out: the box is told at once, and what it still answers is torn down there.
-	CancelSetup(id choice.SessID, try int)
+	CancelSetup(id choice.SessID, attempt int)
 	// SendOp asks an operation of the box; arg is the viewer's number of the request, or the rung. OpAnswered follows.
-	SendOp(id choice.SessID, try int, op Op, arg int)
+	SendOp(id choice.SessID, attempt int, op Op, arg int)
 	// CloseConn gives up a session's connection to its box without a word more.
-	CloseConn(id choice.SessID, try int)
+	CloseConn(id choice.SessID, attempt int)
 	Probe(box choice.ServerID)
 	// Answer gives the final answer; comeBack is advice in seconds, 0 is none.
-	Answer(id choice.SessID, v FinalAnswer, comeBack float64)
+	Answer(id choice.SessID, v FinalAnswer, retryAfter float64)
 	// Reply answers a later request.
-	Reply(id choice.SessID, n int, r Result)
+	Reply(id choice.SessID, n int, result Result)
 	// End tells that a session that was served is over; no order for it follows but Do TearDown and Drop.
-	End(id choice.SessID, why EndReason)
+	End(id choice.SessID, reason EndReason)
 }
 
 // Limits are the table's own limits.
@@ -116,16 +116,16 @@
 const (
 	// Answers leave this many seconds before the viewer gives up: loop, two writes and the way back took under
 	// 40 ms with 2,000 sessions playing; the rest is for a machine that is short of processors.
-	margin = 0.15
+	answerMarginSeconds = 0.15
 	// What a box may take for an operation on a session it holds. Such answers come in milliseconds; a box that
 	// stands still for 3 s has by then shown itself to the module by its share.
-	opTime = 3.0
+	opTimeoutSeconds = 3.0
 	// A TEARDOWN is waited for so long before the connection is dropped instead. The seat is held meanwhile.
-	tearDownTime = 2.0
+	teardownTimeoutSeconds = 2.0
 	// Requests of one viewer that may wait for their turn: SETUPs of all tracks, PLAY and TEARDOWN in one write.
-	mostQueued = 8
-	// The net under rule 1 closes so many seconds before the viewer gives up, past the module's own time.
-	net = 0.05
+	maxQueuedOps = 8
+	// The backstopMarginSeconds under rule 1 closes so many seconds before the viewer gives up, past the module's own time.
+	backstopMarginSeconds = 0.05
 )
 
 // phase is where a session stands with its box.
@@ -134,237 +134,237 @@
 const (
 	idle       phase = iota // nothing is asked of any box
 	connecting              // a SETUP was ordered and not yet sent
-	asked                   // a SETUP is out
+	setupSent               // a SETUP is out
 	ready                   // set up, not played yet
 	playing
 	paused
 	closing // a TEARDOWN is out
-	gone    // nothing more is owed to anybody
+	ended   // nothing more is owed to anybody
 )
 
-type request struct {
+type queuedOp struct {
 	op Op
 	n  int
 }
 
-// life is one session from its request to its end.
-type life struct {
+// session is one session from its request to its end.
+type session struct {
 	id    choice.SessID
 	group int
 
-	viewer   bool // there is still one
-	owed     bool // the final answer
-	verdict  FinalAnswer
-	comeBack float64
-	giveUp   float64   // instant at which the viewer gives up
-	heard    float64   // last word of the viewer's
-	queue    []request // the viewer's requests, oldest first; at most mostQueued
-	replies  []reply   // to be given by settle
-
-	try       int
-	box       choice.ServerID
-	phase     phase
-	until     float64 // end of the wait for the SETUP or for the TEARDOWN
-	op        request // out at the box; op 0 is none
-	opSent    bool
-	opUntil   float64
-	rung      int // in force
-	wantRung  int
-	sentRung  int // SET_PARAMETER out; -1 is none
-	rungUntil float64
-	keepAt    float64
-
-	wantSetup   bool // a SETUP to box is wanted, not yet ordered
-	withdraw    []int
-	wantClose   bool // a TEARDOWN is wanted
-	wantDrop    bool
-	wantEnd     EndReason
-	ended       bool // End was given
-	touched     bool
-	at          int     // in the heap
-	next        float64 // when it wants to be looked at
-	toldModule  bool    // the module knows of it still
-	answerGiven bool
-	req         choice.Request // as the module knows it
-	alone       bool           // its terms changed while a SETUP was out: none follows that one
+	viewerPresent  bool // there is still one
+	answerOwed     bool // the final answer
+	answer         FinalAnswer
+	retryAfter     float64
+	answerDeadline float64    // instant at which the viewer gives up
+	lastSeen       float64    // last word of the viewer's
+	queue          []queuedOp // the viewer's requests, oldest first; at most mostQueued
+	replies        []reply    // to be given by settle
+
+	attempt       int
+	box           choice.ServerID
+	phase         phase
+	phaseDeadline float64  // end of the wait for the SETUP or for the TEARDOWN
+	pendingOp     queuedOp // out at the box; op 0 is none
+	opSent        bool
+	opDeadline    float64
+	rung          int // in force
+	wantRung      int
+	pendingRung   int // SET_PARAMETER out; -1 is none
+	rungDeadline  float64
+	keepAliveAt   float64
+
+	wantSetup     bool // a SETUP to box is wanted, not yet ordered
+	cancelSetups  []int
+	wantTeardown  bool // a TEARDOWN is wanted
+	wantCloseConn bool
+	endReason     EndReason
+	endReported   bool // End was given
+	dirty         bool
+	heapIndex     int     // in the heap
+	timerAt       float64 // when it wants to be looked at
+	inModule      bool    // the module knows of it still
+	servedSent    bool
+	req           choice.Request // as the module knows it
+	noRetry       bool           // its terms changed while a SETUP was out: none follows that one
 }
 
 type reply struct {
-	n int
-	r Result
+	n      int
+	result Result
 }
 
-type stray struct {
+type unknownSession struct {
 	id choice.SessID
 	n  int
 }
 
 // Table holds a front's sessions.
 type Table struct {
-	mod    *choice.Front
-	out    Actions
-	bounds Limits
-	now    float64
-	lives  map[choice.SessID]*life            // emptied as sessions end
-	due    heapOf                             // the same, by when they want to be looked at
-	touch  []*life                            // emptied by Settle
-	strays []stray                            // requests for sessions that are not there; emptied by Settle
-	list   map[choice.ServerID]choice.Listing // the boxes told of; gone ones leave with their last session at a new list
-	wake   float64                            // when the module wants Due; 0 is none
-	stop   bool
-	groups []choice.ServiceGroup
-	top    int           // of the ladder
-	kept   *account.Ring // of decisions
+	module       *choice.Front
+	actions      Actions
+	limits       Limits
+	now          float64
+	sessions     map[choice.SessID]*session         // emptied as sessions end
+	timers       timerHeap                          // the same, by when they want to be looked at
+	dirty        []*session                         // emptied by Settle
+	unknown      []unknownSession                   // requests for sessions that are not there; emptied by Settle
+	boxes        map[choice.ServerID]choice.Listing // the boxes told of; gone ones leave with their last session at a new list
+	moduleWakeAt float64                            // when the module wants Due; 0 is none
+	refuseNew    bool
+	groups       []choice.ServiceGroup
+	topRung      int           // of the ladder
+	decisions    *account.Ring // of decisions
 }
 
 // New makes a table and its module.
-func New(now float64, fig choice.StartFigures, bounds Limits, out Actions) *Table {
-	t := &Table{out: out, bounds: bounds, now: now, lives: map[choice.SessID]*life{},
-		list: map[choice.ServerID]choice.Listing{}, kept: &account.Ring{}}
-	t.module(fig)
+func New(now float64, fig choice.StartFigures, limits Limits, actions Actions) *Table {
+	t := &Table{actions: actions, limits: limits, now: now, sessions: map[choice.SessID]*session{},
+		boxes: map[choice.ServerID]choice.Listing{}, decisions: &account.Ring{}}
+	t.newModule(fig)
 	return t
 }
 
-// module makes the table a module of its own.
-func (t *Table) module(fig choice.StartFigures) {
-	t.groups, t.top, t.wake = fig.Groups, len(fig.Ladder)-1, 0
-	t.mod = choice.New(t.now, fig, acts{t})
+// newModule makes the table a newModule of its own.
+func (t *Table) newModule(fig choice.StartFigures) {
+	t.groups, t.topRung, t.moduleWakeAt = fig.Groups, len(fig.Ladder)-1, 0
+	t.module = choice.New(t.now, fig, moduleActions{t})
 }
 
 // SetTime sets the clock; it comes before each batch of events.
 func (t *Table) SetTime(now float64) {
 	t.now = max(t.now, now)
-	t.mod.At(t.now)
+	t.module.At(t.now)
 }
 
 // Len is how many sessions there are, those ending included.
-func (t *Table) Len() int { return len(t.lives) }
+func (t *Table) Len() int { return len(t.sessions) }
 
-func (t *Table) mark(l *life) {
-	if !l.touched {
-		l.touched = true
-		t.touch = append(t.touch, l)
+func (t *Table) markDirty(s *session) {
+	if !s.dirty {
+		s.dirty = true
+		t.dirty = append(t.dirty, s)
 	}
 }
 
 // UpdateDirectory takes the list of boxes, whole or changed entries only.
 func (t *Table) UpdateDirectory(whole bool, list []choice.Listing) {
-	held := map[choice.ServerID]bool{}
-	for _, l := range t.lives {
-		held[l.box] = true
+	inUse := map[choice.ServerID]bool{}
+	for _, s := range t.sessions {
+		inUse[s.box] = true
 	}
 	if whole {
-		for id, e := range t.list {
+		for id, e := range t.boxes {
 			e.State = choice.Gone
-			t.list[id] = e
+			t.boxes[id] = e
 		}
 	}
 	for _, e := range list {
-		t.list[e.ID] = e
+		t.boxes[e.ID] = e
 	}
-	for id, e := range t.list {
-		if e.State == choice.Gone && !held[id] {
-			delete(t.list, id)
+	for id, e := range t.boxes {
+		if e.State == choice.Gone && !inUse[id] {
+			delete(t.boxes, id)
 		}
 	}
-	t.mod.Directory(whole, list)
+	t.module.Directory(whole, list)
 	// Against a SETUP that was ordered before the word came and would reach the box after it: one not yet sent is
 	// taken back and placed anew. It covers addresses that changed too. Harm: none, it provably never ran.
-	for _, l := range t.inOrder() {
-		if l.phase == connecting && !l.wantSetup && t.list[l.box].State != choice.Ready {
-			l.withdraw = append(l.withdraw, l.try)
-			t.setupOver(l, choice.Unsent, choice.Report{Link: -1, Uplink: -1})
+	for _, s := range t.sortedSessions() {
+		if s.phase == connecting && !s.wantSetup && t.boxes[s.box].State != choice.Ready {
+			s.cancelSetups = append(s.cancelSetups, s.attempt)
+			t.setupFailed(s, choice.Unsent, choice.Report{Link: -1, Uplink: -1})
 		}
 	}
 }
 
-// inOrder is all sessions by their ids, so that nothing hangs on map order.
-func (t *Table) inOrder() []*life {
-	list := make([]*life, 0, len(t.lives))
-	for _, l := range t.lives {
-		list = append(list, l)
+// sortedSessions is all sessions by their ids, so that nothing hangs on map order.
+func (t *Table) sortedSessions() []*session {
+	list := make([]*session, 0, len(t.sessions))
+	for _, s := range t.sessions {
+		list = append(list, s)
 	}
 	sortByID(list)
 	return list
 }
 
-func (r Request) request(id choice.SessID) choice.Request {
+func (r Request) forModule(id choice.SessID) choice.Request {
 	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, Span: r.Span, BestRung: r.BestRung,
 		Length: r.Length}
 }
 
 // Open takes a viewer's request for a session. Its id must be new.
 func (t *Table) Open(id choice.SessID, r Request) {
-	if t.lives[id] != nil {
+	if t.sessions[id] != nil {
 		return
 	}
-	l := &life{id: id, group: r.Group, viewer: true, owed: true, heard: t.now, sentRung: -1, at: -1,
+	s := &session{id: id, group: r.Group, viewerPresent: true, answerOwed: true, lastSeen: t.now, pendingRung: -1, heapIndex: -1,
 		rung: t.groups[r.Group].Floor, wantRung: t.groups[r.Group].Floor,
-		giveUp: t.now + t.bounds.SetupTimeout[r.Group]}
-	t.lives[id] = l
-	t.mark(l)
+		answerDeadline: t.now + t.limits.SetupTimeout[r.Group]}
+	t.sessions[id] = s
+	t.markDirty(s)
 	// Against more sessions than the process was sized for, and against new ones while it stops. Nothing was sent
 	// to any box, so trying again elsewhere is harmless for every group.
-	if t.stop || t.bounds.MaxSessions > 0 && len(t.lives) > t.bounds.MaxSessions {
-		l.verdict, l.comeBack = Busy, 1
+	if t.refuseNew || t.limits.MaxSessions > 0 && len(t.sessions) > t.limits.MaxSessions {
+		s.answer, s.retryAfter = Busy, 1
 		return
 	}
-	t.note(l, account.Entry{Act: account.Asked, Rung: r.BestRung})
-	l.toldModule, l.req = true, r.request(id)
-	l.req.SetupTimeout = l.giveUp - margin
-	t.mod.Ask(l.req)
+	t.record(s, account.Entry{Act: account.Asked, Rung: r.BestRung})
+	s.inModule, s.req = true, r.forModule(id)
+	s.req.SetupTimeout = s.answerDeadline - answerMarginSeconds
+	t.module.Ask(s.req)
 }
 
 // Adopt takes over a session that plays already at a box.
 func (t *Table) Adopt(id choice.SessID, r Request, box choice.ServerID, rung int) {
-	if t.lives[id] != nil {
+	if t.sessions[id] != nil {
 		return
 	}
-	l := &life{id: id, group: r.Group, viewer: true, heard: t.now, sentRung: -1, at: -1, toldModule: true,
-		try: 1, box: box, phase: playing, rung: rung, wantRung: rung, keepAt: t.now + t.bounds.KeepAliveInterval,
-		verdict: Served, answerGiven: true, req: r.request(id)}
-	t.lives[id] = l
-	t.mark(l)
-	t.mod.Handed(l.req, box)
-	t.mod.InForce(id, rung)
+	s := &session{id: id, group: r.Group, viewerPresent: true, lastSeen: t.now, pendingRung: -1, heapIndex: -1, inModule: true,
+		attempt: 1, box: box, phase: playing, rung: rung, wantRung: rung, keepAliveAt: t.now + t.limits.KeepAliveInterval,
+		answer: Served, servedSent: true, req: r.forModule(id)}
+	t.sessions[id] = s
+	t.markDirty(s)
+	t.module.Handed(s.req, box)
+	t.module.InForce(id, rung)
 }
 
 // RequestOp takes a later request of a viewer's, by the viewer's own number.
 func (t *Table) RequestOp(id choice.SessID, op Op, n int) {
-	l := t.lives[id]
-	if l == nil || !l.viewer {
-		t.strays = append(t.strays, stray{id, n})
+	s := t.sessions[id]
+	if s == nil || !s.viewerPresent {
+		t.unknown = append(t.unknown, unknownSession{id, n})
 		return
 	}
-	t.mark(l)
-	l.heard = t.now
-	if len(l.queue) >= mostQueued {
-		l.replies = append(l.replies, reply{n, TooManyRequests})
+	t.markDirty(s)
+	s.lastSeen = t.now
+	if len(s.queue) >= maxQueuedOps {
+		s.replies = append(s.replies, reply{n, TooManyRequests})
 		return
 	}
-	l.queue = append(l.queue, request{op, n})
-	t.advance(l)
+	s.queue = append(s.queue, queuedOp{op, n})
+	t.dispatchQueue(s)
 }
 
 // ViewerSeen tells of any other sign of life of a viewer.
 func (t *Table) ViewerSeen(id choice.SessID) {
-	if l := t.lives[id]; l != nil {
-		l.heard = t.now
+	if s := t.sessions[id]; s != nil {
+		s.lastSeen = t.now
 	}
 }
 
 // ViewerGone tells that a viewer's connection is gone.
 func (t *Table) ViewerGone(id choice.SessID) {
-	if l := t.lives[id]; l != nil && l.viewer {
-		l.owed = false // given up: no answer is owed any more
-		t.finish(l, ByViewer)
+	if s := t.sessions[id]; s != nil && s.viewerPresent {
+		s.answerOwed = false // given up: no answer is owed any more
+		t.endForViewer(s, ByViewer)
 	}
 }
 
 // SetupSent tells that a SETUP has left for its box.
-func (t *Table) SetupSent(id choice.SessID, try int) {
-	if l := t.lives[id]; l != nil && l.try == try && l.phase == connecting {
-		l.phase = asked
+func (t *Table) SetupSent(id choice.SessID, attempt int) {
+	if s := t.sessions[id]; s != nil && s.attempt == attempt && s.phase == connecting {
+		s.phase = setupSent
 	}
 }
 
@@ -390,503 +390,503 @@
 }
 
 // BoxAnswered tells a box's answer to a SETUP.
-func (t *Table) BoxAnswered(id choice.SessID, try, status int, rep choice.Report) {
-	l := t.lives[id]
-	if l == nil || l.try != try || l.phase != asked && l.phase != connecting {
+func (t *Table) BoxAnswered(id choice.SessID, attempt, status int, report choice.Report) {
+	s := t.sessions[id]
+	if s == nil || s.attempt != attempt || s.phase != setupSent && s.phase != connecting {
 		return
 	}
-	t.mark(l)
+	t.markDirty(s)
 	o := OutcomeOf(status)
 	if o != choice.Served {
-		t.setupOver(l, o, rep)
+		t.setupFailed(s, o, report)
 		return
 	}
-	l.phase, l.keepAt = ready, t.now+t.bounds.KeepAliveInterval
-	t.mod.Playing(id)
-	if rep.Link >= 0 {
-		t.mod.Load(id, l.box, rep.Link, false)
+	s.phase, s.keepAliveAt = ready, t.now+t.limits.KeepAliveInterval
+	t.module.Playing(id)
+	if report.Link >= 0 {
+		t.module.Load(id, s.box, report.Link, false)
 	}
-	if rep.Uplink >= 0 {
-		t.mod.Load(id, l.box, rep.Uplink, true)
+	if report.Uplink >= 0 {
+		t.module.Load(id, s.box, report.Uplink, true)
 	}
-	l.verdict = Served
-	t.advance(l)
+	s.answer = Served
+	t.dispatchQueue(s)
 }
 
-// setupOver ends a SETUP that brought no session.
-func (t *Table) setupOver(l *life, o choice.Outcome, rep choice.Report) {
-	t.mark(l)
-	l.phase, l.wantSetup = idle, false
-	t.note(l, account.Entry{Act: account.SetupOver, Box: l.box, Outcome: o})
-	if l.alone {
-		ran := o != choice.Full && o != choice.NoConnection && o != choice.Unsent
-		if l.verdict, l.comeBack = Busy, 1; ran && t.groups[l.group].Paid {
-			l.verdict = Failed
+// setupFailed ends a SETUP that brought no session.
+func (t *Table) setupFailed(s *session, o choice.Outcome, report choice.Report) {
+	t.markDirty(s)
+	s.phase, s.wantSetup = idle, false
+	t.record(s, account.Entry{Act: account.SetupOver, Box: s.box, Outcome: o})
+	if s.noRetry {
+		mayHaveRun := o != choice.Full && o != choice.NoConnection && o != choice.Unsent
+		if s.answer, s.retryAfter = Busy, 1; mayHaveRun && t.groups[s.group].Paid {
+			s.answer = Failed
 		}
-		t.over(l, o, rep)
+		t.moduleEnded(s, o, report)
 		return
 	}
-	if l.toldModule {
-		t.mod.Ended(l.id, l.box, o, false, rep)
+	if s.inModule {
+		t.module.Ended(s.id, s.box, o, false, report)
 	}
 }
 
 // BoxFailed tells that the connection to a box could not be had, or broke.
-func (t *Table) BoxFailed(id choice.SessID, try int) {
-	l := t.lives[id]
-	if l == nil || l.try != try {
+func (t *Table) BoxFailed(id choice.SessID, attempt int) {
+	s := t.sessions[id]
+	if s == nil || s.attempt != attempt {
 		return
 	}
-	t.mark(l)
-	none := choice.Report{Link: -1, Uplink: -1}
-	switch l.phase {
+	t.markDirty(s)
+	noReport := choice.Report{Link: -1, Uplink: -1}
+	switch s.phase {
 	case connecting:
-		t.setupOver(l, choice.NoConnection, none)
-	case asked:
-		t.setupOver(l, choice.Reset, none)
+		t.setupFailed(s, choice.NoConnection, noReport)
+	case setupSent:
+		t.setupFailed(s, choice.Reset, noReport)
 	case ready, playing, paused:
-		l.phase = gone
-		t.over(l, choice.Reset, none)
-		t.finish(l, BoxLost)
+		s.phase = ended
+		t.moduleEnded(s, choice.Reset, noReport)
+		t.endForViewer(s, BoxLost)
 	case closing:
-		l.phase = gone
-		t.over(l, choice.Cancelled, none)
+		s.phase = ended
+		t.moduleEnded(s, choice.Cancelled, noReport)
 	}
 }
 
 // OpAnswered tells a box's answer to an operation; status 0 is none.
-func (t *Table) OpAnswered(id choice.SessID, try int, op Op, arg, status int, rep choice.Report) {
-	l := t.lives[id]
-	if l == nil || l.try != try {
+func (t *Table) OpAnswered(id choice.SessID, attempt int, op Op, arg, status int, report choice.Report) {
+	s := t.sessions[id]
+	if s == nil || s.attempt != attempt {
 		return
 	}
-	t.mark(l)
-	good := status >= 200 && status < 300
+	t.markDirty(s)
+	ok := status >= 200 && status < 300
 	switch {
-	case op == TearDown && l.phase == closing:
-		l.phase = gone
-		t.over(l, choice.Served, rep)
-	case op == KeepAlive && status == 454 && l.phase >= ready && l.phase <= paused:
+	case op == TearDown && s.phase == closing:
+		s.phase = ended
+		t.moduleEnded(s, choice.Served, report)
+	case op == KeepAlive && status == 454 && s.phase >= ready && s.phase <= paused:
 		// The box has lost the session, by a restart that kept its address or a time-out of its own.
-		l.wantDrop, l.phase = true, gone
-		t.over(l, choice.Reset, rep)
-		t.finish(l, BoxLost)
-	case op == SetRung && l.sentRung == arg:
-		if l.sentRung = -1; good {
-			l.rung = arg
+		s.wantCloseConn, s.phase = true, ended
+		t.moduleEnded(s, choice.Reset, report)
+		t.endForViewer(s, BoxLost)
+	case op == SetRung && s.pendingRung == arg:
+		if s.pendingRung = -1; ok {
+			s.rung = arg
 		} else {
-			t.rungStays(l)
+			t.rungRejected(s)
 		}
-	case l.op.op == op && l.op.n == arg:
-		if l.op = (request{}); !good {
-			l.replies = append(l.replies, reply{arg, BoxRefused})
+	case s.pendingOp.op == op && s.pendingOp.n == arg:
+		if s.pendingOp = (queuedOp{}); !ok {
+			s.replies = append(s.replies, reply{arg, BoxRefused})
 		} else {
-			l.replies = append(l.replies, reply{arg, Done})
+			s.replies = append(s.replies, reply{arg, Done})
 			switch op {
 			case Play:
-				l.phase = playing
+				s.phase = playing
 			case Pause:
-				l.phase = paused
+				s.phase = paused
 			}
 		}
-		t.advance(l)
+		t.dispatchQueue(s)
 	}
 }
 
-// rungStays answers a change of rung that the box did not make: the module goes on from the rung in force.
-func (t *Table) rungStays(l *life) {
-	l.wantRung = l.rung
-	t.note(l, account.Entry{Act: account.RungRefused, Rung: l.rung})
-	if l.toldModule {
-		t.mod.InForce(l.id, l.rung)
+// rungRejected answers a change of rung that the box did not make: the module goes on from the rung in force.
+func (t *Table) rungRejected(s *session) {
+	s.wantRung = s.rung
+	t.record(s, account.Entry{Act: account.RungRefused, Rung: s.rung})
+	if s.inModule {
+		t.module.InForce(s.id, s.rung)
 	}
 }
 
-// over tells the module a session's end.
-func (t *Table) over(l *life, o choice.Outcome, rep choice.Report) {
-	if l.toldModule {
-		l.toldModule = false
-		t.mod.Ended(l.id, l.box, o, true, rep)
+// moduleEnded tells the module a session's end.
+func (t *Table) moduleEnded(s *session, o choice.Outcome, report choice.Report) {
+	if s.inModule {
+		s.inModule = false
+		t.module.Ended(s.id, s.box, o, true, report)
 	}
 }
 
-// finish ends a session for its viewer; what is left at boxes is put in order after it.
-func (t *Table) finish(l *life, why EndReason) {
-	t.mark(l)
-	for _, q := range l.queue {
-		l.replies = append(l.replies, reply{q.n, NoSession})
+// endForViewer ends a session for its viewer; what is left at boxes is put in order after it.
+func (t *Table) endForViewer(s *session, reason EndReason) {
+	t.markDirty(s)
+	for _, q := range s.queue {
+		s.replies = append(s.replies, reply{q.n, NoSession})
 	}
-	if l.op.op != 0 {
-		l.replies = append(l.replies, reply{l.op.n, BoxUnavailable})
+	if s.pendingOp.op != 0 {
+		s.replies = append(s.replies, reply{s.pendingOp.n, BoxUnavailable})
 	}
-	l.queue, l.op = nil, request{}
-	if why != FrontStopping || l.answerGiven {
-		l.viewer = false
+	s.queue, s.pendingOp = nil, queuedOp{}
+	if reason != FrontStopping || s.servedSent {
+		s.viewerPresent = false
 	}
-	if (l.answerGiven || l.owed && l.verdict == Served) && l.wantEnd == 0 {
-		l.wantEnd = why
+	if (s.servedSent || s.answerOwed && s.answer == Served) && s.endReason == 0 {
+		s.endReason = reason
 	}
-	switch l.phase {
-	case connecting, asked:
-		if l.wantSetup {
-			l.wantSetup = false
+	switch s.phase {
+	case connecting, setupSent:
+		if s.wantSetup {
+			s.wantSetup = false
 		} else {
-			l.withdraw = append(l.withdraw, l.try)
+			s.cancelSetups = append(s.cancelSetups, s.attempt)
 		}
 		o := choice.Cancelled
-		if l.phase == connecting {
+		if s.phase == connecting {
 			o = choice.Unsent
 		}
-		l.phase = gone
-		if l.toldModule {
-			t.mod.Left(l.id)
+		s.phase = ended
+		if s.inModule {
+			t.module.Left(s.id)
 		}
-		t.over(l, o, choice.Report{Link: -1, Uplink: -1})
+		t.moduleEnded(s, o, choice.Report{Link: -1, Uplink: -1})
 	case idle:
-		l.phase = gone
-		if l.toldModule {
-			l.toldModule = false
-			t.mod.Left(l.id)
+		s.phase = ended
+		if s.inModule {
+			s.inModule = false
+			t.module.Left(s.id)
 		}
 	case ready, playing, paused:
-		l.phase, l.wantClose, l.until = closing, true, t.now+tearDownTime
+		s.phase, s.wantTeardown, s.phaseDeadline = closing, true, t.now+teardownTimeoutSeconds
 	}
 }
 
-// advance takes the viewer's requests in their order, as far as the session's state lets it.
-func (t *Table) advance(l *life) {
-	for len(l.queue) > 0 && l.op.op == 0 && l.phase != closing && l.phase != gone {
-		if l.phase < ready && l.verdict != Served {
+// dispatchQueue takes the viewer's requests in their order, as far as the session's state lets it.
+func (t *Table) dispatchQueue(s *session) {
+	for len(s.queue) > 0 && s.pendingOp.op == 0 && s.phase != closing && s.phase != ended {
+		if s.phase < ready && s.answer != Served {
 			return // its SETUP has no answer yet
 		}
-		q := l.queue[0]
-		l.queue = l.queue[1:]
-		ask := false
+		q := s.queue[0]
+		s.queue = s.queue[1:]
+		forward := false
 		switch q.op {
 		case Play:
-			ask = true
+			forward = true
 		case Pause:
-			if ask = l.phase == playing; l.phase == ready {
-				l.replies = append(l.replies, reply{q.n, WrongState})
+			if forward = s.phase == playing; s.phase == ready {
+				s.replies = append(s.replies, reply{q.n, WrongState})
 				continue
 			}
 		case Join:
-			if ask = l.phase == ready; !ask {
-				l.replies = append(l.replies, reply{q.n, WrongState})
+			if forward = s.phase == ready; !forward {
+				s.replies = append(s.replies, reply{q.n, WrongState})
 				continue
 			}
 		case TearDown:
-			l.replies = append(l.replies, reply{q.n, Done})
-			t.finish(l, ByViewer)
+			s.replies = append(s.replies, reply{q.n, Done})
+			t.endForViewer(s, ByViewer)
 			return
 		}
-		if !ask {
-			l.replies = append(l.replies, reply{q.n, Done})
+		if !forward {
+			s.replies = append(s.replies, reply{q.n, Done})
 			continue
 		}
-		l.op, l.opSent, l.opUntil = q, false, t.now+opTime
+		s.pendingOp, s.opSent, s.opDeadline = q, false, t.now+opTimeoutSeconds
 	}
 }
 
 // Probed tells how a probe ended: a status, or 0 with the failure.
-func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, rep choice.Report) {
+func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, report choice.Report) {
 	o := failure
 	if status != 0 {
 		o = OutcomeOf(status)
 	}
-	t.mod.Probed(box, o, rep)
+	t.module.Probed(box, o, report)
 }
 
 // ShortDelivery, Load pass on what choice/hearing makes of boxes.
-func (t *Table) ShortDelivery(box choice.ServerID, share float64) { t.mod.Short(box, share) }
+func (t *Table) ShortDelivery(box choice.ServerID, share float64) { t.module.Short(box, share) }
 
 // LoadNote passes on a load note that came with a session's media.
 func (t *Table) LoadNote(id choice.SessID, box choice.ServerID, x float64, uplink bool) {
-	t.mod.Load(id, box, x, uplink)
+	t.module.Load(id, box, x, uplink)
 }
 
 // StopAccepting has new requests busy-replied. Sessions go on.
-func (t *Table) StopAccepting() { t.stop = true }
+func (t *Table) StopAccepting() { t.refuseNew = true }
 
 // EndAll ends all sessions: those set up are torn down, requests without an answer are busy-replied where no SETUP of
 // theirs may have run, else torn down.
 func (t *Table) EndAll() {
-	t.stop = true
-	for _, l := range t.inOrder() {
-		if l.owed {
-			ran := l.phase == asked
-			if l.verdict == 0 {
-				if l.verdict = Busy; ran {
-					l.verdict = Failed
+	t.refuseNew = true
+	for _, s := range t.sortedSessions() {
+		if s.answerOwed {
+			mayHaveRun := s.phase == setupSent
+			if s.answer == 0 {
+				if s.answer = Busy; mayHaveRun {
+					s.answer = Failed
 				}
 			}
 		}
-		if l.phase != closing && l.phase != gone {
-			t.finish(l, FrontStopping)
+		if s.phase != closing && s.phase != ended {
+			t.endForViewer(s, FrontStopping)
 		}
 	}
 }
 
 // NextTimer is the instant at which Due is wanted, 0 where none is.
 func (t *Table) NextTimer() float64 {
-	n := t.wake
-	if len(t.due) > 0 && (n == 0 || t.due[0].next < n) {
-		n = t.due[0].next
+	next := t.moduleWakeAt
+	if len(t.timers) > 0 && (next == 0 || t.timers[0].timerAt < next) {
+		next = t.timers[0].timerAt
 	}
-	return n
+	return next
 }
 
 // RunTimers does what has come due: waits that are over, signs of life, the module's own.
 func (t *Table) RunTimers() {
-	for len(t.due) > 0 && t.due[0].next <= t.now {
-		l := t.due[0]
-		t.expire(l)
-		t.mark(l)
-		t.schedule(l)
-		if l.at >= 0 && l.next <= t.now { // nothing may spin
-			l.next = t.now + 0.01
-			heap.Fix(&t.due, l.at)
+	for len(t.timers) > 0 && t.timers[0].timerAt <= t.now {
+		s := t.timers[0]
+		t.checkDeadlines(s)
+		t.markDirty(s)
+		t.schedule(s)
+		if s.heapIndex >= 0 && s.timerAt <= t.now { // nothing may spin
+			s.timerAt = t.now + 0.01
+			heap.Fix(&t.timers, s.heapIndex)
 		}
 	}
-	if t.wake > 0 && t.now >= t.wake {
-		t.wake = 0
-		t.mod.Due()
+	if t.moduleWakeAt > 0 && t.now >= t.moduleWakeAt {
+		t.moduleWakeAt = 0
+		t.module.Due()
 	}
 }
 
-// expire does what one session's clock asks for.
-func (t *Table) expire(l *life) {
+// checkDeadlines does what one session's clock asks for.
+func (t *Table) checkDeadlines(s *session) {
 	none := choice.Report{Link: -1, Uplink: -1}
-	switch l.phase {
-	case connecting, asked:
-		if t.now >= l.until && !l.wantSetup {
-			l.withdraw = append(l.withdraw, l.try)
+	switch s.phase {
+	case connecting, setupSent:
+		if t.now >= s.phaseDeadline && !s.wantSetup {
+			s.cancelSetups = append(s.cancelSetups, s.attempt)
 			o := choice.TimedOut
-			if l.phase == connecting {
+			if s.phase == connecting {
 				o = choice.NoConnection // never sent
 			}
-			t.setupOver(l, o, none)
+			t.setupFailed(s, o, none)
 		}
 	case closing:
-		if t.now >= l.until {
-			l.wantDrop, l.phase = true, gone
-			t.over(l, choice.TimedOut, none)
+		if t.now >= s.phaseDeadline {
+			s.wantCloseConn, s.phase = true, ended
+			t.moduleEnded(s, choice.TimedOut, none)
 		}
 	case ready, playing, paused:
-		if l.op.op != 0 && t.now >= l.opUntil {
-			l.wantDrop, l.phase = true, gone
-			t.over(l, choice.TimedOut, none)
-			t.finish(l, BoxHung)
+		if s.pendingOp.op != 0 && t.now >= s.opDeadline {
+			s.wantCloseConn, s.phase = true, ended
+			t.moduleEnded(s, choice.TimedOut, none)
+			t.endForViewer(s, BoxHung)
 			return
 		}
-		if l.sentRung >= 0 && t.now >= l.rungUntil {
-			l.sentRung = -1
-			t.rungStays(l)
+		if s.pendingRung >= 0 && t.now >= s.rungDeadline {
+			s.pendingRung = -1
+			t.rungRejected(s)
 		}
-		if t.bounds.ViewerIdleTimeout > 0 && t.now >= l.heard+t.bounds.ViewerIdleTimeout {
-			t.finish(l, ViewerIdle)
+		if t.limits.ViewerIdleTimeout > 0 && t.now >= s.lastSeen+t.limits.ViewerIdleTimeout {
+			t.endForViewer(s, ViewerIdle)
 		}
 	}
 	// The net under rule 1: against any path that would leave a request without its answer until the viewer gives
 	// up. The module answers margin seconds earlier, so it acts only where something else failed; torn down is the
 	// answer that is true whatever ran.
-	if l.owed && l.verdict == 0 && t.now >= l.giveUp-net {
-		if l.phase == connecting || l.phase == asked {
-			t.finish(l, BoxHung)
-		} else if l.toldModule {
-			l.toldModule = false
-			t.mod.Left(l.id)
+	if s.answerOwed && s.answer == 0 && t.now >= s.answerDeadline-backstopMarginSeconds {
+		if s.phase == connecting || s.phase == setupSent {
+			t.endForViewer(s, BoxHung)
+		} else if s.inModule {
+			s.inModule = false
+			t.module.Left(s.id)
 		}
-		l.verdict, l.phase = Failed, gone
+		s.answer, s.phase = Failed, ended
 	}
 }
 
 // schedule sets when a session wants to be looked at next.
-func (t *Table) schedule(l *life) {
-	n := 0.0
-	at := func(x float64) {
-		if x > 0 && (n == 0 || x < n) {
-			n = x
+func (t *Table) schedule(s *session) {
+	next := 0.0
+	consider := func(x float64) {
+		if x > 0 && (next == 0 || x < next) {
+			next = x
 		}
 	}
-	switch l.phase {
-	case connecting, asked, closing:
-		at(l.until)
+	switch s.phase {
+	case connecting, setupSent, closing:
+		consider(s.phaseDeadline)
 	case ready, playing, paused:
-		if l.op.op != 0 {
-			at(l.opUntil)
+		if s.pendingOp.op != 0 {
+			consider(s.opDeadline)
 		}
-		if l.sentRung >= 0 {
-			at(l.rungUntil)
+		if s.pendingRung >= 0 {
+			consider(s.rungDeadline)
 		}
-		if t.bounds.ViewerIdleTimeout > 0 {
-			at(l.heard + t.bounds.ViewerIdleTimeout)
+		if t.limits.ViewerIdleTimeout > 0 {
+			consider(s.lastSeen + t.limits.ViewerIdleTimeout)
 		}
-		if t.bounds.KeepAliveInterval > 0 {
-			at(l.keepAt)
+		if t.limits.KeepAliveInterval > 0 {
+			consider(s.keepAliveAt)
 		}
 	}
-	if l.owed && l.verdict == 0 {
-		at(l.giveUp - net)
+	if s.answerOwed && s.answer == 0 {
+		consider(s.answerDeadline - backstopMarginSeconds)
 	}
-	if l.next = n; n == 0 {
-		if l.at >= 0 {
-			heap.Remove(&t.due, l.at)
+	if s.timerAt = next; next == 0 {
+		if s.heapIndex >= 0 {
+			heap.Remove(&t.timers, s.heapIndex)
 		}
 		return
 	}
-	if l.at >= 0 {
-		heap.Fix(&t.due, l.at)
+	if s.heapIndex >= 0 {
+		heap.Fix(&t.timers, s.heapIndex)
 	} else {
-		heap.Push(&t.due, l)
+		heap.Push(&t.timers, s)
 	}
 }
 
 // Settle gives the orders that take each session from where it is to where it is wanted.
 func (t *Table) Settle() {
-	t.mod.Settle()
-	for _, s := range t.strays {
-		t.out.Reply(s.id, s.n, NoSession)
-	}
-	t.strays = t.strays[:0]
-	for i := 0; i < len(t.touch); i++ {
-		l := t.touch[i]
-		l.touched = false
-		t.settle(l)
-		t.schedule(l)
-		if l.phase == gone && !l.owed {
-			delete(t.lives, l.id)
-			if l.at >= 0 {
-				heap.Remove(&t.due, l.at)
+	t.module.Settle()
+	for _, s := range t.unknown {
+		t.actions.Reply(s.id, s.n, NoSession)
+	}
+	t.unknown = t.unknown[:0]
+	for i := 0; i < len(t.dirty); i++ {
+		s := t.dirty[i]
+		s.dirty = false
+		t.reconcile(s)
+		t.schedule(s)
+		if s.phase == ended && !s.answerOwed {
+			delete(t.sessions, s.id)
+			if s.heapIndex >= 0 {
+				heap.Remove(&t.timers, s.heapIndex)
 			}
 		}
 	}
-	t.touch = t.touch[:0]
+	t.dirty = t.dirty[:0]
 }
 
-// settle works out the difference between a session's wanted state and its present one and orders it.
-func (t *Table) settle(l *life) {
-	for _, try := range l.withdraw {
-		t.out.CancelSetup(l.id, try)
+// reconcile works out the difference between a session's wanted state and its present one and orders it.
+func (t *Table) reconcile(s *session) {
+	for _, attempt := range s.cancelSetups {
+		t.actions.CancelSetup(s.id, attempt)
 	}
-	l.withdraw = nil
-	if l.wantSetup {
-		l.wantSetup = false
-		l.rung = l.wantRung
-		t.out.Setup(l.id, l.try, l.box, l.rung)
+	s.cancelSetups = nil
+	if s.wantSetup {
+		s.wantSetup = false
+		s.rung = s.wantRung
+		t.actions.Setup(s.id, s.attempt, s.box, s.rung)
 	}
-	if l.owed && l.verdict != 0 {
-		l.owed, l.answerGiven = false, l.verdict == Served
-		t.out.Answer(l.id, l.verdict, l.comeBack)
-		if l.verdict != Served {
-			l.viewer = false
-			for _, q := range l.queue {
-				l.replies = append(l.replies, reply{q.n, NoSession})
+	if s.answerOwed && s.answer != 0 {
+		s.answerOwed, s.servedSent = false, s.answer == Served
+		t.actions.Answer(s.id, s.answer, s.retryAfter)
+		if s.answer != Served {
+			s.viewerPresent = false
+			for _, q := range s.queue {
+				s.replies = append(s.replies, reply{q.n, NoSession})
 			}
-			if l.queue = nil; l.phase == idle {
-				l.phase = gone
+			if s.queue = nil; s.phase == idle {
+				s.phase = ended
 			}
 		}
 	}
-	for _, r := range l.replies {
-		t.out.Reply(l.id, r.n, r.r)
+	for _, r := range s.replies {
+		t.actions.Reply(s.id, r.n, r.result)
 	}
-	l.replies = nil
-	if l.op.op != 0 && !l.opSent {
-		l.opSent = true
-		t.out.SendOp(l.id, l.try, l.op.op, l.op.n)
+	s.replies = nil
+	if s.pendingOp.op != 0 && !s.opSent {
+		s.opSent = true
+		t.actions.SendOp(s.id, s.attempt, s.pendingOp.op, s.pendingOp.n)
 	}
-	if l.phase >= ready && l.phase <= paused {
-		if l.wantRung != l.rung && l.sentRung < 0 {
-			l.sentRung, l.rungUntil = l.wantRung, t.now+opTime
-			t.out.SendOp(l.id, l.try, SetRung, l.wantRung)
+	if s.phase >= ready && s.phase <= paused {
+		if s.wantRung != s.rung && s.pendingRung < 0 {
+			s.pendingRung, s.rungDeadline = s.wantRung, t.now+opTimeoutSeconds
+			t.actions.SendOp(s.id, s.attempt, SetRung, s.wantRung)
 		}
-		if t.bounds.KeepAliveInterval > 0 && t.now >= l.keepAt {
-			l.keepAt = t.now + t.bounds.KeepAliveInterval
-			t.out.SendOp(l.id, l.try, KeepAlive, 0)
+		if t.limits.KeepAliveInterval > 0 && t.now >= s.keepAliveAt {
+			s.keepAliveAt = t.now + t.limits.KeepAliveInterval
+			t.actions.SendOp(s.id, s.attempt, KeepAlive, 0)
 		}
 	}
-	if l.wantEnd != 0 && !l.ended {
-		l.ended = true
-		t.note(l, account.Entry{Act: account.Ended, Word: l.wantEnd.String()})
-		t.out.End(l.id, l.wantEnd)
+	if s.endReason != 0 && !s.endReported {
+		s.endReported = true
+		t.record(s, account.Entry{Act: account.Ended, Word: s.endReason.String()})
+		t.actions.End(s.id, s.endReason)
 	}
-	if l.wantClose {
-		l.wantClose = false
-		t.out.SendOp(l.id, l.try, TearDown, 0)
+	if s.wantTeardown {
+		s.wantTeardown = false
+		t.actions.SendOp(s.id, s.attempt, TearDown, 0)
 	}
-	if l.wantDrop {
-		l.wantDrop = false
-		t.out.CloseConn(l.id, l.try)
+	if s.wantCloseConn {
+		s.wantCloseConn = false
+		t.actions.CloseConn(s.id, s.attempt)
 	}
 }
 
-// acts takes the module's acts and makes wanted state of them.
-type acts struct{ t *Table }
+// moduleActions takes the module's moduleActions and makes wanted state of them.
+type moduleActions struct{ t *Table }
 
-func (a acts) with(id choice.SessID, do func(l *life)) {
-	if l := a.t.lives[id]; l != nil && l.phase != gone && l.phase != closing {
-		do(l)
-		a.t.mark(l)
+func (a moduleActions) withActive(id choice.SessID, update func(s *session)) {
+	if s := a.t.sessions[id]; s != nil && s.phase != ended && s.phase != closing {
+		update(s)
+		a.t.markDirty(s)
 	}
 }
 
-func (a acts) Rung(id choice.SessID, rung int) {
-	a.with(id, func(l *life) {
-		l.wantRung = rung
-		if l.phase >= ready {
-			a.t.note(l, account.Entry{Act: account.Rung, Box: l.box, Rung: rung})
+func (a moduleActions) Rung(id choice.SessID, rung int) {
+	a.withActive(id, func(s *session) {
+		s.wantRung = rung
+		if s.phase >= ready {
+			a.t.record(s, account.Entry{Act: account.Rung, Box: s.box, Rung: rung})
 		}
 	})
 }
 
-func (a acts) Setup(id choice.SessID, box choice.ServerID, wait float64) {
-	a.with(id, func(l *life) {
-		l.try++
-		l.box, l.phase, l.wantSetup = box, connecting, true
-		l.until = a.t.now + max(wait, 0)
-		a.t.note(l, account.Entry{Act: account.Setup, Box: box, Rung: l.wantRung, Seconds: wait})
+func (a moduleActions) Setup(id choice.SessID, box choice.ServerID, wait float64) {
+	a.withActive(id, func(s *session) {
+		s.attempt++
+		s.box, s.phase, s.wantSetup = box, connecting, true
+		s.phaseDeadline = a.t.now + max(wait, 0)
+		a.t.record(s, account.Entry{Act: account.Setup, Box: box, Rung: s.wantRung, Seconds: wait})
 	})
 }
 
-func (a acts) BusyReply(id choice.SessID, comeBack float64) {
-	a.with(id, func(l *life) {
-		l.verdict, l.comeBack, l.toldModule = Busy, comeBack, false
-		a.t.note(l, account.Entry{Act: account.Busy, Seconds: comeBack})
+func (a moduleActions) BusyReply(id choice.SessID, comeBack float64) {
+	a.withActive(id, func(s *session) {
+		s.answer, s.retryAfter, s.inModule = Busy, comeBack, false
+		a.t.record(s, account.Entry{Act: account.Busy, Seconds: comeBack})
 	})
 }
 
-func (a acts) Tell(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
-func (a acts) TearDown(id choice.SessID) {
-	a.with(id, func(l *life) {
-		l.verdict, l.toldModule = Failed, false
-		a.t.note(l, account.Entry{Act: account.TornDown})
+func (a moduleActions) Tell(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
+func (a moduleActions) TearDown(id choice.SessID) {
+	a.withActive(id, func(s *session) {
+		s.answer, s.inModule = Failed, false
+		a.t.record(s, account.Entry{Act: account.TornDown})
 	})
 }
 
-// note keeps a decision with the figures that the module sees now.
-func (t *Table) note(l *life, e account.Entry) {
-	e.At, e.Sess = t.now, l.id
+// record keeps a decision with the figures that the module sees now.
+func (t *Table) record(s *session, e account.Entry) {
+	e.At, e.Sess = t.now, s.id
 	switch e.Act {
 	case account.Setup, account.Rung, account.Busy, account.TornDown:
-		e.Standing, _ = t.mod.Standing(l.id)
+		e.Standing, _ = t.module.Standing(s.id)
 	}
-	t.kept.Note(e)
+	t.decisions.Note(e)
 }
 
 // Explain puts into words what was decided for a session, as far back as it is kept; an empty id stands for the one that was
 // turned away last, as viewers are not told the ids of those.
 func (t *Table) Explain(id choice.SessID) []string {
 	if id == "" {
-		id = t.kept.Turned()
+		id = t.decisions.Turned()
 	}
-	return account.Say(t.kept.Of(id))
+	return account.Say(t.decisions.Of(id))
 }
 
-func (a acts) Probe(box choice.ServerID) { a.t.out.Probe(box) }
+func (a moduleActions) Probe(box choice.ServerID) { a.t.actions.Probe(box) }
 
-func (a acts) Wake(after float64) { a.t.wake = a.t.now + after }
+func (a moduleActions) Wake(after float64) { a.t.moduleWakeAt = a.t.now + after }
 
-func sortByID(list []*life) {
-	slices.SortFunc(list, func(a, b *life) int { return cmp.Compare(a.id, b.id) })
+func sortByID(list []*session) {
+	slices.SortFunc(list, func(a, b *session) int { return cmp.Compare(a.id, b.id) })
 }
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,7 +10,7 @@
 	"rainhaven/choice"
 )
 
-func figures() (choice.StartFigures, Limits) {
+func testFigures() (choice.StartFigures, Limits) {
 	return choice.StartFigures{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
 			{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
@@ -20,434 +20,438 @@
 		Limits{SetupTimeout: []float64{3, 5}, MaxSessions: 50, ViewerIdleTimeout: 60, KeepAliveInterval: 20}
 }
 
-// atBox is what a box holds of one SETUP.
-type atBox struct {
-	out, held bool
-	box       choice.ServerID
+// boxAttempt is what a box holds of one SETUP.
+type boxAttempt struct {
+	inFlight, established bool
+	box                   choice.ServerID
 }
 
 type viewer struct {
-	asked   float64
-	giveUp  float64
-	gone    bool // its connection is, by its own doing
-	answers []FinalAnswer
-	asks    map[int]bool // requests without a reply
-	tries   map[int]*atBox
-	ended   bool
-	paid    bool
-	mayRan  bool
-	title   string
-}
-
-// world takes the orders and breaks the test when one breaks a rule.
-type world struct {
-	tb      rapid.TB
-	t       *Table
-	now     float64
-	viewers map[choice.SessID]*viewer
-	order   []choice.SessID
-	ops     []func(status int) // answers that boxes may still give to operations
-	probes  []choice.ServerID
-	state   map[choice.ServerID]choice.Lifecycle
-	orders  int
-	seats   int // of the paid group's
-	reloads int
-	frozen  int // SETUPs that there were when the front was frozen; no further one may follow
-}
-
-func newWorld(tb rapid.TB) *world {
-	w := &world{tb: tb, now: 100, viewers: map[choice.SessID]*viewer{}, state: map[choice.ServerID]choice.Lifecycle{}}
-	fig, bounds := figures()
-	w.seats = fig.Groups[0].Seats
-	w.t = New(w.now, fig, bounds, w)
-	for _, e := range listed4() {
-		w.state[e.ID] = choice.Ready
-	}
-	w.do(func() { w.t.UpdateDirectory(true, listed4()) })
-	return w
-}
-
-// do feeds one batch.
-func (w *world) do(event func()) {
-	w.t.SetTime(w.now)
+	requestedAt float64
+	deadline    float64
+	left        bool // its connection is, by its own doing
+	answers     []FinalAnswer
+	pending     map[int]bool // requests without a reply
+	attempts    map[int]*boxAttempt
+	ended       bool
+	paid        bool
+	mayHaveRun  bool
+	title       string
+}
+
+// harness takes the orders and breaks the test when one breaks a rule.
+type harness struct {
+	tb               rapid.TB
+	table            *Table
+	now              float64
+	viewers          map[choice.SessID]*viewer
+	ids              []choice.SessID
+	pendingOps       []func(status int) // answers that boxes may still give to operations
+	pendingProbes    []choice.ServerID
+	boxState         map[choice.ServerID]choice.Lifecycle
+	sequence         int
+	paidSeats        int // of the paid group's
+	reloads          int
+	attemptsAtFreeze int // SETUPs that there were when the front was frozen; no further one may follow
+}
+
+func newHarness(tb rapid.TB) *harness {
+	h := &harness{tb: tb, now: 100, viewers: map[choice.SessID]*viewer{}, boxState: map[choice.ServerID]choice.Lifecycle{}}
+	fig, bounds := testFigures()
+	h.paidSeats = fig.Groups[0].Seats
+	h.table = New(h.now, fig, bounds, h)
+	for _, e := range fourBoxes() {
+		h.boxState[e.ID] = choice.Ready
+	}
+	h.apply(func() { h.table.UpdateDirectory(true, fourBoxes()) })
+	return h
+}
+
+// apply feeds one batch.
+func (h *harness) apply(event func()) {
+	h.table.SetTime(h.now)
 	event()
-	w.t.Settle()
+	h.table.Settle()
 }
 
-func (w *world) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
-	v := w.viewers[id]
-	w.orders++
-	for n, a := range v.tries {
-		if a.out {
-			w.tb.Fatalf("%s: SETUP %d while %d is out", id, try, n)
+func (h *harness) Setup(id choice.SessID, attempt int, box choice.ServerID, rung int) {
+	v := h.viewers[id]
+	h.sequence++
+	for n, a := range v.attempts {
+		if a.inFlight {
+			h.tb.Fatalf("%s: SETUP %d while %d is out", id, attempt, n)
 		}
 	}
-	if v.paid && v.mayRan {
-		w.tb.Fatalf("%s: a paid session's SETUP %d after one that may have run", id, try)
+	if v.paid && v.mayHaveRun {
+		h.tb.Fatalf("%s: a paid session's SETUP %d after one that may have run", id, attempt)
 	}
 	if v.paid && rung < 1 {
-		w.tb.Fatalf("%s: rung %d under the floor", id, rung)
+		h.tb.Fatalf("%s: rung %d under the floor", id, rung)
 	}
-	if len(v.answers) > 0 || v.gone {
-		w.tb.Fatalf("%s: a SETUP after its end", id)
+	if len(v.answers) > 0 || v.left {
+		h.tb.Fatalf("%s: a SETUP after its end", id)
 	}
 	taken := 1
-	for _, o := range w.viewers {
-		for _, a := range o.tries {
-			if o.paid && o.title == v.title && (a.out || a.held) {
+	for _, o := range h.viewers {
+		for _, a := range o.attempts {
+			if o.paid && o.title == v.title && (a.inFlight || a.established) {
 				taken++
 			}
 		}
 	}
-	if v.paid && taken > w.seats {
-		w.tb.Fatalf("%s: %d of %d seats taken", id, taken, w.seats)
+	if v.paid && taken > h.paidSeats {
+		h.tb.Fatalf("%s: %d of %d seats taken", id, taken, h.paidSeats)
 	}
-	if w.state[box] != choice.Ready {
-		w.tb.Fatalf("%s: a SETUP to box %d, which is %v", id, box, w.state[box])
+	if h.boxState[box] != choice.Ready {
+		h.tb.Fatalf("%s: a SETUP to box %d, which is %v", id, box, h.boxState[box])
 	}
-	v.tries[try] = &atBox{out: true, box: box}
-	if w.frozen > 0 && len(v.tries) > w.frozen {
-		w.tb.Fatalf("%s: SETUP %d of a frozen front", id, try)
+	v.attempts[attempt] = &boxAttempt{inFlight: true, box: box}
+	if h.attemptsAtFreeze > 0 && len(v.attempts) > h.attemptsAtFreeze {
+		h.tb.Fatalf("%s: SETUP %d of a frozen front", id, attempt)
 	}
 }
 
-func (w *world) CancelSetup(id choice.SessID, try int) {
-	a := w.viewers[id].tries[try]
-	if a == nil || !a.out {
-		w.tb.Fatalf("%s: SETUP %d is withdrawn and not out", id, try)
+func (h *harness) CancelSetup(id choice.SessID, attempt int) {
+	a := h.viewers[id].attempts[attempt]
+	if a == nil || !a.inFlight {
+		h.tb.Fatalf("%s: SETUP %d is withdrawn and not out", id, attempt)
 	}
-	a.out = false
+	a.inFlight = false
 }
 
-func (w *world) SendOp(id choice.SessID, try int, op Op, arg int) {
-	a := w.viewers[id].tries[try]
-	if a == nil || !a.held {
-		w.tb.Fatalf("%s: %v at a box that holds nothing of it", id, op)
+func (h *harness) SendOp(id choice.SessID, attempt int, op Op, arg int) {
+	a := h.viewers[id].attempts[attempt]
+	if a == nil || !a.established {
+		h.tb.Fatalf("%s: %v at a box that holds nothing of it", id, op)
 	}
 	if op == TearDown {
-		a.held = false
+		a.established = false
 	}
-	w.ops = append(w.ops, func(status int) { w.t.OpAnswered(id, try, op, arg, status, choice.Report{Link: -1, Uplink: -1}) })
+	h.pendingOps = append(h.pendingOps, func(status int) {
+		h.table.OpAnswered(id, attempt, op, arg, status, choice.Report{Link: -1, Uplink: -1})
+	})
 }
 
-func (w *world) CloseConn(id choice.SessID, try int) { w.viewers[id].tries[try].held = false }
+func (h *harness) CloseConn(id choice.SessID, attempt int) {
+	h.viewers[id].attempts[attempt].established = false
+}
 
-func (w *world) Probe(box choice.ServerID) { w.probes = append(w.probes, box) }
+func (h *harness) Probe(box choice.ServerID) { h.pendingProbes = append(h.pendingProbes, box) }
 
-func (w *world) Answer(id choice.SessID, v FinalAnswer, _ float64) {
-	x := w.viewers[id]
+func (h *harness) Answer(id choice.SessID, v FinalAnswer, _ float64) {
+	x := h.viewers[id]
 	x.answers = append(x.answers, v)
-	if len(x.answers) > 1 || x.gone {
-		w.tb.Fatalf("%s: answers %v, gone %v", id, x.answers, x.gone)
+	if len(x.answers) > 1 || x.left {
+		h.tb.Fatalf("%s: answers %v, gone %v", id, x.answers, x.left)
 	}
-	if w.now > x.giveUp {
-		w.tb.Fatalf("%s: answered %v s late", id, w.now-x.giveUp)
+	if h.now > x.deadline {
+		h.tb.Fatalf("%s: answered %v s late", id, h.now-x.deadline)
 	}
-	if v == Busy && x.paid && x.mayRan {
-		w.tb.Fatalf("%s: a paid session busy-replied after a SETUP that may have run", id)
+	if v == Busy && x.paid && x.mayHaveRun {
+		h.tb.Fatalf("%s: a paid session busy-replied after a SETUP that may have run", id)
 	}
 }
 
-func (w *world) Reply(id choice.SessID, n int, _ Result) {
-	if !w.viewers[id].asks[n] {
-		w.tb.Fatalf("%s: request %d has a reply too many", id, n)
+func (h *harness) Reply(id choice.SessID, n int, _ Result) {
+	if !h.viewers[id].pending[n] {
+		h.tb.Fatalf("%s: request %d has a reply too many", id, n)
 	}
-	delete(w.viewers[id].asks, n)
+	delete(h.viewers[id].pending, n)
 }
 
-func (w *world) End(id choice.SessID, _ EndReason) {
-	v := w.viewers[id]
+func (h *harness) End(id choice.SessID, _ EndReason) {
+	v := h.viewers[id]
 	if v.ended || len(v.answers) != 1 || v.answers[0] != Served {
-		w.tb.Fatalf("%s: ended twice or before it was served: %v", id, v.answers)
+		h.tb.Fatalf("%s: ended twice or before it was served: %v", id, v.answers)
 	}
 	v.ended = true
 }
 
-func (w *world) ask(group int, title string) choice.SessID {
-	id := choice.SessID(fmt.Sprintf("s%03d", len(w.order)))
-	w.order = append(w.order, id)
-	v := &viewer{asked: w.now, giveUp: w.now + w.t.bounds.SetupTimeout[group], paid: group == 0, title: title, asks: map[int]bool{}, tries: map[int]*atBox{}}
-	w.viewers[id] = v
-	w.do(func() { w.t.Open(id, Request{Group: group, Title: title, Span: 4, BestRung: 3}) })
+func (h *harness) open(group int, title string) choice.SessID {
+	id := choice.SessID(fmt.Sprintf("s%03d", len(h.ids)))
+	h.ids = append(h.ids, id)
+	v := &viewer{requestedAt: h.now, deadline: h.now + h.table.limits.SetupTimeout[group], paid: group == 0, title: title, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
+	h.viewers[id] = v
+	h.apply(func() { h.table.Open(id, Request{Group: group, Title: title, Span: 4, BestRung: 3}) })
 	return id
 }
 
 // reload renews the terms: seats, floors and waits change with each.
-func (w *world) reload() {
-	w.reloads++
-	fig, bounds := figures()
-	if w.reloads%2 == 1 {
+func (h *harness) reload() {
+	h.reloads++
+	fig, bounds := testFigures()
+	if h.reloads%2 == 1 {
 		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MostSetups, bounds.SetupTimeout = 3, 1, 2, []float64{2, 4}
 	}
-	w.seats = fig.Groups[0].Seats
+	h.paidSeats = fig.Groups[0].Seats
 	var list []choice.Listing
 	for i := range 4 {
-		if s := w.state[choice.ServerID(10+i)]; s != choice.Gone {
+		if s := h.boxState[choice.ServerID(10+i)]; s != choice.Gone {
 			list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: s, Heft: 1})
 		}
 	}
-	w.do(func() {
-		w.t.Reload(Config{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
+	h.apply(func() {
+		h.table.Reload(Config{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
 	})
-	for _, l := range w.t.lives {
-		if floor := fig.Groups[l.group].Floor; l.phase >= ready && l.phase <= paused && l.wantRung < floor {
-			w.tb.Fatalf("%s: wants rung %d under the floor", l.id, l.wantRung)
+	for _, s := range h.table.sessions {
+		if floor := fig.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
+			h.tb.Fatalf("%s: wants rung %d under the floor", s.id, s.wantRung)
 		}
 	}
 }
 
-func (w *world) request(id choice.SessID, op Op) {
-	v := w.viewers[id]
-	if v.gone {
+func (h *harness) request(id choice.SessID, op Op) {
+	v := h.viewers[id]
+	if v.left {
 		return
 	}
-	n := 1000 + w.orders*10 + len(v.asks)
-	w.orders++
-	v.asks[n] = true
-	w.do(func() { w.t.RequestOp(id, op, n) })
+	n := 1000 + h.sequence*10 + len(v.pending)
+	h.sequence++
+	v.pending[n] = true
+	h.apply(func() { h.table.RequestOp(id, op, n) })
 }
 
-// box gives a SETUP an answer; status 0 is a break.
-func (w *world) box(id choice.SessID, try int, status int, sentFirst bool) {
-	v := w.viewers[id]
-	a := v.tries[try]
-	late := !a.out
-	w.do(func() {
+// answerSetup gives a SETUP an answer; status 0 is a break.
+func (h *harness) answerSetup(id choice.SessID, attempt int, status int, sentFirst bool) {
+	v := h.viewers[id]
+	a := v.attempts[attempt]
+	late := !a.inFlight
+	h.apply(func() {
 		if sentFirst {
-			w.t.SetupSent(id, try)
+			h.table.SetupSent(id, attempt)
 		}
 		if !late {
-			a.out = false
-			a.held = status == 200
+			a.inFlight = false
+			a.established = status == 200
 			if sentFirst && OutcomeOf(status) != choice.Full && status != 200 {
-				v.mayRan = true
+				v.mayHaveRun = true
 			}
 		}
 		if status == 0 {
-			w.t.BoxFailed(id, try)
+			h.table.BoxFailed(id, attempt)
 			return
 		}
-		w.t.BoxAnswered(id, try, status, choice.Report{Link: 0.4, Uplink: -1})
+		h.table.BoxAnswered(id, attempt, status, choice.Report{Link: 0.4, Uplink: -1})
 	})
 }
 
-// pass lets time go by in steps as Next asks for them.
-func (w *world) pass(seconds float64) {
-	for end := w.now + seconds; ; {
-		n := w.t.NextTimer()
+// advance lets time go by in steps as Next asks for them.
+func (h *harness) advance(seconds float64) {
+	for end := h.now + seconds; ; {
+		n := h.table.NextTimer()
 		if n == 0 || n > end {
-			w.now = max(w.now, end)
+			h.now = max(h.now, end)
 			return
 		}
-		w.now = max(n, w.now)
+		h.now = max(n, h.now)
 		// A SETUP that is out when its wait runs out may have run.
-		for _, id := range w.order {
-			for _, a := range w.viewers[id].tries {
-				if a.out {
-					w.viewers[id].mayRan = w.viewers[id].mayRan || w.t.lives[id] != nil && w.t.lives[id].phase == asked && w.t.lives[id].until <= w.now
+		for _, id := range h.ids {
+			for _, a := range h.viewers[id].attempts {
+				if a.inFlight {
+					h.viewers[id].mayHaveRun = h.viewers[id].mayHaveRun || h.table.sessions[id] != nil && h.table.sessions[id].phase == setupSent && h.table.sessions[id].phaseDeadline <= h.now
 				}
 			}
 		}
-		w.do(w.t.RunTimers)
+		h.apply(h.table.RunTimers)
 	}
 }
 
-// rest ends everything and looks at what is left.
-func (w *world) rest() {
-	for _, id := range w.order {
-		if v := w.viewers[id]; !v.gone {
-			v.gone = len(v.answers) == 0
-			w.do(func() { w.t.ViewerGone(id) })
+// finish ends everything and looks at what is left.
+func (h *harness) finish() {
+	for _, id := range h.ids {
+		if v := h.viewers[id]; !v.left {
+			v.left = len(v.answers) == 0
+			h.apply(func() { h.table.ViewerGone(id) })
 		}
 	}
-	for _, id := range w.order {
-		for n, a := range w.viewers[id].tries {
-			if a.held {
-				w.tb.Fatalf("%s: no TEARDOWN at once for what SETUP %d brought", id, n)
+	for _, id := range h.ids {
+		for n, a := range h.viewers[id].attempts {
+			if a.established {
+				h.tb.Fatalf("%s: no TEARDOWN at once for what SETUP %d brought", id, n)
 			}
 		}
 	}
-	w.pass(10)
-	for _, id := range w.order {
-		v := w.viewers[id]
-		for n, a := range v.tries {
-			if a.out || a.held {
-				w.tb.Fatalf("%s: SETUP %d left at box %d (out %v, held %v)", id, n, a.box, a.out, a.held)
+	h.advance(10)
+	for _, id := range h.ids {
+		v := h.viewers[id]
+		for n, a := range v.attempts {
+			if a.inFlight || a.established {
+				h.tb.Fatalf("%s: SETUP %d left at box %d (out %v, held %v)", id, n, a.box, a.inFlight, a.established)
 			}
 		}
-		if len(v.asks) > 0 && !v.gone {
-			w.tb.Fatalf("%s: %d requests without reply", id, len(v.asks))
+		if len(v.pending) > 0 && !v.left {
+			h.tb.Fatalf("%s: %d requests without reply", id, len(v.pending))
 		}
 	}
-	if len(w.t.lives) > 0 || len(w.t.due) > 0 || len(w.t.touch) > 0 {
-		w.tb.Fatalf("left in the table: %d sessions, %d waits", len(w.t.lives), len(w.t.due))
+	if len(h.table.sessions) > 0 || len(h.table.timers) > 0 || len(h.table.dirty) > 0 {
+		h.tb.Fatalf("left in the table: %d sessions, %d waits", len(h.table.sessions), len(h.table.timers))
 	}
 }
 
-func TestFirstRefusesSecondHangs(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(1, "vents")
-	if len(w.viewers[id].tries) == 0 { // it looks at the likeliest holder first
-		w.pass(0.3)
+func TestRetryAfterRefusalAndTimeout(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(1, "vents")
+	if len(h.viewers[id].attempts) == 0 { // it looks at the likeliest holder first
+		h.advance(0.3)
 	}
-	w.box(id, 1, 453, true)
-	if len(w.viewers[id].tries) != 2 {
-		t.Fatalf("%d SETUPs after a refusal", len(w.viewers[id].tries))
+	h.answerSetup(id, 1, 453, true)
+	if len(h.viewers[id].attempts) != 2 {
+		t.Fatalf("%d SETUPs after a refusal", len(h.viewers[id].attempts))
 	}
-	w.do(func() { w.t.SetupSent(id, 2) })
-	w.pass(0.5) // the second hangs
-	if len(w.viewers[id].tries) != 3 {
-		t.Fatalf("%d SETUPs after a hang", len(w.viewers[id].tries))
+	h.apply(func() { h.table.SetupSent(id, 2) })
+	h.advance(0.5) // the second hangs
+	if len(h.viewers[id].attempts) != 3 {
+		t.Fatalf("%d SETUPs after a hang", len(h.viewers[id].attempts))
 	}
-	w.box(id, 2, 200, true) // its late answer means nothing to the session
-	w.box(id, 3, 200, true)
-	if v := w.viewers[id]; len(v.answers) != 1 || v.answers[0] != Served {
+	h.answerSetup(id, 2, 200, true) // its late answer means nothing to the session
+	h.answerSetup(id, 3, 200, true)
+	if v := h.viewers[id]; len(v.answers) != 1 || v.answers[0] != Served {
 		t.Fatalf("answers %v", v.answers)
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestPaidSessionThatMayHaveRunIsTornDown(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(0, "exam")
-	w.pass(0.3)
-	w.do(func() { w.t.SetupSent(id, 1) })
-	w.pass(4)
-	if v := w.viewers[id]; len(v.answers) != 1 || v.answers[0] != Failed || len(v.tries) != 1 {
-		t.Fatalf("answers %v after %d SETUPs", v.answers, len(v.tries))
+func TestPaidSessionThatMayHaveRunFails(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(0, "exam")
+	h.advance(0.3)
+	h.apply(func() { h.table.SetupSent(id, 1) })
+	h.advance(4)
+	if v := h.viewers[id]; len(v.answers) != 1 || v.answers[0] != Failed || len(v.attempts) != 1 {
+		t.Fatalf("answers %v after %d SETUPs", v.answers, len(v.attempts))
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestViewerLeavesHalfway(t *testing.T) {
+func TestViewerLeavesDuringSetup(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		w := newWorld(t)
-		id := w.ask(1, "vents")
-		w.pass(0.3)
+		h := newHarness(t)
+		id := h.open(1, "vents")
+		h.advance(0.3)
 		if sent {
-			w.do(func() { w.t.SetupSent(id, 1) })
+			h.apply(func() { h.table.SetupSent(id, 1) })
 		}
-		w.viewers[id].gone = true
-		w.do(func() { w.t.ViewerGone(id) })
-		w.box(id, 1, 200, false) // too late
-		w.rest()
+		h.viewers[id].left = true
+		h.apply(func() { h.table.ViewerGone(id) })
+		h.answerSetup(id, 1, 200, false) // too late
+		h.finish()
 	}
 }
 
-func TestPipelinedRequestsWaitForTheirTurn(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(1, "vents")
+func TestPipelinedRequestsAreQueued(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(1, "vents")
 	for _, op := range []Op{Join, Play, TearDown} {
-		w.request(id, op)
+		h.request(id, op)
 	}
-	w.pass(0.3)
-	if len(w.ops) != 0 {
+	h.advance(0.3)
+	if len(h.pendingOps) != 0 {
 		t.Fatal("asked of the box before its SETUP was answered")
 	}
-	w.box(id, 1, 200, true)
+	h.answerSetup(id, 1, 200, true)
 	for range 3 {
-		ops := w.ops
-		w.ops = nil
+		ops := h.pendingOps
+		h.pendingOps = nil
 		for _, op := range ops {
-			w.do(func() { op(200) })
+			h.apply(func() { op(200) })
 		}
 	}
-	if v := w.viewers[id]; len(v.asks) != 0 || !v.ended {
-		t.Fatalf("%d requests open, ended %v", len(v.asks), v.ended)
+	if v := h.viewers[id]; len(v.pending) != 0 || !v.ended {
+		t.Fatalf("%d requests open, ended %v", len(v.pending), v.ended)
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestRequestsOfAServedSessionGoOutAtOnce(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(1, "vents")
-	w.pass(0.3)
-	w.box(id, 1, 200, true)
+func TestRequestsOfServedSessionAreSentAtOnce(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(1, "vents")
+	h.advance(0.3)
+	h.answerSetup(id, 1, 200, true)
 	for _, op := range []Op{Play, Pause} {
-		w.request(id, op)
-		if len(w.ops) != 1 {
-			t.Fatalf("%v: %d operations out", op, len(w.ops))
+		h.request(id, op)
+		if len(h.pendingOps) != 1 {
+			t.Fatalf("%v: %d operations out", op, len(h.pendingOps))
 		}
-		ops := w.ops
-		w.ops = nil
-		w.do(func() { ops[0](200) })
-		if n := len(w.viewers[id].asks); n != 0 {
+		ops := h.pendingOps
+		h.pendingOps = nil
+		h.apply(func() { ops[0](200) })
+		if n := len(h.viewers[id].pending); n != 0 {
 			t.Fatalf("%v: %d requests without reply", op, n)
 		}
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestBoxesDroppedBeforeTheSetupLeft(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(1, "vents")
-	w.pass(0.3)
-	first := w.viewers[id].tries[1].box
-	w.state[first] = choice.Draining
-	w.do(func() {
-		w.t.UpdateDirectory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
+func TestUnsentSetupIsMovedOffDrainingBox(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(1, "vents")
+	h.advance(0.3)
+	first := h.viewers[id].attempts[1].box
+	h.boxState[first] = choice.Draining
+	h.apply(func() {
+		h.table.UpdateDirectory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
 	})
-	v := w.viewers[id]
-	if v.tries[1].out || v.tries[2] == nil || v.tries[2].box == first {
-		t.Fatalf("first %+v, second %+v", v.tries[1], v.tries[2])
+	v := h.viewers[id]
+	if v.attempts[1].inFlight || v.attempts[2] == nil || v.attempts[2].box == first {
+		t.Fatalf("first %+v, second %+v", v.attempts[1], v.attempts[2])
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestCutAnswersAll(t *testing.T) {
-	w := newWorld(t)
-	waiting, playing := w.ask(1, "a"), w.ask(1, "b")
-	w.pass(0.3)
-	w.box(playing, 1, 200, true)
-	w.do(func() { w.t.SetupSent(waiting, 1) })
-	w.do(w.t.EndAll)
-	if v := w.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
+func TestEndAllAnswersEveryRequest(t *testing.T) {
+	h := newHarness(t)
+	waiting, playing := h.open(1, "a"), h.open(1, "b")
+	h.advance(0.3)
+	h.answerSetup(playing, 1, 200, true)
+	h.apply(func() { h.table.SetupSent(waiting, 1) })
+	h.apply(h.table.EndAll)
+	if v := h.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
 		t.Fatalf("a SETUP that may have run: %v", v.answers)
 	}
-	if !w.viewers[playing].ended {
+	if !h.viewers[playing].ended {
 		t.Fatal("a playing session was not ended")
 	}
-	if v := w.viewers[w.ask(1, "c")]; len(v.answers) != 1 || v.answers[0] != Busy {
+	if v := h.viewers[h.open(1, "c")]; len(v.answers) != 1 || v.answers[0] != Busy {
 		t.Fatalf("a new request: %v", v.answers)
 	}
-	w.rest()
+	h.finish()
 }
 
-func TestRefusedRungGoesBackToTheModule(t *testing.T) {
-	w := newWorld(t)
-	id := w.ask(1, "vents")
-	w.pass(0.3)
-	w.box(id, 1, 200, true)
-	l := w.t.lives[id]
-	from := l.rung
-	w.do(func() { acts{w.t}.Rung(id, from-1) })
-	w.do(func() { w.t.OpAnswered(id, 1, SetRung, from-1, 451, choice.Report{Link: -1, Uplink: -1}) })
-	if l.rung != from || l.wantRung != from {
-		t.Fatalf("rung %d, wanted %d, of %d", l.rung, l.wantRung, from)
+func TestRefusedRungIsReportedToModule(t *testing.T) {
+	h := newHarness(t)
+	id := h.open(1, "vents")
+	h.advance(0.3)
+	h.answerSetup(id, 1, 200, true)
+	s := h.table.sessions[id]
+	from := s.rung
+	h.apply(func() { moduleActions{h.table}.Rung(id, from-1) })
+	h.apply(func() { h.table.OpAnswered(id, 1, SetRung, from-1, 451, choice.Report{Link: -1, Uplink: -1}) })
+	if s.rung != from || s.wantRung != from {
+		t.Fatalf("rung %d, wanted %d, of %d", s.rung, s.wantRung, from)
 	}
-	w.rest()
+	h.finish()
 }
 
 // Requests, further SETUPs and seats of before a reload count after it.
-func TestReloadKeepsWhatRulesCount(t *testing.T) {
-	w := newWorld(t)
-	fig, bounds := figures()
+func TestReloadKeepsRuleCounters(t *testing.T) {
+	h := newHarness(t)
+	fig, bounds := testFigures()
 	fig.SpareSetups, fig.SetupShare, fig.Probes = 2, 0, false
 	renew := func() {
-		w.do(func() {
-			w.t.Reload(Config{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+		h.apply(func() {
+			h.table.Reload(Config{fig, bounds, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
 		})
 	}
 	renew()
 	further := 0
 	for range 6 {
-		id := w.ask(1, "vents")
-		for try := 1; w.viewers[id].tries[try] != nil; try++ {
-			w.box(id, try, 453, true)
+		id := h.open(1, "vents")
+		for attempt := 1; h.viewers[id].attempts[attempt] != nil; attempt++ {
+			h.answerSetup(id, attempt, 453, true)
 		}
-		further += len(w.viewers[id].tries) - 1
+		further += len(h.viewers[id].attempts) - 1
 		renew()
-		w.now += 1.1 // boxes that were full may be asked again
+		h.now += 1.1 // boxes that were full may be asked again
 	}
 	if further != 2 {
 		t.Errorf("%d further SETUPs, the ration is 2", further)
@@ -455,50 +459,50 @@
 	// A SETUP that is out at a reload is the last of its request.
 	for group, verdicts := range map[int]map[int]FinalAnswer{0: {453: Busy, 500: Failed, 200: Served}, 1: {453: Busy, 500: Busy, 200: Served}} {
 		for status, want := range verdicts {
-			w.now += 20
-			id := w.ask(group, "vents")
-			w.do(func() { w.t.SetupSent(id, 1) })
+			h.now += 20
+			id := h.open(group, "vents")
+			h.apply(func() { h.table.SetupSent(id, 1) })
 			renew()
-			w.box(id, 1, status, true)
-			if v := w.viewers[id]; len(v.answers) != 1 || v.answers[0] != want || len(v.tries) != 1 {
-				t.Errorf("group %d, %d: answers %v after %d SETUPs", group, status, v.answers, len(v.tries))
+			h.answerSetup(id, 1, status, true)
+			if v := h.viewers[id]; len(v.answers) != 1 || v.answers[0] != want || len(v.attempts) != 1 {
+				t.Errorf("group %d, %d: answers %v after %d SETUPs", group, status, v.answers, len(v.attempts))
 			}
 		}
 	}
 	// Seats of SETUPs out are taken still; what a box said just before the reload is decided by the old terms.
-	w.now += 20
+	h.now += 20
 	var ids []choice.SessID
 	for range fig.Groups[0].Seats {
-		id := w.ask(0, "exam")
-		w.do(func() { w.t.SetupSent(id, 1) })
+		id := h.open(0, "exam")
+		h.apply(func() { h.table.SetupSent(id, 1) })
 		ids = append(ids, id)
 	}
 	renew()
-	if v := w.viewers[w.ask(0, "exam")]; len(v.answers) != 1 || v.answers[0] != Busy {
+	if v := h.viewers[h.open(0, "exam")]; len(v.answers) != 1 || v.answers[0] != Busy {
 		t.Errorf("a seat too many: %v", v.answers)
 	}
 	for _, id := range ids {
-		w.box(id, 1, 453, true)
+		h.answerSetup(id, 1, 453, true)
 	}
 	for status, want := range map[int]FinalAnswer{500: Failed, 453: 0} {
-		w.now += 20
-		id := w.ask(0, "exam")
-		v := w.viewers[id]
-		a := v.tries[1]
-		w.do(func() {
-			w.t.SetupSent(id, 1)
-			a.out, v.mayRan = false, status == 500
-			w.t.BoxAnswered(id, 1, status, choice.Report{Link: -1, Uplink: -1})
-			w.t.Reload(Config{fig, bounds, []int{0, 1}}, listed4(), func(m choice.Memory) choice.Memory { return m })
+		h.now += 20
+		id := h.open(0, "exam")
+		v := h.viewers[id]
+		a := v.attempts[1]
+		h.apply(func() {
+			h.table.SetupSent(id, 1)
+			a.inFlight, v.mayHaveRun = false, status == 500
+			h.table.BoxAnswered(id, 1, status, choice.Report{Link: -1, Uplink: -1})
+			h.table.Reload(Config{fig, bounds, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
-			t.Errorf("%d and a reload at once: %v after %d SETUPs", status, v.answers, len(v.tries))
+			t.Errorf("%d and a reload at once: %v after %d SETUPs", status, v.answers, len(v.attempts))
 		}
 	}
-	w.rest()
+	h.finish()
 }
 
-func listed4() (list []choice.Listing) {
+func fourBoxes() (list []choice.Listing) {
 	for i := range 4 {
 		list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: choice.Ready, Heft: 1})
 	}
@@ -509,130 +513,130 @@
 // out, no paid one twice, nothing left at a box or in the table.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		h := newHarness(t)
 		someone := func(t *rapid.T) choice.SessID {
-			if len(w.order) == 0 {
+			if len(h.ids) == 0 {
 				t.Skip("nobody yet")
 			}
-			return rapid.SampledFrom(w.order).Draw(t, "who")
+			return rapid.SampledFrom(h.ids).Draw(t, "who")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				w.ask(rapid.IntRange(0, 1).Draw(t, "group"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "title"))
+				h.open(rapid.IntRange(0, 1).Draw(t, "group"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "title"))
 			},
 			"request": func(t *rapid.T) {
-				w.request(someone(t), rapid.SampledFrom([]Op{Play, Pause, Join, KeepAlive, TearDown}).Draw(t, "op"))
+				h.request(someone(t), rapid.SampledFrom([]Op{Play, Pause, Join, KeepAlive, TearDown}).Draw(t, "op"))
 			},
 			"viewer leaves": func(t *rapid.T) {
 				id := someone(t)
-				w.viewers[id].gone = true
-				w.do(func() { w.t.ViewerGone(id) })
+				h.viewers[id].left = true
+				h.apply(func() { h.table.ViewerGone(id) })
 			},
 			"box answers": func(t *rapid.T) {
 				id := someone(t)
 				status := rapid.SampledFrom([]int{200, 200, 200, 453, 503, 500, 404, 0}).Draw(t, "status")
-				for try, a := range w.viewers[id].tries {
-					if a.out {
-						w.box(id, try, status, rapid.Bool().Draw(t, "sent") || status != 0)
+				for attempt, a := range h.viewers[id].attempts {
+					if a.inFlight {
+						h.answerSetup(id, attempt, status, rapid.Bool().Draw(t, "sent") || status != 0)
 						return
 					}
 				}
 			},
 			"late answer": func(t *rapid.T) {
 				id := someone(t)
-				for try, a := range w.viewers[id].tries {
-					if !a.out && !a.held {
-						w.box(id, try, 200, false)
+				for attempt, a := range h.viewers[id].attempts {
+					if !a.inFlight && !a.established {
+						h.answerSetup(id, attempt, 200, false)
 						return
 					}
 				}
 			},
 			"box breaks": func(t *rapid.T) {
 				id := someone(t)
-				for try, a := range w.viewers[id].tries {
-					if a.held {
-						a.held = false
-						w.do(func() { w.t.BoxFailed(id, try) })
+				for attempt, a := range h.viewers[id].attempts {
+					if a.established {
+						a.established = false
+						h.apply(func() { h.table.BoxFailed(id, attempt) })
 						return
 					}
 				}
 			},
 			"operation answered": func(t *rapid.T) {
-				if len(w.ops) == 0 {
+				if len(h.pendingOps) == 0 {
 					t.Skip("none")
 				}
-				i := rapid.IntRange(0, len(w.ops)-1).Draw(t, "which")
-				op := w.ops[i]
-				w.ops = append(w.ops[:i:i], w.ops[i+1:]...)
+				i := rapid.IntRange(0, len(h.pendingOps)-1).Draw(t, "which")
+				op := h.pendingOps[i]
+				h.pendingOps = append(h.pendingOps[:i:i], h.pendingOps[i+1:]...)
 				status := rapid.SampledFrom([]int{200, 200, 455, 454, 0}).Draw(t, "status")
-				w.do(func() { op(status) })
+				h.apply(func() { op(status) })
 			},
 			"probe answered": func(t *rapid.T) {
-				if len(w.probes) == 0 {
+				if len(h.pendingProbes) == 0 {
 					t.Skip("none")
 				}
-				box := w.probes[0]
-				w.probes = w.probes[1:]
+				box := h.pendingProbes[0]
+				h.pendingProbes = h.pendingProbes[1:]
 				status := rapid.SampledFrom([]int{200, 0}).Draw(t, "status")
-				w.do(func() { w.t.Probed(box, status, choice.TimedOut, choice.Report{Link: 0.3, Uplink: -1}) })
+				h.apply(func() { h.table.Probed(box, status, choice.TimedOut, choice.Report{Link: 0.3, Uplink: -1}) })
 			},
 			"list": func(t *rapid.T) {
 				box := choice.ServerID(rapid.IntRange(10, 13).Draw(t, "box"))
 				s := rapid.SampledFrom([]choice.Lifecycle{choice.Ready, choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
-				w.state[box] = s
-				w.do(func() {
-					w.t.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
+				h.boxState[box] = s
+				h.apply(func() {
+					h.table.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Heft: 1}})
 				})
 			},
-			"reload":    func(*rapid.T) { w.reload() },
-			"time":      func(t *rapid.T) { w.pass(rapid.Float64Range(0, 1.5).Draw(t, "seconds")) },
-			"long time": func(t *rapid.T) { w.pass(rapid.Float64Range(1, 70).Draw(t, "seconds")) },
+			"reload":    func(*rapid.T) { h.reload() },
+			"time":      func(t *rapid.T) { h.advance(rapid.Float64Range(0, 1.5).Draw(t, "seconds")) },
+			"long time": func(t *rapid.T) { h.advance(rapid.Float64Range(1, 70).Draw(t, "seconds")) },
 			"": func(t *rapid.T) {
-				for _, id := range w.order {
-					if v := w.viewers[id]; !v.gone && len(v.answers) == 0 && w.now > v.giveUp {
+				for _, id := range h.ids {
+					if v := h.viewers[id]; !v.left && len(v.answers) == 0 && h.now > v.deadline {
 						t.Fatalf("%s: no answer after its setup timeout", id)
 					}
 				}
 			},
 		})
-		w.rest()
+		h.finish()
 	})
 }
 
 func BenchmarkSession(b *testing.B) {
-	w := newWorld(b)
+	h := newHarness(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.now += 0.01
+		h.now += 0.01
 		id := choice.SessID(fmt.Sprint(rand.Int63()))
-		w.viewers[id] = &viewer{giveUp: w.now + 5, asks: map[int]bool{}, tries: map[int]*atBox{}}
-		w.do(func() { w.t.Open(id, Request{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
-		w.do(func() { w.t.RunTimers() })
-		w.do(func() { w.t.ViewerGone(id) })
-		delete(w.viewers, id)
+		h.viewers[id] = &viewer{deadline: h.now + 5, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
+		h.apply(func() { h.table.Open(id, Request{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
+		h.apply(func() { h.table.RunTimers() })
+		h.apply(func() { h.table.ViewerGone(id) })
+		delete(h.viewers, id)
 	}
 }
 
 // Each line tells what was decided and the cause that stood in the way.
-func TestDecisionsInWords(t *testing.T) {
-	w := newWorld(t)
-	served := w.ask(1, "vents")
-	w.pass(0.3)
-	w.box(served, 1, 453, true)
-	w.box(served, 2, 200, true)
-	l := w.t.lives[served]
-	w.do(func() { acts{w.t}.Rung(served, l.rung-1) })
-	w.do(func() { w.t.OpAnswered(served, 1, SetRung, l.rung-1, 200, choice.Report{Link: -1, Uplink: -1}) })
-	paid := w.ask(0, "exam")
-	w.pass(0.3)
-	w.box(paid, 1, 500, true)
+func TestExplainDecisions(t *testing.T) {
+	h := newHarness(t)
+	served := h.open(1, "vents")
+	h.advance(0.3)
+	h.answerSetup(served, 1, 453, true)
+	h.answerSetup(served, 2, 200, true)
+	s := h.table.sessions[served]
+	h.apply(func() { moduleActions{h.table}.Rung(served, s.rung-1) })
+	h.apply(func() { h.table.OpAnswered(served, 1, SetRung, s.rung-1, 200, choice.Report{Link: -1, Uplink: -1}) })
+	paid := h.open(0, "exam")
+	h.advance(0.3)
+	h.answerSetup(paid, 1, 500, true)
 	for id := choice.ServerID(10); id < 14; id++ {
-		w.state[id] = choice.Draining
-		w.do(func() {
-			w.t.UpdateDirectory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
+		h.boxState[id] = choice.Draining
+		h.apply(func() {
+			h.table.UpdateDirectory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
 		})
 	}
-	busy := w.ask(1, "vents")
+	busy := h.open(1, "vents")
 	for id, want := range map[choice.SessID][]string{
 		served: {"asked for", "SETUP to box", "is full; it never ran", "SETUP to box", "to rung"},
 		paid:   {"asked for", "SETUP to box", "may have run", "torn down"},
@@ -640,62 +644,62 @@
 		"":     {"asked for", "no holder may get it"},
 		"none": {},
 	} {
-		lines := w.t.Explain(id)
+		lines := h.table.Explain(id)
 		if len(lines) != len(want) {
 			t.Errorf("%s: %q", id, lines)
 			continue
 		}
-		for i, l := range lines {
-			if !strings.Contains(l, want[i]) {
-				t.Errorf("%s: line %d is %q, %q is looked for", id, i, l, want[i])
+		for i, line := range lines {
+			if !strings.Contains(line, want[i]) {
+				t.Errorf("%s: line %d is %q, %q is looked for", id, i, line, want[i])
 			}
 		}
 	}
-	w.rest()
+	h.finish()
 }
 
-// deaf is a world that hears nothing of operations and probes.
-type deaf struct{ *world }
+// discardOps is a world that hears nothing of operations and probes.
+type discardOps struct{ *harness }
 
-func (deaf) SendOp(choice.SessID, int, Op, int) {}
-func (deaf) Probe(choice.ServerID)              {}
+func (discardOps) SendOp(choice.SessID, int, Op, int) {}
+func (discardOps) Probe(choice.ServerID)              {}
 
-// large is a table with a thousand playing sessions on 300 boxes, and its terms.
-func large(b *testing.B) (*world, Config, []choice.Listing) {
-	w := newWorld(b)
-	fig, bounds := figures()
+// newLargeTable is a table with a thousand playing sessions on 300 boxes, and its terms.
+func newLargeTable(b *testing.B) (*harness, Config, []choice.Listing) {
+	h := newHarness(b)
+	fig, bounds := testFigures()
 	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, bounds.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
 	for i := range fig.Cells {
 		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Heft: 1})
-		w.state[choice.ServerID(100+i)] = choice.Ready
+		h.boxState[choice.ServerID(100+i)] = choice.Ready
 	}
-	w.t = New(w.now, fig, bounds, deaf{w})
-	w.do(func() { w.t.UpdateDirectory(true, list) })
+	h.table = New(h.now, fig, bounds, discardOps{h})
+	h.apply(func() { h.table.UpdateDirectory(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
-		w.do(func() {
-			w.t.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
+		h.apply(func() {
+			h.table.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
-	return w, Config{fig, bounds, []int{0, 1}}, list
+	return h, Config{fig, bounds, []int{0, 1}}, list
 }
 
-// BenchmarkRenew is how long a reload holds the loop up.
-func BenchmarkRenew(b *testing.B) {
-	w, terms, list := large(b)
+// BenchmarkReload is how long a reload holds the loop up.
+func BenchmarkReload(b *testing.B) {
+	h, terms, list := newLargeTable(b)
 	for b.Loop() {
-		w.now++
-		w.t.SetTime(w.now)
-		w.t.Reload(terms, list, func(m choice.Memory) choice.Memory { return m })
-		w.t.Settle()
+		h.now++
+		h.table.SetTime(h.now)
+		h.table.Reload(terms, list, func(m choice.Memory) choice.Memory { return m })
+		h.table.Settle()
 	}
 }
 
-// BenchmarkMemory is how long keeping state holds the loop up.
-func BenchmarkMemory(b *testing.B) {
-	w, _, _ := large(b)
+// BenchmarkSnapshot is how long keeping state holds the loop up.
+func BenchmarkSnapshot(b *testing.B) {
+	h, _, _ := newLargeTable(b)
 	for b.Loop() {
-		w.t.Snapshot()
+		h.table.Snapshot()
 	}
 }
