--- a/choice/session/heap.go
+++ b/choice/session/heap.go
@@ -1,6 +1,6 @@
 package session
 
-// timerHeap keeps sessions by when they want to be looked at, for container/heap.
+// timerHeap is a min-heap of sessions by timerAt. It implements heap.Interface.
 type timerHeap []*session
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/choice/session/reload.go
+++ b/choice/session/reload.go
@@ -6,26 +6,26 @@
 	"rainhaven/choice"
 )
 
-// Config are a table's new ones.
+// Config holds the settings that a reload replaces.
 type Config struct {
 	Figures  choice.StartFigures
 	Limits   Limits
-	GroupMap []int // by a service group's number so far: its new one. None may be missing
+	GroupMap []int // new index of each service group by its old one; complete
 }
 
-// Reload goes on under new terms. The module is made anew and told what the last one had learned, keep having taken out
-// what holds no longer; list is the whole list of boxes. What becomes of sessions:
+// Reload applies new settings. It replaces the module by a new one, restored from the saved state of the old one after
+// prune has removed what no longer holds; list is the whole list of boxes. Sessions are treated by their state:
 //
-//	waits for its placement    asked anew, within its old setup timeout
-//	a SETUP is out             stays out; the new module holds its seat and its share of the links. Where it fails no
-//	                           further one follows: the answer is busy, or torn down where a paid one may have run
-//	set up, plays, pauses      handed to the new module at its rung, which new floors and tops may move at once
-//	its TEARDOWN is out        the same, until it is answered
-//	answered otherwise         nothing more is asked
+//	awaiting placement        placed anew by the new module, within the old setup timeout
+//	SETUP in flight           stays in flight; the new module counts its seat and its share of the links. If it fails
+//	                          there is no retry: the answer is busy, or failed where a paid SETUP may have run
+//	ready, playing, paused    handed to the new module at the present rung, which new floors and tops may change at once
+//	TEARDOWN in flight        the same, until it is answered
+//	answered otherwise        left alone
 //
-// No SETUP leaves because of it, so that no number of reloads touches rules 2 and 6.
+// A reload sends no SETUP, so that no number of reloads can violate rules 2 (paid sessions) and 6 (retry budget).
 func (t *Table) Reload(cfg Config, list []choice.Listing, prune func(choice.Memory) choice.Memory) {
-	t.module.Settle() // what was decided stands
+	t.module.Settle() // decisions made under the old settings are kept
 	saved := prune(t.module.Memory())
 	sessions := t.sortedSessions()
 	resubmitted := 0
@@ -35,13 +35,14 @@
 			resubmitted++
 		}
 	}
-	// Those asked anew count as taken again; their first count goes, so that the ration grows by nothing.
+	// Placing a request anew counts it as taken again, so its first count is removed: the retry budget must not grow.
 	saved.Taken = saved.Taken[:max(len(saved.Taken)-resubmitted, 0)]
 	t.limits = cfg.Limits
 	t.newModule(cfg.Figures)
 	t.module.Directory(true, list)
 	t.module.Recall(saved)
-	// Boxes that have left the list are told of as long as it takes to hand their sessions over: those hold seats.
+	// The new module needs the boxes that have left the list until their sessions are handed to it, as those sessions
+	// hold seats. They are listed as draining meanwhile.
 	t.UpdateDirectory(true, list)
 	var removed []choice.Listing
 	for id, e := range t.boxes {
@@ -60,15 +61,16 @@
 	t.module.Directory(false, removed)
 }
 
-// SetLimits takes new bounds alone: they hold for what begins from now on.
+// SetLimits replaces the limits without a reload. Waits that have already started keep their old setup timeout.
 func (t *Table) SetLimits(limits Limits) { t.limits = limits }
 
-// Snapshot and Recall are the module's: what it learned, and its taking that again after the first list and before any
-// session.
+// Snapshot returns the module's state to be saved.
 func (t *Table) Snapshot() choice.Memory { return t.module.Memory() }
+
+// Restore loads the module's saved state. It must be called after the first directory update and before any session.
 func (t *Table) Restore(m choice.Memory) { t.module.Recall(m) }
 
-// BoxCounts is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
+// BoxCounts returns the number of listed boxes, and of those that the list shows as ready for new sessions.
 func (t *Table) BoxCounts() (listed, usable int) {
 	for _, e := range t.boxes {
 		if e.State != choice.Gone {
@@ -81,8 +83,9 @@
 	return listed, usable
 }
 
-// Freeze has no SETUP ordered any more, as another process decides from here on for this front: requests without one are
-// busy-replied, those with one out get what it brings. Sessions go on. It gives what the module has learned.
+// Freeze stops all further SETUPs, because another process takes over this front's decisions. Requests without a SETUP
+// are busy-replied, those with one in flight are answered by its outcome, and established sessions continue. It returns
+// the module's state for the other process.
 func (t *Table) Freeze() choice.Memory {
 	t.refuseNew = true
 	t.module.Settle()
@@ -100,15 +103,15 @@
 	return t.module.Memory()
 }
 
-// Resume takes new requests again after Freeze: the other process came to nothing.
+// Resume accepts new requests again after Freeze, when the other process has failed to take over.
 func (t *Table) Resume() { t.refuseNew = false }
 
-// awaitsPlacement tells whether a request awaitsPlacement within the module and no SETUP was ever ordered for it.
+// awaitsPlacement reports whether the module holds the request and has not decided on a SETUP for it yet.
 func (s *session) awaitsPlacement() bool {
 	return s.phase == idle && s.inModule && s.answer == 0 && s.attempt == 0
 }
 
-// reload tells the new module of one session.
+// reload hands one session to the new module.
 func (t *Table) reload(s *session) {
 	t.markDirty(s)
 	switch {
@@ -118,13 +121,13 @@
 	case !s.inModule || s.answer == Busy || s.answer == Failed || s.phase == ended:
 		return
 	case s.phase == idle || s.wantSetup && t.boxes[s.box].State != choice.Ready:
-		// Its box left the list with this very reload, before the SETUP had left. Earlier ones of a paid group's
-		// provably never ran, or it would have been torn down.
+		// The box left the list with this reload, before the SETUP was sent. Earlier SETUPs of a paid session provably
+		// never ran, or it would have been answered as failed.
 		s.phase, s.wantSetup, s.inModule = idle, false, false
 		s.answer, s.retryAfter = Busy, 1
 		return
 	case s.phase == connecting || s.phase == setupSent:
-		// As no other follows, this SETUP may take all the time there is.
+		// No retry follows, so this SETUP may take all the time that is left.
 		s.noRetry, s.phaseDeadline = true, max(s.phaseDeadline, s.answerDeadline-answerMarginSeconds)
 	}
 	t.module.Handed(s.req, s.box)
@@ -132,7 +135,7 @@
 	if s.phase == connecting || s.phase == setupSent {
 		rung = s.wantRung
 	}
-	// A step that is out stays out; the one to the new bounds follows it.
+	// A SET_PARAMETER in flight stays in flight; the change to the new floor or top follows it.
 	g := t.groups[s.group]
 	s.wantRung = max(min(rung, g.Top, t.topRung), g.Floor)
 	t.module.InForce(s.id, s.wantRung)
--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -10,9 +10,9 @@
 	"rainhaven/choice"
 )
 
-var depth = flag.Int("search.depth", 5, "events in a row that the search tries")
+var depth = flag.Int("search.depth", 5, "maximum number of events in one order of the search")
 
-// tracedT breaks the test with the events that led to the fault.
+// tracedT adds the events that led to a failure to its message.
 type tracedT struct {
 	*testing.T
 	trace *[]string
@@ -23,16 +23,17 @@
 	t.T.Fatalf("after %s: %s", strings.Join(*t.trace, ", "), fmt.Sprintf(format, args...))
 }
 
-// event is something that a viewer, a box, the list, the clock or an operator may do next; do is false where it can't.
+// event is a step that a viewer, a box, the directory, the clock or an operator may take next. apply returns false where it
+// is impossible.
 type event struct {
 	name  string
 	apply func(h *harness) bool
 }
 
-// searchedID is the session that the search follows.
+// searchedID is the id of the session under search.
 const searchedID = choice.SessID("s000")
 
-// attemptsWhere gives the session's SETUPs in their order.
+// attemptsWhere returns the session's SETUPs that satisfy is, in order.
 func (h *harness) attemptsWhere(is func(a *boxAttempt) bool) (list []int) {
 	for n, a := range h.viewers[searchedID].attempts {
 		if is(a) {
@@ -43,17 +44,19 @@
 	return list
 }
 
+// setupAnswer answers the SETUP in flight; sent tells whether it had been sent by then.
 func setupAnswer(status int, sent bool) func(h *harness) bool {
 	return func(h *harness) bool {
-		out := h.attemptsWhere(func(a *boxAttempt) bool { return a.inFlight })
-		if len(out) == 0 {
+		inFlight := h.attemptsWhere(func(a *boxAttempt) bool { return a.inFlight })
+		if len(inFlight) == 0 {
 			return false
 		}
-		h.answerSetup(searchedID, out[0], status, sent)
+		h.answerSetup(searchedID, inFlight[0], status, sent)
 		return true
 	}
 }
 
+// viewerRequest sends a request within the session, at most three pending at a time.
 func viewerRequest(op Op) func(h *harness) bool {
 	return func(h *harness) bool {
 		if v := h.viewers[searchedID]; v.left || len(v.pending) >= 3 {
@@ -64,6 +67,7 @@
 	}
 }
 
+// listBox changes the listed state of the box that got the latest SETUP.
 func listBox(s choice.Lifecycle) func(h *harness) bool {
 	return func(h *harness) bool {
 		all := h.attemptsWhere(func(*boxAttempt) bool { return true })
@@ -82,6 +86,7 @@
 	}
 }
 
+// opAnswer answers the oldest pending operation.
 func opAnswer(status int) func(h *harness) bool {
 	return func(h *harness) bool {
 		if len(h.pendingOps) == 0 {
@@ -110,7 +115,7 @@
 			return false
 		}
 		if h.boxState[s.box] != choice.Ready {
-			h.tb.Fatalf("a SETUP is still to leave for box %d, which is not ready", s.box)
+			h.tb.Fatalf("a SETUP is about to be sent to box %d, which is not ready", s.box)
 		}
 		h.apply(func() { h.table.SetupSent(searchedID, s.attempt) })
 		return true
@@ -118,20 +123,20 @@
 	{"200", setupAnswer(200, true)}, {"full", setupAnswer(453, true)}, {"error", setupAnswer(500, true)}, {"reset", setupAnswer(0, true)},
 	{"no connection", setupAnswer(0, false)},
 	{"late 200", func(h *harness) bool {
-		over := h.attemptsWhere(func(a *boxAttempt) bool { return !a.inFlight && !a.established })
-		if len(over) == 0 {
+		finished := h.attemptsWhere(func(a *boxAttempt) bool { return !a.inFlight && !a.established })
+		if len(finished) == 0 {
 			return false
 		}
-		h.answerSetup(searchedID, over[0], 200, false)
+		h.answerSetup(searchedID, finished[0], 200, false)
 		return true
 	}},
 	{"session breaks", func(h *harness) bool {
-		held := h.attemptsWhere(func(a *boxAttempt) bool { return a.established })
-		if len(held) == 0 {
+		established := h.attemptsWhere(func(a *boxAttempt) bool { return a.established })
+		if len(established) == 0 {
 			return false
 		}
-		h.viewers[searchedID].attempts[held[0]].established = false
-		h.apply(func() { h.table.BoxFailed(searchedID, held[0]) })
+		h.viewers[searchedID].attempts[established[0]].established = false
+		h.apply(func() { h.table.BoxFailed(searchedID, established[0]) })
 		return true
 	}},
 	{"done", opAnswer(200)}, {"refused", opAnswer(455)}, {"lost at the box", opAnswer(454)},
@@ -192,8 +197,8 @@
 	}},
 }
 
-// fingerprint is a state as far as anything that comes after can tell: the session, what its SETUPs came to and where, what is
-// out, the list, the time gone by.
+// fingerprint encodes all state that later events can depend on: the session, its SETUPs with their boxes and results,
+// pending operations and probes, the directory, and the time.
 func (h *harness) fingerprint() string {
 	var b strings.Builder
 	if s := h.table.sessions[searchedID]; s != nil {
@@ -214,19 +219,19 @@
 	return b.String()
 }
 
-// TestEveryOrder tries every order of moves up to a depth, for a group that may be set up again and a paid one, and from
-// each state two ends: the viewer leaves, or nothing more comes from anybody. The orders themselves check that no two
-// SETUPs are out, that a paid session is not set up again, and that there is one answer.
+// TestEveryOrder tries every order of events up to a depth, for a paid group and one whose SETUPs may be repeated. Each
+// state is continued in two ways: the viewer leaves, or no further event arrives. The harness checks in each that no two
+// SETUPs are in flight, that a paid SETUP is not repeated, and that there is exactly one answer.
 func TestEveryOrder(t *testing.T) {
 	for group, name := range []string{"paid", "free"} {
 		t.Run(name, func(t *testing.T) {
-			var trail []string
+			var trace []string
 			start := func(path []int) *harness {
-				trail = trail[:0]
-				h := newHarness(tracedT{t, &trail})
+				trace = trace[:0]
+				h := newHarness(tracedT{t, &trace})
 				h.open(group, "vents")
 				for _, m := range path {
-					trail = append(trail, events[m].name)
+					trace = append(trace, events[m].name)
 					if !events[m].apply(h) {
 						return nil
 					}
@@ -234,15 +239,15 @@
 				return h
 			}
 			seen := map[string]bool{}
-			level, visited, orders := [][]int{nil}, 0, 0
-			for d := 0; d <= *depth && len(level) > 0; d++ {
+			frontier, visited, paths := [][]int{nil}, 0, 0
+			for d := 0; d <= *depth && len(frontier) > 0; d++ {
 				var next [][]int
-				for _, path := range level {
+				for _, path := range frontier {
 					h := start(path)
 					if h == nil {
 						continue
 					}
-					orders++
+					paths++
 					if p := h.fingerprint(); seen[p] {
 						continue
 					} else {
@@ -250,12 +255,12 @@
 					}
 					visited++
 					h.finish()
-					// Nobody does anything any more: the answer comes all the same, before the viewer gives up.
+					// Without any further event the answer must still come before the setup timeout.
 					h = start(path)
 					v := h.viewers[searchedID]
 					h.advance(v.deadline - h.now + 1)
 					if !v.left && len(v.answers) != 1 {
-						t.Fatalf("after %s and silence: answers %v", strings.Join(trail, ", "), v.answers)
+						t.Fatalf("after %s and no further event: answers %v", strings.Join(trace, ", "), v.answers)
 					}
 					h.finish()
 					if d < *depth {
@@ -264,9 +269,9 @@
 						}
 					}
 				}
-				level = next
+				frontier = next
 			}
-			t.Logf("%d states, %d orders of up to %d moves, the rest impossible or alike", visited, orders, *depth)
+			t.Logf("%d states, %d orders of up to %d events; the others are impossible or reach a known state", visited, paths, *depth)
 		})
 	}
 }
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -1,11 +1,11 @@
-// Package session decides what happens to each session between its viewer and its box: what is asked of the box and
-// when, how long it is waited for, what each answer, break or silence means to the module, and what the viewer is
-// told. It knows no protocol's text and does no I/O.
+// Package session is the state machine of each session between its viewer and its box. It decides which requests go to
+// the box and when, how long to wait for each answer, how an answer, a broken connection or a timeout is reported to the
+// placement module (package choice), and what the viewer is answered. It does no I/O and parses no protocol.
 //
-// How it is called: New once, then At with the clock and one method an event; Settle ends a batch and alone gives
-// Orders. A Table owns the choice.Front: every event that concerns the module goes through here. Next tells when Due
-// is wanted. Events may come late, twice or out of order: each names the SETUP it belongs to (its try), and one that
-// belongs to a SETUP that is over is dropped here.
+// A Table is created with New. Each batch of events starts with SetTime, followed by one method call per event, and ends
+// with Settle, the only method that calls Actions. The Table owns the choice.Front, so every event that concerns the
+// module passes through it. NextTimer returns when RunTimers must be called. Events may arrive late, twice or out of
+// order: each carries the number of the SETUP attempt it belongs to, and events of a finished attempt are dropped.
 package session
 
 import (
@@ -17,10 +17,10 @@
 	"rainhaven/choice/account"
 )
 
-// Op is something asked of a box within a session, or by a viewer.
+// Op is an operation on a session, requested by a viewer or sent to a box.
 type Op int
 
-// The operations. Join adds a track; KeepAlive asks nothing; SetRung is asked of boxes only.
+// The operations. Join adds a track, KeepAlive only refreshes the session, and SetRung is sent to boxes only.
 const (
 	Play Op = iota + 1
 	Pause
@@ -34,190 +34,198 @@
 	return [...]string{"none", "play", "pause", "join", "keep-alive", "teardown", "rung"}[o]
 }
 
-// Request is a viewer's first request for a session.
+// Request describes the session that a viewer asks for.
 type Request struct {
 	Group           int
 	Title           string
 	StartCell, Span int
 	BestRung        int
-	Length          float64 // seconds expected; 0 is not told
+	Length          float64 // expected length in seconds; 0 if unknown
 }
 
 // FinalAnswer is the final answer to a request for a session.
 type FinalAnswer int
 
-// The verdicts.
+// The final answers.
 const (
 	Served FinalAnswer = iota + 1
 	Busy
 	Failed
 )
 
-func (v FinalAnswer) String() string {
-	return [...]string{"none", "served", "busy-replied", "torn down"}[v]
+func (a FinalAnswer) String() string {
+	return [...]string{"none", "served", "busy-replied", "torn down"}[a]
 }
 
-// Result answers a later request of the viewer's.
+// Result is the outcome of a viewer's request within its session.
 type Result int
 
-// The results. Done carries on what the box answered.
+// The results. Done means that the request succeeded; where it went to the box, the box's answer is passed on.
 const (
 	Done            Result = iota + 1
-	NoSession              // there is none by that name any more
-	WrongState             // not in this state
-	BoxRefused             // the box answered that it would not
-	BoxUnavailable         // the box did not answer in time, or broke
-	TooManyRequests        // more requests wait than a viewer may have
+	NoSession              // the session does not exist or has ended
+	WrongState             // not allowed in the session's present state
+	BoxRefused             // the box answered with an error
+	BoxUnavailable         // the box did not answer in time, or its connection broke
+	TooManyRequests        // the viewer's queue of requests is full
 )
 
-// EndReason tells how a session ended that had begun to play or was set up.
+// EndReason is why an established session ended.
 type EndReason int
 
-// The ends.
+// The end reasons.
 const (
-	ByViewer      EndReason = iota + 1 // it asked for the end, or its connection is gone
-	BoxLost                            // the box's connection broke
+	ByViewer      EndReason = iota + 1 // TEARDOWN, or the viewer's connection closed
+	BoxLost                            // the connection to the box broke, or the box lost the session
 	BoxHung                            // the box did not answer in time
-	ViewerIdle                         // nothing was heard of the viewer for its session timeout
-	FrontStopping                      // the front is being stopped
+	ViewerIdle                         // no sign of life from the viewer within Limits.ViewerIdleTimeout
+	FrontStopping                      // the front is shutting down
 )
 
-func (w EndReason) String() string {
-	return [...]string{"none", "by viewer", "box lost", "box hung", "viewer silent", "front stopping"}[w]
+func (r EndReason) String() string {
+	return [...]string{"none", "by viewer", "box lost", "box hung", "viewer silent", "front stopping"}[r]
 }
 
-// Actions is what a table has done. All orders are given from within Settle.
+// Actions carries out a table's decisions. Its methods are called from within Settle only.
 type Actions interface {
-	// Setup sends a SETUP to a box, connecting first if need be. SetupSent, BoxAnswered or BoxFailed follow.
+	// Setup sends a SETUP to a box, connecting first if needed. SetupSent, BoxAnswered or BoxFailed report what follows.
 	Setup(id choice.SessID, attempt int, box choice.ServerID, rung int)
-	// CancelSetup ends a SETUP that is out: the box is told at once, and what it still answers is torn down there.
+	// CancelSetup withdraws a pending SETUP. The box is notified at once, and a session that it sets up all the same is
+	// torn down.
 	CancelSetup(id choice.SessID, attempt int)
-	// SendOp asks an operation of the box; arg is the viewer's number of the request, or the rung. OpAnswered follows.
+	// SendOp sends an operation to the box. arg is the viewer's number of the request, the rung for SetRung, and 0 for
+	// the operations of the table itself. OpAnswered reports the answer.
 	SendOp(id choice.SessID, attempt int, op Op, arg int)
-	// CloseConn gives up a session's connection to its box without a word more.
+	// CloseConn closes a session's connection to its box without a TEARDOWN.
 	CloseConn(id choice.SessID, attempt int)
+	// Probe probes a box. Probed reports the result.
 	Probe(box choice.ServerID)
-	// Answer gives the final answer; comeBack is advice in seconds, 0 is none.
-	Answer(id choice.SessID, v FinalAnswer, retryAfter float64)
-	// Reply answers a later request.
+	// Answer sends the final answer to the viewer; retryAfter is in seconds, and 0 gives no advice.
+	Answer(id choice.SessID, answer FinalAnswer, retryAfter float64)
+	// Reply answers the viewer's request number n within its session.
 	Reply(id choice.SessID, n int, result Result)
-	// End tells that a session that was served is over; no order for it follows but Do TearDown and Drop.
+	// End reports that a served session has ended. Only SendOp with TearDown, and CloseConn, may follow for it.
 	End(id choice.SessID, reason EndReason)
 }
 
-// Limits are the table's own limits.
+// Limits are the limits that the table itself enforces.
 type Limits struct {
-	SetupTimeout      []float64 // by service group: seconds in which a viewer waits for its answer
-	MaxSessions       int       // at most; more are busy-replied. 0 is no cap
-	ViewerIdleTimeout float64   // a viewer unheard of for so many seconds is gone
-	KeepAliveInterval float64   // seconds between signs of life to a box
+	SetupTimeout      []float64 // by service group: seconds that a viewer waits for its final answer
+	MaxSessions       int       // further ones are busy-replied; 0 is no limit
+	ViewerIdleTimeout float64   // seconds without a sign of life after which a viewer's session ends; 0 is never
+	KeepAliveInterval float64   // seconds between keep-alives to a box; 0 is none
 }
 
 const (
-	// Answers leave this many seconds before the viewer gives up: loop, two writes and the way back took under
-	// 40 ms with 2,000 sessions playing; the rest is for a machine that is short of processors.
+	// How long before the viewer's setup timeout the final answer must be decided. Event loop, two writes and the way
+	// back take under 40 ms with 2,000 sessions playing; the rest is reserve for a machine short of CPU.
 	answerMarginSeconds = 0.15
-	// What a box may take for an operation on a session it holds. Such answers come in milliseconds; a box that
-	// stands still for 3 s has by then shown itself to the module by its share.
+	// How long a box may take to answer an operation on an established session. Such answers normally take
+	// milliseconds; by 3 s the module has already noticed a stalled box by its delivered share.
 	opTimeoutSeconds = 3.0
-	// A TEARDOWN is waited for so long before the connection is dropped instead. The seat is held meanwhile.
+	// How long to wait for the answer to a TEARDOWN before the connection is closed instead. The session keeps its seat
+	// meanwhile.
 	teardownTimeoutSeconds = 2.0
-	// Requests of one viewer that may wait for their turn: SETUPs of all tracks, PLAY and TEARDOWN in one write.
+	// Enough for a viewer that pipelines the SETUPs of all tracks, PLAY and TEARDOWN in one write.
 	maxQueuedOps = 8
-	// The backstopMarginSeconds under rule 1 closes so many seconds before the viewer gives up, past the module's own time.
+	// How long before the viewer's setup timeout the backstop of rule 1 answers. It is shorter than answerMarginSeconds,
+	// so that the module decides first.
 	backstopMarginSeconds = 0.05
 )
 
-// phase is where a session stands with its box.
+// phase is the state of a session at its box.
 type phase int
 
 const (
-	idle       phase = iota // nothing is asked of any box
-	connecting              // a SETUP was ordered and not yet sent
-	setupSent               // a SETUP is out
-	ready                   // set up, not played yet
+	idle       phase = iota // no SETUP is pending
+	connecting              // a SETUP was decided and has not been sent yet
+	setupSent               // a SETUP is in flight
+	ready                   // set up and not played yet
 	playing
 	paused
-	closing // a TEARDOWN is out
-	ended   // nothing more is owed to anybody
+	closing // a TEARDOWN is in flight
+	ended   // nothing is left to do at the box
 )
 
+// queuedOp is a viewer's request within its session.
 type queuedOp struct {
 	op Op
-	n  int
+	n  int // the viewer's number of the request
 }
 
-// session is one session from its request to its end.
+// session is the state of one session, from its request to its end.
 type session struct {
 	id    choice.SessID
 	group int
 
-	viewerPresent  bool // there is still one
-	answerOwed     bool // the final answer
+	viewerPresent  bool // the viewer has neither left nor been turned away
+	answerOwed     bool // the final answer has not been sent
 	answer         FinalAnswer
 	retryAfter     float64
-	answerDeadline float64    // instant at which the viewer gives up
-	lastSeen       float64    // last word of the viewer's
-	queue          []queuedOp // the viewer's requests, oldest first; at most mostQueued
-	replies        []reply    // to be given by settle
+	answerDeadline float64    // when the viewer's setup timeout ends
+	lastSeen       float64    // last sign of life from the viewer
+	queue          []queuedOp // the viewer's waiting requests, oldest first; at most maxQueuedOps
+	replies        []reply    // to be sent by reconcile
 
-	attempt       int
+	attempt       int // number of the latest SETUP; 0 before the first
 	box           choice.ServerID
 	phase         phase
-	phaseDeadline float64  // end of the wait for the SETUP or for the TEARDOWN
-	pendingOp     queuedOp // out at the box; op 0 is none
+	phaseDeadline float64  // when the wait for the SETUP or the TEARDOWN ends
+	pendingOp     queuedOp // the viewer's request that the box has to answer; op 0 is none
 	opSent        bool
 	opDeadline    float64
-	rung          int // in force
+	rung          int // rung in force at the box
 	wantRung      int
-	pendingRung   int // SET_PARAMETER out; -1 is none
+	pendingRung   int // rung of the SET_PARAMETER in flight; -1 is none
 	rungDeadline  float64
 	keepAliveAt   float64
 
-	wantSetup     bool // a SETUP to box is wanted, not yet ordered
-	cancelSetups  []int
-	wantTeardown  bool // a TEARDOWN is wanted
+	wantSetup     bool  // a SETUP to box is to be sent
+	cancelSetups  []int // attempts whose SETUP is to be cancelled
+	wantTeardown  bool  // a TEARDOWN is to be sent
 	wantCloseConn bool
 	endReason     EndReason
-	endReported   bool // End was given
-	dirty         bool
-	heapIndex     int     // in the heap
-	timerAt       float64 // when it wants to be looked at
-	inModule      bool    // the module knows of it still
-	servedSent    bool
-	req           choice.Request // as the module knows it
-	noRetry       bool           // its terms changed while a SETUP was out: none follows that one
+	endReported   bool           // Actions.End was called
+	dirty         bool           // in Table.dirty
+	heapIndex     int            // index in Table.timers; -1 if not there
+	timerAt       float64        // when checkDeadlines must run next
+	inModule      bool           // the module still tracks the session
+	servedSent    bool           // the answer Served was sent
+	req           choice.Request // as given to the module
+	noRetry       bool           // the pending SETUP is the last: a reload or Freeze came while it was pending
 }
 
+// reply is the answer to a viewer's request.
 type reply struct {
-	n      int
+	n      int // the viewer's number of the request
 	result Result
 }
 
+// unknownSession is a request for a session that does not exist.
 type unknownSession struct {
 	id choice.SessID
-	n  int
+	n  int // the viewer's number of the request
 }
 
-// Table holds a front's sessions.
+// Table holds the sessions of one front.
 type Table struct {
 	module       *choice.Front
 	actions      Actions
 	limits       Limits
 	now          float64
-	sessions     map[choice.SessID]*session         // emptied as sessions end
-	timers       timerHeap                          // the same, by when they want to be looked at
-	dirty        []*session                         // emptied by Settle
-	unknown      []unknownSession                   // requests for sessions that are not there; emptied by Settle
-	boxes        map[choice.ServerID]choice.Listing // the boxes told of; gone ones leave with their last session at a new list
-	moduleWakeAt float64                            // when the module wants Due; 0 is none
+	sessions     map[choice.SessID]*session         // entries are deleted when sessions end
+	timers       timerHeap                          // sessions with a deadline, by timerAt
+	dirty        []*session                         // sessions to reconcile; emptied by Settle
+	unknown      []unknownSession                   // requests for sessions that do not exist; emptied by Settle
+	boxes        map[choice.ServerID]choice.Listing // the directory; an update deletes boxes that are gone and hold no session
+	moduleWakeAt float64                            // when to call the module's Due; 0 is never
 	refuseNew    bool
 	groups       []choice.ServiceGroup
-	topRung      int           // of the ladder
-	decisions    *account.Ring // of decisions
+	topRung      int           // highest rung of the ladder
+	decisions    *account.Ring // the latest decisions, for Explain
 }
 
-// New makes a table and its module.
+// New creates a table and its placement module.
 func New(now float64, fig choice.StartFigures, limits Limits, actions Actions) *Table {
 	t := &Table{actions: actions, limits: limits, now: now, sessions: map[choice.SessID]*session{},
 		boxes: map[choice.ServerID]choice.Listing{}, decisions: &account.Ring{}}
@@ -225,21 +233,22 @@
 	return t
 }
 
-// newModule makes the table a newModule of its own.
+// newModule replaces the table's placement module by an empty one.
 func (t *Table) newModule(fig choice.StartFigures) {
 	t.groups, t.topRung, t.moduleWakeAt = fig.Groups, len(fig.Ladder)-1, 0
 	t.module = choice.New(t.now, fig, moduleActions{t})
 }
 
-// SetTime sets the clock; it comes before each batch of events.
+// SetTime sets the clock. It must be called before each batch of events.
 func (t *Table) SetTime(now float64) {
 	t.now = max(t.now, now)
 	t.module.At(t.now)
 }
 
-// Len is how many sessions there are, those ending included.
+// Len returns the number of sessions, including those that are ending.
 func (t *Table) Len() int { return len(t.sessions) }
 
+// markDirty has the next Settle reconcile a session.
 func (t *Table) markDirty(s *session) {
 	if !s.dirty {
 		s.dirty = true
@@ -247,7 +256,7 @@
 	}
 }
 
-// UpdateDirectory takes the list of boxes, whole or changed entries only.
+// UpdateDirectory applies the list of boxes: the whole list, or changed entries only.
 func (t *Table) UpdateDirectory(whole bool, list []choice.Listing) {
 	inUse := map[choice.ServerID]bool{}
 	for _, s := range t.sessions {
@@ -268,8 +277,9 @@
 		}
 	}
 	t.module.Directory(whole, list)
-	// Against a SETUP that was ordered before the word came and would reach the box after it: one not yet sent is
-	// taken back and placed anew. It covers addresses that changed too. Harm: none, it provably never ran.
+	// Guards against a SETUP that was decided before this update and would reach a box that is no longer ready: one that
+	// is not sent yet is cancelled and placed anew. This covers changed addresses too. It is safe for every group, as
+	// an unsent SETUP provably never ran.
 	for _, s := range t.sortedSessions() {
 		if s.phase == connecting && !s.wantSetup && t.boxes[s.box].State != choice.Ready {
 			s.cancelSetups = append(s.cancelSetups, s.attempt)
@@ -278,7 +288,7 @@
 	}
 }
 
-// sortedSessions is all sessions by their ids, so that nothing hangs on map order.
+// sortedSessions returns all sessions sorted by id, so that results do not depend on map order.
 func (t *Table) sortedSessions() []*session {
 	list := make([]*session, 0, len(t.sessions))
 	for _, s := range t.sessions {
@@ -288,12 +298,13 @@
 	return list
 }
 
+// forModule converts the request to the module's form.
 func (r Request) forModule(id choice.SessID) choice.Request {
 	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, Span: r.Span, BestRung: r.BestRung,
 		Length: r.Length}
 }
 
-// Open takes a viewer's request for a session. Its id must be new.
+// Open starts a session at a viewer's request. A request with an id that is in use is ignored.
 func (t *Table) Open(id choice.SessID, r Request) {
 	if t.sessions[id] != nil {
 		return
@@ -303,8 +314,8 @@
 		answerDeadline: t.now + t.limits.SetupTimeout[r.Group]}
 	t.sessions[id] = s
 	t.markDirty(s)
-	// Against more sessions than the process was sized for, and against new ones while it stops. Nothing was sent
-	// to any box, so trying again elsewhere is harmless for every group.
+	// Guards against more sessions than the process was sized for, and against new ones during shutdown. Nothing was
+	// sent to any box, so a retry elsewhere is safe for every group.
 	if t.refuseNew || t.limits.MaxSessions > 0 && len(t.sessions) > t.limits.MaxSessions {
 		s.answer, s.retryAfter = Busy, 1
 		return
@@ -315,7 +326,7 @@
 	t.module.Ask(s.req)
 }
 
-// Adopt takes over a session that plays already at a box.
+// Adopt adds a session that already plays at a box, handed over by another process.
 func (t *Table) Adopt(id choice.SessID, r Request, box choice.ServerID, rung int) {
 	if t.sessions[id] != nil {
 		return
@@ -329,7 +340,7 @@
 	t.module.InForce(id, rung)
 }
 
-// RequestOp takes a later request of a viewer's, by the viewer's own number.
+// RequestOp queues a viewer's request within its session; n is the viewer's number of the request.
 func (t *Table) RequestOp(id choice.SessID, op Op, n int) {
 	s := t.sessions[id]
 	if s == nil || !s.viewerPresent {
@@ -346,29 +357,29 @@
 	t.dispatchQueue(s)
 }
 
-// ViewerSeen tells of any other sign of life of a viewer.
+// ViewerSeen records a sign of life from a viewer other than a request.
 func (t *Table) ViewerSeen(id choice.SessID) {
 	if s := t.sessions[id]; s != nil {
 		s.lastSeen = t.now
 	}
 }
 
-// ViewerGone tells that a viewer's connection is gone.
+// ViewerGone reports that a viewer's connection has closed.
 func (t *Table) ViewerGone(id choice.SessID) {
 	if s := t.sessions[id]; s != nil && s.viewerPresent {
-		s.answerOwed = false // given up: no answer is owed any more
+		s.answerOwed = false
 		t.endForViewer(s, ByViewer)
 	}
 }
 
-// SetupSent tells that a SETUP has left for its box.
+// SetupSent reports that a SETUP was sent to its box.
 func (t *Table) SetupSent(id choice.SessID, attempt int) {
 	if s := t.sessions[id]; s != nil && s.attempt == attempt && s.phase == connecting {
 		s.phase = setupSent
 	}
 }
 
-// OutcomeOf is what a box's status to a SETUP or a probe means to the module. 453 and 503 prove that nothing ran.
+// OutcomeOf translates a box's status for a SETUP or a probe to the module's outcome. 453 and 503 prove that nothing ran.
 func OutcomeOf(status int) choice.Outcome {
 	switch {
 	case status >= 200 && status < 300:
@@ -379,8 +390,8 @@
 	return choice.ServerError
 }
 
-// BestRung is the highest rung that a viewer can take by the bandwidth it names, in bits a second; 0 is not told. rates
-// are its group's, in kB a second.
+// BestRung returns the highest rung that fits a viewer's declared bandwidth in bits per second, 0 if it declared none.
+// rates are those of its group, in kB per second.
 func BestRung(rates []float64, bandwidth float64) int {
 	best := len(rates) - 1
 	for best > 0 && bandwidth > 0 && rates[best]*8000 > bandwidth {
@@ -389,7 +400,7 @@
 	return best
 }
 
-// BoxAnswered tells a box's answer to a SETUP.
+// BoxAnswered reports a box's answer to a SETUP.
 func (t *Table) BoxAnswered(id choice.SessID, attempt, status int, report choice.Report) {
 	s := t.sessions[id]
 	if s == nil || s.attempt != attempt || s.phase != setupSent && s.phase != connecting {
@@ -413,7 +424,7 @@
 	t.dispatchQueue(s)
 }
 
-// setupFailed ends a SETUP that brought no session.
+// setupFailed handles the end of a SETUP that established no session.
 func (t *Table) setupFailed(s *session, o choice.Outcome, report choice.Report) {
 	t.markDirty(s)
 	s.phase, s.wantSetup = idle, false
@@ -431,7 +442,7 @@
 	}
 }
 
-// BoxFailed tells that the connection to a box could not be had, or broke.
+// BoxFailed reports that the connection to a box could not be established, or broke.
 func (t *Table) BoxFailed(id choice.SessID, attempt int) {
 	s := t.sessions[id]
 	if s == nil || s.attempt != attempt {
@@ -454,7 +465,7 @@
 	}
 }
 
-// OpAnswered tells a box's answer to an operation; status 0 is none.
+// OpAnswered reports a box's answer to an operation; status 0 stands for no answer.
 func (t *Table) OpAnswered(id choice.SessID, attempt int, op Op, arg, status int, report choice.Report) {
 	s := t.sessions[id]
 	if s == nil || s.attempt != attempt {
@@ -467,7 +478,7 @@
 		s.phase = ended
 		t.moduleEnded(s, choice.Served, report)
 	case op == KeepAlive && status == 454 && s.phase >= ready && s.phase <= paused:
-		// The box has lost the session, by a restart that kept its address or a time-out of its own.
+		// The box has lost the session, by a restart at the same address or by its own session timeout.
 		s.wantCloseConn, s.phase = true, ended
 		t.moduleEnded(s, choice.Reset, report)
 		t.endForViewer(s, BoxLost)
@@ -493,7 +504,7 @@
 	}
 }
 
-// rungRejected answers a change of rung that the box did not make: the module goes on from the rung in force.
+// rungRejected handles a change of rung that the box did not make: the module continues from the rung in force.
 func (t *Table) rungRejected(s *session) {
 	s.wantRung = s.rung
 	t.record(s, account.Entry{Act: account.RungRefused, Rung: s.rung})
@@ -502,7 +513,7 @@
 	}
 }
 
-// moduleEnded tells the module a session's end.
+// moduleEnded reports the end of a session to the module.
 func (t *Table) moduleEnded(s *session, o choice.Outcome, report choice.Report) {
 	if s.inModule {
 		s.inModule = false
@@ -510,7 +521,7 @@
 	}
 }
 
-// endForViewer ends a session for its viewer; what is left at boxes is put in order after it.
+// endForViewer ends a session for its viewer. The following Settle cancels its pending SETUP or tears it down at its box.
 func (t *Table) endForViewer(s *session, reason EndReason) {
 	t.markDirty(s)
 	for _, q := range s.queue {
@@ -553,11 +564,11 @@
 	}
 }
 
-// dispatchQueue takes the viewer's requests in their order, as far as the session's state lets it.
+// dispatchQueue processes the viewer's waiting requests in order until one has to wait for the box.
 func (t *Table) dispatchQueue(s *session) {
 	for len(s.queue) > 0 && s.pendingOp.op == 0 && s.phase != closing && s.phase != ended {
 		if s.phase < ready && s.answer != Served {
-			return // its SETUP has no answer yet
+			return // the SETUP is not answered yet
 		}
 		q := s.queue[0]
 		s.queue = s.queue[1:]
@@ -588,7 +599,7 @@
 	}
 }
 
-// Probed tells how a probe ended: a status, or 0 with the failure.
+// Probed reports how a probe ended: the box's status, or 0 and the failure.
 func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, report choice.Report) {
 	o := failure
 	if status != 0 {
@@ -597,19 +608,19 @@
 	t.module.Probed(box, o, report)
 }
 
-// ShortDelivery, Load pass on what choice/hearing makes of boxes.
+// ShortDelivery passes on the share of the rate that a box delivers, as package hearing measures it.
 func (t *Table) ShortDelivery(box choice.ServerID, share float64) { t.module.Short(box, share) }
 
-// LoadNote passes on a load note that came with a session's media.
+// LoadNote passes on a load note received with a session's media: the load x of the box's link, or of its uplink.
 func (t *Table) LoadNote(id choice.SessID, box choice.ServerID, x float64, uplink bool) {
 	t.module.Load(id, box, x, uplink)
 }
 
-// StopAccepting has new requests busy-replied. Sessions go on.
+// StopAccepting makes the table busy-reply new requests. Existing sessions continue.
 func (t *Table) StopAccepting() { t.refuseNew = true }
 
-// EndAll ends all sessions: those set up are torn down, requests without an answer are busy-replied where no SETUP of
-// theirs may have run, else torn down.
+// EndAll ends all sessions. Established ones are torn down at their boxes; unanswered requests are busy-replied, or
+// answered as failed where the SETUP in flight may have run.
 func (t *Table) EndAll() {
 	t.refuseNew = true
 	for _, s := range t.sortedSessions() {
@@ -627,7 +638,7 @@
 	}
 }
 
-// NextTimer is the instant at which Due is wanted, 0 where none is.
+// NextTimer returns when RunTimers must be called next, 0 for never.
 func (t *Table) NextTimer() float64 {
 	next := t.moduleWakeAt
 	if len(t.timers) > 0 && (next == 0 || t.timers[0].timerAt < next) {
@@ -636,14 +647,14 @@
 	return next
 }
 
-// RunTimers does what has come due: waits that are over, signs of life, the module's own.
+// RunTimers handles the deadlines that have passed, schedules keep-alives that are due, and runs the module's timer.
 func (t *Table) RunTimers() {
 	for len(t.timers) > 0 && t.timers[0].timerAt <= t.now {
 		s := t.timers[0]
 		t.checkDeadlines(s)
 		t.markDirty(s)
 		t.schedule(s)
-		if s.heapIndex >= 0 && s.timerAt <= t.now { // nothing may spin
+		if s.heapIndex >= 0 && s.timerAt <= t.now { // guards against a busy loop
 			s.timerAt = t.now + 0.01
 			heap.Fix(&t.timers, s.heapIndex)
 		}
@@ -654,9 +665,9 @@
 	}
 }
 
-// checkDeadlines does what one session's clock asks for.
+// checkDeadlines handles the deadlines of one session that have passed.
 func (t *Table) checkDeadlines(s *session) {
-	none := choice.Report{Link: -1, Uplink: -1}
+	noReport := choice.Report{Link: -1, Uplink: -1}
 	switch s.phase {
 	case connecting, setupSent:
 		if t.now >= s.phaseDeadline && !s.wantSetup {
@@ -665,17 +676,17 @@
 			if s.phase == connecting {
 				o = choice.NoConnection // never sent
 			}
-			t.setupFailed(s, o, none)
+			t.setupFailed(s, o, noReport)
 		}
 	case closing:
 		if t.now >= s.phaseDeadline {
 			s.wantCloseConn, s.phase = true, ended
-			t.moduleEnded(s, choice.TimedOut, none)
+			t.moduleEnded(s, choice.TimedOut, noReport)
 		}
 	case ready, playing, paused:
 		if s.pendingOp.op != 0 && t.now >= s.opDeadline {
 			s.wantCloseConn, s.phase = true, ended
-			t.moduleEnded(s, choice.TimedOut, none)
+			t.moduleEnded(s, choice.TimedOut, noReport)
 			t.endForViewer(s, BoxHung)
 			return
 		}
@@ -687,9 +698,9 @@
 			t.endForViewer(s, ViewerIdle)
 		}
 	}
-	// The net under rule 1: against any path that would leave a request without its answer until the viewer gives
-	// up. The module answers margin seconds earlier, so it acts only where something else failed; torn down is the
-	// answer that is true whatever ran.
+	// Backstop for rule 1 (every request is answered in time): guards against any path that leaves a request unanswered
+	// until the viewer gives up. The module answers earlier, by answerMarginSeconds, so this acts only where something
+	// else failed. Failed is correct whether or not a SETUP ran.
 	if s.answerOwed && s.answer == 0 && t.now >= s.answerDeadline-backstopMarginSeconds {
 		if s.phase == connecting || s.phase == setupSent {
 			t.endForViewer(s, BoxHung)
@@ -701,7 +712,7 @@
 	}
 }
 
-// schedule sets when a session wants to be looked at next.
+// schedule sets the time of a session's next deadline.
 func (t *Table) schedule(s *session) {
 	next := 0.0
 	consider := func(x float64) {
@@ -742,7 +753,7 @@
 	}
 }
 
-// Settle gives the orders that take each session from where it is to where it is wanted.
+// Settle ends a batch of events: it calls the Actions that take each changed session from its present to its wanted state.
 func (t *Table) Settle() {
 	t.module.Settle()
 	for _, s := range t.unknown {
@@ -764,7 +775,7 @@
 	t.dirty = t.dirty[:0]
 }
 
-// reconcile works out the difference between a session's wanted state and its present one and orders it.
+// reconcile calls the Actions for the difference between a session's wanted and its present state.
 func (t *Table) reconcile(s *session) {
 	for _, attempt := range s.cancelSetups {
 		t.actions.CancelSetup(s.id, attempt)
@@ -821,9 +832,11 @@
 	}
 }
 
-// moduleActions takes the module's moduleActions and makes wanted state of them.
+// moduleActions implements choice.Acts: it turns the module's decisions into the wanted state of sessions.
 type moduleActions struct{ t *Table }
 
+// withActive applies update to a session unless it is closing or ended.
+
 func (a moduleActions) withActive(id choice.SessID, update func(s *session)) {
 	if s := a.t.sessions[id]; s != nil && s.phase != ended && s.phase != closing {
 		update(s)
@@ -856,7 +869,7 @@
 	})
 }
 
-func (a moduleActions) Tell(int, []byte) {} // fronts of this program have no messages yet; Peers is never set
+func (a moduleActions) Tell(int, []byte) {} // unused: StartFigures.Peers is never set, as fronts exchange no messages yet
 func (a moduleActions) TearDown(id choice.SessID) {
 	a.withActive(id, func(s *session) {
 		s.answer, s.inModule = Failed, false
@@ -864,7 +877,7 @@
 	})
 }
 
-// record keeps a decision with the figures that the module sees now.
+// record stores a decision, with the module's present view of the session's holders where the decision depends on it.
 func (t *Table) record(s *session, e account.Entry) {
 	e.At, e.Sess = t.now, s.id
 	switch e.Act {
@@ -874,8 +887,8 @@
 	t.decisions.Note(e)
 }
 
-// Explain puts into words what was decided for a session, as far back as it is kept; an empty id stands for the one that was
-// turned away last, as viewers are not told the ids of those.
+// Explain returns the recorded decisions for a session, a line each. An empty id selects the session that was turned away
+// last, as viewers never learn the ids of those.
 func (t *Table) Explain(id choice.SessID) []string {
 	if id == "" {
 		id = t.decisions.Turned()
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,6 +10,7 @@
 	"rainhaven/choice"
 )
 
+// testFigures returns a front with a paid group (0) that has a floor and seats, and a free one (1).
 func testFigures() (choice.StartFigures, Limits) {
 	return choice.StartFigures{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
@@ -20,46 +21,47 @@
 		Limits{SetupTimeout: []float64{3, 5}, MaxSessions: 50, ViewerIdleTimeout: 60, KeepAliveInterval: 20}
 }
 
-// boxAttempt is what a box holds of one SETUP.
+// boxAttempt is the state of one SETUP at its box.
 type boxAttempt struct {
 	inFlight, established bool
 	box                   choice.ServerID
 }
 
+// viewer is what the harness knows of one session from the viewer's side.
 type viewer struct {
 	requestedAt float64
 	deadline    float64
-	left        bool // its connection is, by its own doing
+	left        bool // the viewer has closed its connection
 	answers     []FinalAnswer
 	pending     map[int]bool // requests without a reply
 	attempts    map[int]*boxAttempt
 	ended       bool
 	paid        bool
-	mayHaveRun  bool
+	mayHaveRun  bool // one of its failed SETUPs may have run
 	title       string
 }
 
-// harness takes the orders and breaks the test when one breaks a rule.
+// harness implements Actions with simulated viewers and boxes, and fails the test when an action violates a rule.
 type harness struct {
 	tb               rapid.TB
 	table            *Table
 	now              float64
 	viewers          map[choice.SessID]*viewer
 	ids              []choice.SessID
-	pendingOps       []func(status int) // answers that boxes may still give to operations
+	pendingOps       []func(status int) // answer one operation that waits at a box
 	pendingProbes    []choice.ServerID
 	boxState         map[choice.ServerID]choice.Lifecycle
-	sequence         int
-	paidSeats        int // of the paid group's
+	sequence         int // makes request numbers unique
+	paidSeats        int // seats of the paid group
 	reloads          int
-	attemptsAtFreeze int // SETUPs that there were when the front was frozen; no further one may follow
+	attemptsAtFreeze int // number of SETUPs at Freeze; none may follow
 }
 
 func newHarness(tb rapid.TB) *harness {
 	h := &harness{tb: tb, now: 100, viewers: map[choice.SessID]*viewer{}, boxState: map[choice.ServerID]choice.Lifecycle{}}
-	fig, bounds := testFigures()
+	fig, limits := testFigures()
 	h.paidSeats = fig.Groups[0].Seats
-	h.table = New(h.now, fig, bounds, h)
+	h.table = New(h.now, fig, limits, h)
 	for _, e := range fourBoxes() {
 		h.boxState[e.ID] = choice.Ready
 	}
@@ -67,7 +69,7 @@
 	return h
 }
 
-// apply feeds one batch.
+// apply runs one batch of events.
 func (h *harness) apply(event func()) {
 	h.table.SetTime(h.now)
 	event()
@@ -79,17 +81,17 @@
 	h.sequence++
 	for n, a := range v.attempts {
 		if a.inFlight {
-			h.tb.Fatalf("%s: SETUP %d while %d is out", id, attempt, n)
+			h.tb.Fatalf("%s: SETUP %d while SETUP %d is in flight", id, attempt, n)
 		}
 	}
 	if v.paid && v.mayHaveRun {
-		h.tb.Fatalf("%s: a paid session's SETUP %d after one that may have run", id, attempt)
+		h.tb.Fatalf("%s: SETUP %d of a paid session after one that may have run", id, attempt)
 	}
 	if v.paid && rung < 1 {
-		h.tb.Fatalf("%s: rung %d under the floor", id, rung)
+		h.tb.Fatalf("%s: SETUP at rung %d, below the floor", id, rung)
 	}
 	if len(v.answers) > 0 || v.left {
-		h.tb.Fatalf("%s: a SETUP after its end", id)
+		h.tb.Fatalf("%s: SETUP after the final answer or the end", id)
 	}
 	taken := 1
 	for _, o := range h.viewers {
@@ -103,18 +105,18 @@
 		h.tb.Fatalf("%s: %d of %d seats taken", id, taken, h.paidSeats)
 	}
 	if h.boxState[box] != choice.Ready {
-		h.tb.Fatalf("%s: a SETUP to box %d, which is %v", id, box, h.boxState[box])
+		h.tb.Fatalf("%s: SETUP to box %d in state %v", id, box, h.boxState[box])
 	}
 	v.attempts[attempt] = &boxAttempt{inFlight: true, box: box}
 	if h.attemptsAtFreeze > 0 && len(v.attempts) > h.attemptsAtFreeze {
-		h.tb.Fatalf("%s: SETUP %d of a frozen front", id, attempt)
+		h.tb.Fatalf("%s: SETUP %d after Freeze", id, attempt)
 	}
 }
 
 func (h *harness) CancelSetup(id choice.SessID, attempt int) {
 	a := h.viewers[id].attempts[attempt]
 	if a == nil || !a.inFlight {
-		h.tb.Fatalf("%s: SETUP %d is withdrawn and not out", id, attempt)
+		h.tb.Fatalf("%s: SETUP %d is cancelled but not in flight", id, attempt)
 	}
 	a.inFlight = false
 }
@@ -122,7 +124,7 @@
 func (h *harness) SendOp(id choice.SessID, attempt int, op Op, arg int) {
 	a := h.viewers[id].attempts[attempt]
 	if a == nil || !a.established {
-		h.tb.Fatalf("%s: %v at a box that holds nothing of it", id, op)
+		h.tb.Fatalf("%s: %v at a box that does not hold the session", id, op)
 	}
 	if op == TearDown {
 		a.established = false
@@ -142,19 +144,19 @@
 	x := h.viewers[id]
 	x.answers = append(x.answers, v)
 	if len(x.answers) > 1 || x.left {
-		h.tb.Fatalf("%s: answers %v, gone %v", id, x.answers, x.left)
+		h.tb.Fatalf("%s: answers %v, viewer left: %v", id, x.answers, x.left)
 	}
 	if h.now > x.deadline {
-		h.tb.Fatalf("%s: answered %v s late", id, h.now-x.deadline)
+		h.tb.Fatalf("%s: answered %v s after the setup timeout", id, h.now-x.deadline)
 	}
 	if v == Busy && x.paid && x.mayHaveRun {
-		h.tb.Fatalf("%s: a paid session busy-replied after a SETUP that may have run", id)
+		h.tb.Fatalf("%s: paid session busy-replied after a SETUP that may have run", id)
 	}
 }
 
 func (h *harness) Reply(id choice.SessID, n int, _ Result) {
 	if !h.viewers[id].pending[n] {
-		h.tb.Fatalf("%s: request %d has a reply too many", id, n)
+		h.tb.Fatalf("%s: reply to request %d, which is not pending", id, n)
 	}
 	delete(h.viewers[id].pending, n)
 }
@@ -162,7 +164,7 @@
 func (h *harness) End(id choice.SessID, _ EndReason) {
 	v := h.viewers[id]
 	if v.ended || len(v.answers) != 1 || v.answers[0] != Served {
-		h.tb.Fatalf("%s: ended twice or before it was served: %v", id, v.answers)
+		h.tb.Fatalf("%s: ended twice or without being served: answers %v", id, v.answers)
 	}
 	v.ended = true
 }
@@ -176,12 +178,12 @@
 	return id
 }
 
-// reload renews the terms: seats, floors and waits change with each.
+// reload applies new settings. Each reload changes seats, a floor, the number of SETUPs and the setup timeouts.
 func (h *harness) reload() {
 	h.reloads++
-	fig, bounds := testFigures()
+	fig, limits := testFigures()
 	if h.reloads%2 == 1 {
-		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MostSetups, bounds.SetupTimeout = 3, 1, 2, []float64{2, 4}
+		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MostSetups, limits.SetupTimeout = 3, 1, 2, []float64{2, 4}
 	}
 	h.paidSeats = fig.Groups[0].Seats
 	var list []choice.Listing
@@ -191,11 +193,11 @@
 		}
 	}
 	h.apply(func() {
-		h.table.Reload(Config{fig, bounds, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
+		h.table.Reload(Config{fig, limits, []int{0, 1}}, list, func(m choice.Memory) choice.Memory { return m })
 	})
 	for _, s := range h.table.sessions {
 		if floor := fig.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
-			h.tb.Fatalf("%s: wants rung %d under the floor", s.id, s.wantRung)
+			h.tb.Fatalf("%s: wanted rung %d is below the floor", s.id, s.wantRung)
 		}
 	}
 }
@@ -211,7 +213,7 @@
 	h.apply(func() { h.table.RequestOp(id, op, n) })
 }
 
-// answerSetup gives a SETUP an answer; status 0 is a break.
+// answerSetup delivers a box's answer to a SETUP; status 0 is a broken connection.
 func (h *harness) answerSetup(id choice.SessID, attempt int, status int, sentFirst bool) {
 	v := h.viewers[id]
 	a := v.attempts[attempt]
@@ -235,7 +237,7 @@
 	})
 }
 
-// advance lets time go by in steps as Next asks for them.
+// advance moves the clock forward, stopping at each instant that NextTimer returns.
 func (h *harness) advance(seconds float64) {
 	for end := h.now + seconds; ; {
 		n := h.table.NextTimer()
@@ -244,7 +246,7 @@
 			return
 		}
 		h.now = max(n, h.now)
-		// A SETUP that is out when its wait runs out may have run.
+		// A SETUP that is in flight when its timeout expires may have run.
 		for _, id := range h.ids {
 			for _, a := range h.viewers[id].attempts {
 				if a.inFlight {
@@ -256,7 +258,7 @@
 	}
 }
 
-// finish ends everything and looks at what is left.
+// finish ends all sessions and checks that nothing is left at the boxes, with the viewers or in the table.
 func (h *harness) finish() {
 	for _, id := range h.ids {
 		if v := h.viewers[id]; !v.left {
@@ -267,7 +269,7 @@
 	for _, id := range h.ids {
 		for n, a := range h.viewers[id].attempts {
 			if a.established {
-				h.tb.Fatalf("%s: no TEARDOWN at once for what SETUP %d brought", id, n)
+				h.tb.Fatalf("%s: session of SETUP %d was not torn down at once", id, n)
 			}
 		}
 	}
@@ -276,34 +278,34 @@
 		v := h.viewers[id]
 		for n, a := range v.attempts {
 			if a.inFlight || a.established {
-				h.tb.Fatalf("%s: SETUP %d left at box %d (out %v, held %v)", id, n, a.box, a.inFlight, a.established)
+				h.tb.Fatalf("%s: SETUP %d left at box %d (in flight %v, established %v)", id, n, a.box, a.inFlight, a.established)
 			}
 		}
 		if len(v.pending) > 0 && !v.left {
-			h.tb.Fatalf("%s: %d requests without reply", id, len(v.pending))
+			h.tb.Fatalf("%s: %d requests without a reply", id, len(v.pending))
 		}
 	}
 	if len(h.table.sessions) > 0 || len(h.table.timers) > 0 || len(h.table.dirty) > 0 {
-		h.tb.Fatalf("left in the table: %d sessions, %d waits", len(h.table.sessions), len(h.table.timers))
+		h.tb.Fatalf("left in the table: %d sessions, %d timers", len(h.table.sessions), len(h.table.timers))
 	}
 }
 
 func TestRetryAfterRefusalAndTimeout(t *testing.T) {
 	h := newHarness(t)
 	id := h.open(1, "vents")
-	if len(h.viewers[id].attempts) == 0 { // it looks at the likeliest holder first
+	if len(h.viewers[id].attempts) == 0 { // the likeliest holder is probed first
 		h.advance(0.3)
 	}
 	h.answerSetup(id, 1, 453, true)
 	if len(h.viewers[id].attempts) != 2 {
-		t.Fatalf("%d SETUPs after a refusal", len(h.viewers[id].attempts))
+		t.Fatalf("%d SETUPs after a refusal, want 2", len(h.viewers[id].attempts))
 	}
 	h.apply(func() { h.table.SetupSent(id, 2) })
-	h.advance(0.5) // the second hangs
+	h.advance(0.5) // the second SETUP times out
 	if len(h.viewers[id].attempts) != 3 {
-		t.Fatalf("%d SETUPs after a hang", len(h.viewers[id].attempts))
+		t.Fatalf("%d SETUPs after a timeout, want 3", len(h.viewers[id].attempts))
 	}
-	h.answerSetup(id, 2, 200, true) // its late answer means nothing to the session
+	h.answerSetup(id, 2, 200, true) // a late answer must not affect the session
 	h.answerSetup(id, 3, 200, true)
 	if v := h.viewers[id]; len(v.answers) != 1 || v.answers[0] != Served {
 		t.Fatalf("answers %v", v.answers)
@@ -333,7 +335,7 @@
 		}
 		h.viewers[id].left = true
 		h.apply(func() { h.table.ViewerGone(id) })
-		h.answerSetup(id, 1, 200, false) // too late
+		h.answerSetup(id, 1, 200, false) // late answer
 		h.finish()
 	}
 }
@@ -346,7 +348,7 @@
 	}
 	h.advance(0.3)
 	if len(h.pendingOps) != 0 {
-		t.Fatal("asked of the box before its SETUP was answered")
+		t.Fatal("operation sent to the box before the SETUP was answered")
 	}
 	h.answerSetup(id, 1, 200, true)
 	for range 3 {
@@ -357,7 +359,7 @@
 		}
 	}
 	if v := h.viewers[id]; len(v.pending) != 0 || !v.ended {
-		t.Fatalf("%d requests open, ended %v", len(v.pending), v.ended)
+		t.Fatalf("%d requests pending, ended %v", len(v.pending), v.ended)
 	}
 	h.finish()
 }
@@ -370,13 +372,13 @@
 	for _, op := range []Op{Play, Pause} {
 		h.request(id, op)
 		if len(h.pendingOps) != 1 {
-			t.Fatalf("%v: %d operations out", op, len(h.pendingOps))
+			t.Fatalf("%v: %d operations in flight, want 1", op, len(h.pendingOps))
 		}
 		ops := h.pendingOps
 		h.pendingOps = nil
 		h.apply(func() { ops[0](200) })
 		if n := len(h.viewers[id].pending); n != 0 {
-			t.Fatalf("%v: %d requests without reply", op, n)
+			t.Fatalf("%v: %d requests without a reply", op, n)
 		}
 	}
 	h.finish()
@@ -393,7 +395,7 @@
 	})
 	v := h.viewers[id]
 	if v.attempts[1].inFlight || v.attempts[2] == nil || v.attempts[2].box == first {
-		t.Fatalf("first %+v, second %+v", v.attempts[1], v.attempts[2])
+		t.Fatalf("first SETUP %+v, second SETUP %+v", v.attempts[1], v.attempts[2])
 	}
 	h.finish()
 }
@@ -406,13 +408,13 @@
 	h.apply(func() { h.table.SetupSent(waiting, 1) })
 	h.apply(h.table.EndAll)
 	if v := h.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
-		t.Fatalf("a SETUP that may have run: %v", v.answers)
+		t.Fatalf("SETUP that may have run: answers %v", v.answers)
 	}
 	if !h.viewers[playing].ended {
-		t.Fatal("a playing session was not ended")
+		t.Fatal("the playing session was not ended")
 	}
 	if v := h.viewers[h.open(1, "c")]; len(v.answers) != 1 || v.answers[0] != Busy {
-		t.Fatalf("a new request: %v", v.answers)
+		t.Fatalf("new request: answers %v", v.answers)
 	}
 	h.finish()
 }
@@ -423,53 +425,54 @@
 	h.advance(0.3)
 	h.answerSetup(id, 1, 200, true)
 	s := h.table.sessions[id]
-	from := s.rung
-	h.apply(func() { moduleActions{h.table}.Rung(id, from-1) })
-	h.apply(func() { h.table.OpAnswered(id, 1, SetRung, from-1, 451, choice.Report{Link: -1, Uplink: -1}) })
-	if s.rung != from || s.wantRung != from {
-		t.Fatalf("rung %d, wanted %d, of %d", s.rung, s.wantRung, from)
+	before := s.rung
+	h.apply(func() { moduleActions{h.table}.Rung(id, before-1) })
+	h.apply(func() { h.table.OpAnswered(id, 1, SetRung, before-1, 451, choice.Report{Link: -1, Uplink: -1}) })
+	if s.rung != before || s.wantRung != before {
+		t.Fatalf("rung %d, wanted rung %d, want %d for both", s.rung, s.wantRung, before)
 	}
 	h.finish()
 }
 
-// Requests, further SETUPs and seats of before a reload count after it.
+// Requests, retries and seats counted before a reload must count after it, or reloads would open up the retry budget and
+// the seats.
 func TestReloadKeepsRuleCounters(t *testing.T) {
 	h := newHarness(t)
-	fig, bounds := testFigures()
+	fig, limits := testFigures()
 	fig.SpareSetups, fig.SetupShare, fig.Probes = 2, 0, false
-	renew := func() {
+	reload := func() {
 		h.apply(func() {
-			h.table.Reload(Config{fig, bounds, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
+			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
 		})
 	}
-	renew()
-	further := 0
+	reload()
+	retries := 0
 	for range 6 {
 		id := h.open(1, "vents")
 		for attempt := 1; h.viewers[id].attempts[attempt] != nil; attempt++ {
 			h.answerSetup(id, attempt, 453, true)
 		}
-		further += len(h.viewers[id].attempts) - 1
-		renew()
-		h.now += 1.1 // boxes that were full may be asked again
+		retries += len(h.viewers[id].attempts) - 1
+		reload()
+		h.now += 1.1 // a box that answered full is tried again after a second
 	}
-	if further != 2 {
-		t.Errorf("%d further SETUPs, the ration is 2", further)
+	if retries != 2 {
+		t.Errorf("%d retries, the retry budget is 2", retries)
 	}
-	// A SETUP that is out at a reload is the last of its request.
-	for group, verdicts := range map[int]map[int]FinalAnswer{0: {453: Busy, 500: Failed, 200: Served}, 1: {453: Busy, 500: Busy, 200: Served}} {
-		for status, want := range verdicts {
+	// A SETUP that is in flight at a reload is the last of its request.
+	for group, answers := range map[int]map[int]FinalAnswer{0: {453: Busy, 500: Failed, 200: Served}, 1: {453: Busy, 500: Busy, 200: Served}} {
+		for status, want := range answers {
 			h.now += 20
 			id := h.open(group, "vents")
 			h.apply(func() { h.table.SetupSent(id, 1) })
-			renew()
+			reload()
 			h.answerSetup(id, 1, status, true)
 			if v := h.viewers[id]; len(v.answers) != 1 || v.answers[0] != want || len(v.attempts) != 1 {
-				t.Errorf("group %d, %d: answers %v after %d SETUPs", group, status, v.answers, len(v.attempts))
+				t.Errorf("group %d, status %d: answers %v after %d SETUPs", group, status, v.answers, len(v.attempts))
 			}
 		}
 	}
-	// Seats of SETUPs out are taken still; what a box said just before the reload is decided by the old terms.
+	// A SETUP in flight keeps its seat; an answer that comes just before the reload is decided by the old settings.
 	h.now += 20
 	var ids []choice.SessID
 	for range fig.Groups[0].Seats {
@@ -477,9 +480,9 @@
 		h.apply(func() { h.table.SetupSent(id, 1) })
 		ids = append(ids, id)
 	}
-	renew()
+	reload()
 	if v := h.viewers[h.open(0, "exam")]; len(v.answers) != 1 || v.answers[0] != Busy {
-		t.Errorf("a seat too many: %v", v.answers)
+		t.Errorf("request beyond the seats: answers %v", v.answers)
 	}
 	for _, id := range ids {
 		h.answerSetup(id, 1, 453, true)
@@ -493,15 +496,16 @@
 			h.table.SetupSent(id, 1)
 			a.inFlight, v.mayHaveRun = false, status == 500
 			h.table.BoxAnswered(id, 1, status, choice.Report{Link: -1, Uplink: -1})
-			h.table.Reload(Config{fig, bounds, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
+			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Memory) choice.Memory { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
-			t.Errorf("%d and a reload at once: %v after %d SETUPs", status, v.answers, len(v.attempts))
+			t.Errorf("status %d and a reload in one batch: answers %v after %d SETUPs", status, v.answers, len(v.attempts))
 		}
 	}
 	h.finish()
 }
 
+// fourBoxes lists four ready boxes.
 func fourBoxes() (list []choice.Listing) {
 	for i := range 4 {
 		list = append(list, choice.Listing{ID: choice.ServerID(10 + i), Cell: i, State: choice.Ready, Heft: 1})
@@ -509,31 +513,32 @@
 	return list
 }
 
-// Everything that viewers, boxes, clocks and lists may do in any order: one answer each and in time, never two SETUPs
-// out, no paid one twice, nothing left at a box or in the table.
+// TestAnyOrder generates random orders of events from viewers, boxes, the clock and the directory. Each request must get
+// exactly one answer in time, never have two SETUPs in flight, and leave nothing at a box or in the table; a paid SETUP
+// must not be repeated.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t)
-		someone := func(t *rapid.T) choice.SessID {
+		pickSession := func(t *rapid.T) choice.SessID {
 			if len(h.ids) == 0 {
-				t.Skip("nobody yet")
+				t.Skip("no session yet")
 			}
-			return rapid.SampledFrom(h.ids).Draw(t, "who")
+			return rapid.SampledFrom(h.ids).Draw(t, "session")
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				h.open(rapid.IntRange(0, 1).Draw(t, "group"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "title"))
 			},
 			"request": func(t *rapid.T) {
-				h.request(someone(t), rapid.SampledFrom([]Op{Play, Pause, Join, KeepAlive, TearDown}).Draw(t, "op"))
+				h.request(pickSession(t), rapid.SampledFrom([]Op{Play, Pause, Join, KeepAlive, TearDown}).Draw(t, "op"))
 			},
 			"viewer leaves": func(t *rapid.T) {
-				id := someone(t)
+				id := pickSession(t)
 				h.viewers[id].left = true
 				h.apply(func() { h.table.ViewerGone(id) })
 			},
 			"box answers": func(t *rapid.T) {
-				id := someone(t)
+				id := pickSession(t)
 				status := rapid.SampledFrom([]int{200, 200, 200, 453, 503, 500, 404, 0}).Draw(t, "status")
 				for attempt, a := range h.viewers[id].attempts {
 					if a.inFlight {
@@ -543,7 +548,7 @@
 				}
 			},
 			"late answer": func(t *rapid.T) {
-				id := someone(t)
+				id := pickSession(t)
 				for attempt, a := range h.viewers[id].attempts {
 					if !a.inFlight && !a.established {
 						h.answerSetup(id, attempt, 200, false)
@@ -551,8 +556,8 @@
 					}
 				}
 			},
-			"box breaks": func(t *rapid.T) {
-				id := someone(t)
+			"connection breaks": func(t *rapid.T) {
+				id := pickSession(t)
 				for attempt, a := range h.viewers[id].attempts {
 					if a.established {
 						a.established = false
@@ -563,7 +568,7 @@
 			},
 			"operation answered": func(t *rapid.T) {
 				if len(h.pendingOps) == 0 {
-					t.Skip("none")
+					t.Skip("no operation pending")
 				}
 				i := rapid.IntRange(0, len(h.pendingOps)-1).Draw(t, "which")
 				op := h.pendingOps[i]
@@ -573,7 +578,7 @@
 			},
 			"probe answered": func(t *rapid.T) {
 				if len(h.pendingProbes) == 0 {
-					t.Skip("none")
+					t.Skip("no probe pending")
 				}
 				box := h.pendingProbes[0]
 				h.pendingProbes = h.pendingProbes[1:]
@@ -594,7 +599,7 @@
 			"": func(t *rapid.T) {
 				for _, id := range h.ids {
 					if v := h.viewers[id]; !v.left && len(v.answers) == 0 && h.now > v.deadline {
-						t.Fatalf("%s: no answer after its setup timeout", id)
+						t.Fatalf("%s: no answer within its setup timeout", id)
 					}
 				}
 			},
@@ -617,7 +622,7 @@
 	}
 }
 
-// Each line tells what was decided and the cause that stood in the way.
+// TestExplainDecisions checks that each line names the decision and its reason.
 func TestExplainDecisions(t *testing.T) {
 	h := newHarness(t)
 	served := h.open(1, "vents")
@@ -651,30 +656,30 @@
 		}
 		for i, line := range lines {
 			if !strings.Contains(line, want[i]) {
-				t.Errorf("%s: line %d is %q, %q is looked for", id, i, line, want[i])
+				t.Errorf("%s: line %d is %q, want it to contain %q", id, i, line, want[i])
 			}
 		}
 	}
 	h.finish()
 }
 
-// discardOps is a world that hears nothing of operations and probes.
+// discardOps is a harness that ignores operations and probes.
 type discardOps struct{ *harness }
 
 func (discardOps) SendOp(choice.SessID, int, Op, int) {}
 func (discardOps) Probe(choice.ServerID)              {}
 
-// newLargeTable is a table with a thousand playing sessions on 300 boxes, and its terms.
+// newLargeTable returns a table with 1000 playing sessions on 300 boxes, its settings and its list of boxes.
 func newLargeTable(b *testing.B) (*harness, Config, []choice.Listing) {
 	h := newHarness(b)
-	fig, bounds := testFigures()
-	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, bounds.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
+	fig, limits := testFigures()
+	fig.Cells, fig.Racks, fig.FleetLinks, fig.UplinkMean, limits.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
 	for i := range fig.Cells {
 		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Heft: 1})
 		h.boxState[choice.ServerID(100+i)] = choice.Ready
 	}
-	h.table = New(h.now, fig, bounds, discardOps{h})
+	h.table = New(h.now, fig, limits, discardOps{h})
 	h.apply(func() { h.table.UpdateDirectory(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
@@ -682,21 +687,21 @@
 			h.table.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
-	return h, Config{fig, bounds, []int{0, 1}}, list
+	return h, Config{fig, limits, []int{0, 1}}, list
 }
 
-// BenchmarkReload is how long a reload holds the loop up.
+// BenchmarkReload measures how long a reload blocks the event loop.
 func BenchmarkReload(b *testing.B) {
-	h, terms, list := newLargeTable(b)
+	h, cfg, list := newLargeTable(b)
 	for b.Loop() {
 		h.now++
 		h.table.SetTime(h.now)
-		h.table.Reload(terms, list, func(m choice.Memory) choice.Memory { return m })
+		h.table.Reload(cfg, list, func(m choice.Memory) choice.Memory { return m })
 		h.table.Settle()
 	}
 }
 
-// BenchmarkSnapshot is how long keeping state holds the loop up.
+// BenchmarkSnapshot measures how long saving state blocks the event loop.
 func BenchmarkSnapshot(b *testing.B) {
 	h, _, _ := newLargeTable(b)
 	for b.Loop() {
