--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -130,7 +130,7 @@
 		h.answerSetup(searchedID, finished[0], 200, false)
 		return true
 	}},
-	{"session breaks", func(h *harness) bool {
+	{"connection breaks", func(h *harness) bool {
 		established := h.attemptsWhere(func(a *boxAttempt) bool { return a.established })
 		if len(established) == 0 {
 			return false
@@ -165,7 +165,7 @@
 		return h.now > before
 	}},
 	{"a second", func(h *harness) bool { h.advance(1); return true }},
-	{"drains", listBox(choice.Draining)}, {"is gone", listBox(choice.Gone)}, {"is ready", listBox(choice.Ready)},
+	{"box drains", listBox(choice.Draining)}, {"box is gone", listBox(choice.Gone)}, {"box is ready", listBox(choice.Ready)},
 	{"reload", func(h *harness) bool {
 		if h.reloads == 2 {
 			return false
@@ -188,7 +188,7 @@
 		h.apply(h.table.StopAccepting)
 		return true
 	}},
-	{"front cuts", func(h *harness) bool {
+	{"all sessions are ended", func(h *harness) bool {
 		if h.table.refuseNew && h.table.Len() == 0 {
 			return false
 		}
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -144,7 +144,7 @@
 	playing
 	paused
 	closing // a TEARDOWN is in flight
-	ended   // nothing is left to do at the box
+	ended   // over at the box
 )
 
 // queuedOp is a viewer's request within its session.
@@ -159,7 +159,7 @@
 	group int
 
 	viewerPresent  bool // the viewer has neither left nor been turned away
-	answerOwed     bool // the final answer has not been sent
+	answerOwed     bool // the viewer still waits for its final answer
 	answer         FinalAnswer
 	retryAfter     float64
 	answerDeadline float64    // when the viewer's setup timeout ends
