--- a/choice/session/reload.go
+++ b/choice/session/reload.go
@@ -6,71 +6,73 @@
 	"rainhaven/choice"
 )
 
-// Config are a table's new ones.
+// Config holds the settings that a reload replaces.
 type Config struct {
 	Figures  choice.Config
 	Limits   Limits
-	GroupMap []int // by a service group's number so far: its new one. None may be missing
+	GroupMap []int // new index of each service group by its old one; complete
 }
 
-// Reload goes on under new terms. The module is made anew and told what the last one had learned, keep having taken out
-// what holds no longer; list is the whole list of boxes. What becomes of sessions:
+// Reload applies new settings. It replaces the module by a new one, restored from the saved state of the old one after
+// prune has removed what no longer holds; list is the whole list of boxes. Sessions are treated by their state:
 //
-//	waits for its placement    asked anew, within its old setup timeout
-//	a SETUP is out             stays out; the new module holds its seat and its share of the links. Where it fails no
-//	                           further one follows: the answer is busy, or torn down where a paid one may have run
-//	set up, plays, pauses      handed to the new module at its rung, which new floors and tops may move at once
-//	its TEARDOWN is out        the same, until it is answered
-//	answered otherwise         nothing more is asked
+//	awaiting placement        placed anew by the new module, within the old setup timeout
+//	SETUP in flight           stays in flight; the new module counts its seat and its share of the links. If it fails
+//	                          there is no retry: the answer is busy, or failed where a paid SETUP may have run
+//	ready, playing, paused    handed to the new module at the present rung, which new floors and tops may change at once
+//	TEARDOWN in flight        the same, until it is answered
+//	answered otherwise        left alone
 //
-// No SETUP leaves because of it, so that no number of reloads touches rules 2 and 6.
-func (t *Table) Reload(terms Config, list []choice.Listing, keep func(choice.Snapshot) choice.Snapshot) {
-	t.mod.Reconcile() // what was decided stands
-	m := keep(t.mod.Snapshot())
-	lives := t.inOrder()
-	again := 0
-	for _, l := range lives {
-		l.group = terms.GroupMap[l.group]
-		if l.req.Group = l.group; l.waits() {
-			again++
+// A reload sends no SETUP, so that no number of reloads can violate rules 2 (paid sessions) and 6 (retry budget).
+func (t *Table) Reload(cfg Config, list []choice.Listing, prune func(choice.Snapshot) choice.Snapshot) {
+	t.module.Reconcile() // decisions made under the old settings are kept
+	saved := prune(t.module.Snapshot())
+	sessions := t.sortedSessions()
+	resubmitted := 0
+	for _, s := range sessions {
+		s.group = cfg.GroupMap[s.group]
+		if s.req.Group = s.group; s.awaitsPlacement() {
+			resubmitted++
 		}
 	}
-	// Those asked anew count as taken again; their first count goes, so that the ration grows by nothing.
-	m.FirstSetups = m.FirstSetups[:max(len(m.FirstSetups)-again, 0)]
-	t.bounds = terms.Limits
-	t.module(terms.Figures)
-	t.mod.UpdateDirectory(true, list)
-	t.mod.Restore(m)
-	// Boxes that have left the list are told of as long as it takes to hand their sessions over: those hold seats.
+	// Placing a request anew counts it as taken again, so its first count is removed: the retry budget must not grow.
+	saved.FirstSetups = saved.FirstSetups[:max(len(saved.FirstSetups)-resubmitted, 0)]
+	t.limits = cfg.Limits
+	t.newModule(cfg.Figures)
+	t.module.UpdateDirectory(true, list)
+	t.module.Restore(saved)
+	// The new module needs the boxes that have left the list until their sessions are handed to it, as those sessions
+	// hold seats. They are listed as draining meanwhile.
 	t.UpdateDirectory(true, list)
-	var left []choice.Listing
-	for id, e := range t.list {
+	var removed []choice.Listing
+	for id, e := range t.boxes {
 		if e.State == choice.Gone {
-			left = append(left, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, StartedAt: e.StartedAt})
+			removed = append(removed, choice.Listing{ID: id, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: choice.Draining, StartedAt: e.StartedAt})
 		}
 	}
-	slices.SortFunc(left, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
-	t.mod.UpdateDirectory(false, left)
-	for _, l := range lives {
-		t.renew(l)
+	slices.SortFunc(removed, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
+	t.module.UpdateDirectory(false, removed)
+	for _, s := range sessions {
+		t.reload(s)
 	}
-	for i := range left {
-		left[i].State = choice.Gone
+	for i := range removed {
+		removed[i].State = choice.Gone
 	}
-	t.mod.UpdateDirectory(false, left)
+	t.module.UpdateDirectory(false, removed)
 }
 
-// SetLimits takes new bounds alone: they hold for what begins from now on.
-func (t *Table) SetLimits(b Limits) { t.bounds = b }
+// SetLimits replaces the limits without a reload. Waits that have already started keep their old setup timeout.
+func (t *Table) SetLimits(limits Limits) { t.limits = limits }
 
-// Snapshot and Recall are the module's: what it learned, and its taking that again after the first list and before any
-// session.
-func (t *Table) Snapshot() choice.Snapshot { return t.mod.Snapshot() }
-func (t *Table) Restore(m choice.Snapshot) { t.mod.Restore(m) }
+// Snapshot returns the module's state to be saved.
+func (t *Table) Snapshot() choice.Snapshot { return t.module.Snapshot() }
 
-// BoxCounts is how many boxes are listed, and how many of them may get new sessions as far as the list goes.
+// Restore loads the module's saved state. It must be called after the first directory update and before any session.
+func (t *Table) Restore(m choice.Snapshot) { t.module.Restore(m) }
+
+// BoxCounts returns the number of listed boxes, and of those that the list shows as ready for new sessions.
 func (t *Table) BoxCounts() (listed, usable int) {
-	for _, e := range t.list {
+	for _, e := range t.boxes {
 		if e.State != choice.Gone {
 			listed++
 		}
@@ -81,57 +83,60 @@
 	return listed, usable
 }
 
-// Freeze has no SETUP ordered any more, as another process decides from here on for this front: requests without one are
-// busy-replied, those with one out get what it brings. Sessions go on. It gives what the module has learned.
+// Freeze stops all further SETUPs, because another process takes over this front's decisions. Requests without a SETUP
+// are busy-replied, those with one in flight are answered by its outcome, and established sessions continue. It returns
+// the module's state for the other process.
 func (t *Table) Freeze() choice.Snapshot {
-	t.stop = true
-	t.mod.Reconcile()
-	for _, l := range t.inOrder() {
+	t.refuseNew = true
+	t.module.Reconcile()
+	for _, s := range t.sortedSessions() {
 		switch {
-		case l.waits():
-			t.mark(l)
-			l.verdict, l.comeBack, l.toldModule = Busy, 1, false
-			t.mod.RequestClosed(l.id)
-		case l.phase == connecting || l.phase == asked:
-			t.mark(l)
-			l.alone, l.until = true, max(l.until, l.giveUp-margin)
+		case s.awaitsPlacement():
+			t.markDirty(s)
+			s.answer, s.retryAfter, s.inModule = Busy, 1, false
+			t.module.RequestClosed(s.id)
+		case s.phase == connecting || s.phase == setupSent:
+			t.markDirty(s)
+			s.noRetry, s.phaseDeadline = true, max(s.phaseDeadline, s.answerDeadline-answerMarginSeconds)
 		}
 	}
-	return t.mod.Snapshot()
+	return t.module.Snapshot()
 }
 
-// Resume takes new requests again after Freeze: the other process came to nothing.
-func (t *Table) Resume() { t.stop = false }
+// Resume accepts new requests again after Freeze, when the other process has failed to take over.
+func (t *Table) Resume() { t.refuseNew = false }
 
-// waits tells whether a request waits within the module and no SETUP was ever ordered for it.
-func (l *life) waits() bool { return l.phase == idle && l.toldModule && l.verdict == 0 && l.try == 0 }
+// awaitsPlacement reports whether the module holds the request and has not decided on a SETUP for it yet.
+func (s *session) awaitsPlacement() bool {
+	return s.phase == idle && s.inModule && s.answer == 0 && s.attempt == 0
+}
 
-// renew tells the new module of one session.
-func (t *Table) renew(l *life) {
-	t.mark(l)
+// reload hands one session to the new module.
+func (t *Table) reload(s *session) {
+	t.markDirty(s)
 	switch {
-	case l.waits():
-		t.mod.RequestSession(l.req)
+	case s.awaitsPlacement():
+		t.module.RequestSession(s.req)
 		return
-	case !l.toldModule || l.verdict == Busy || l.verdict == Failed || l.phase == gone:
+	case !s.inModule || s.answer == Busy || s.answer == Failed || s.phase == ended:
 		return
-	case l.phase == idle || l.wantSetup && t.list[l.box].State != choice.Ready:
-		// Its box left the list with this very reload, before the SETUP had left. Earlier ones of a paid group's
-		// provably never ran, or it would have been torn down.
-		l.phase, l.wantSetup, l.toldModule = idle, false, false
-		l.verdict, l.comeBack = Busy, 1
+	case s.phase == idle || s.wantSetup && t.boxes[s.box].State != choice.Ready:
+		// The box left the list with this reload, before the SETUP was sent. Earlier SETUPs of a paid session provably
+		// never ran, or it would have been answered as failed.
+		s.phase, s.wantSetup, s.inModule = idle, false, false
+		s.answer, s.retryAfter = Busy, 1
 		return
-	case l.phase == connecting || l.phase == asked:
-		// As no other follows, this SETUP may take all the time there is.
-		l.alone, l.until = true, max(l.until, l.giveUp-margin)
+	case s.phase == connecting || s.phase == setupSent:
+		// No retry follows, so this SETUP may take all the time that is left.
+		s.noRetry, s.phaseDeadline = true, max(s.phaseDeadline, s.answerDeadline-answerMarginSeconds)
 	}
-	t.mod.AddHandedOver(l.req, l.box)
-	rung := l.rung
-	if l.phase == connecting || l.phase == asked {
-		rung = l.wantRung
+	t.module.AddHandedOver(s.req, s.box)
+	rung := s.rung
+	if s.phase == connecting || s.phase == setupSent {
+		rung = s.wantRung
 	}
-	// A step that is out stays out; the one to the new bounds follows it.
-	g := t.groups[l.group]
-	l.wantRung = max(min(rung, g.Top, t.top), g.Floor)
-	t.mod.SetCurrentRung(l.id, l.wantRung)
+	// A SET_PARAMETER in flight stays in flight; the change to the new floor or top follows it.
+	g := t.groups[s.group]
+	s.wantRung = max(min(rung, g.Top, t.topRung), g.Floor)
+	t.module.SetCurrentRung(s.id, s.wantRung)
 }
