--- a/choice/delivery/delivery.go
+++ b/choice/delivery/delivery.go
@@ -1,9 +1,9 @@
-// Package delivery decides what a front makes of what it hears from boxes while sessions play: the share of the rate
-// that a box delivers, measured by media time come in over time gone by, and load notes, which come with every
-// session's media and are told once a box. It does no I/O.
+// Package delivery measures which share of the nominal rate each box delivers, as media time received over elapsed
+// time, and limits how often a box's load notes are passed on: they come with every session's media, and one per box
+// is enough. It does no I/O.
 //
-// How it is called: Progress for each playing session at an even pace, then Tick, which gives what to tell the
-// module. Sessions that pause, end or change their source are forgotten with Forget.
+// Usage: call Progress for each playing session at a regular interval, then Tick, which returns the shares to report to
+// the choice module. Call Forget for sessions that pause, end or change their source.
 package delivery
 
 import (
@@ -14,171 +14,177 @@
 )
 
 const (
-	// Shares are told once a second, as the bench's boxes tell them.
-	every = 1.0
-	// A share is measured over so long at least. Frames come some 10 to 50 a second, so the last one's moment is
-	// known to within a tenth of it even at the slowest pace.
-	span = 1.0
-	// Below this a box is short. The module's own bound is 0.98; a loaded machine's late wake-ups made shares of
-	// 0.975 to 1.02 out of an even stream over a second, so a little more must be missing.
-	short = 0.96
-	// A silence of so many seconds counts as time without media; less may lie between two frames.
-	stillness = 0.25
-	// A player that is ahead of the clock is catching up a start burst, not proof of room.
-	most = 1.0
+	// The simulator's boxes report shares at the same interval.
+	reportIntervalSeconds = 1.0
+	// windowSeconds is the minimum time over which a share is measured. At 10 to 50 frames a second the arrival of the
+	// last frame is known to within a tenth of the window.
+	windowSeconds = 1.0
+	// shortThreshold is the share below which a box counts as short. The choice module's own bound is 0.98, but late
+	// wake-ups on a loaded machine turned an even stream into shares of 0.975 to 1.02 over one second.
+	shortThreshold = 0.96
+	// maxFrameGapSeconds is the longest gap between two frames of a running stream; a longer silence counts as time
+	// without media.
+	maxFrameGapSeconds = 0.25
+	// maxShare caps a share: a stream ahead of the clock is a start burst, not a sign of spare capacity.
+	maxShare = 1.0
 )
 
-// ShareReport is what the module is to be told: a box's share, at least 0.98 once it is over.
+// ShareReport is a box's delivered share, to be reported to the choice module. A share of 0.98 or more ends an earlier
+// report of short delivery.
 type ShareReport struct {
 	Box   choice.ServerID
 	Share float64
 }
 
-type sample struct{ now, at, media float64 }
+// sample is a session's progress: at time now it had media up to position media, the newest of which arrived at
+// arrivedAt.
+type sample struct{ now, arrivedAt, media float64 }
 
-type track struct {
-	box  choice.ServerID
-	past [8]sample // oldest first, n of them
-	n    int
+// stream is the recent progress of one session.
+type stream struct {
+	box     choice.ServerID
+	samples [8]sample // the first n are valid, oldest first
+	n       int
 }
 
 type box struct {
-	told  float64 // when
-	short bool    // the last word told was that it is short
-	noted float64 // when a load note was passed on
+	reportedAt      float64
+	reportedShort   bool    // the last report said that the box is short
+	noteForwardedAt float64 // when a load note was last passed on
 }
 
-// Meter holds what one front heard. The zero value is not ready; use New.
+// Meter holds the measurements of one front. The zero value is not ready; use New.
 type Meter struct {
-	noteEvery float64
-	tracks    map[choice.SessID]*track // emptied by Forget
-	boxes     map[choice.ServerID]*box // emptied by Tick once nothing was heard for a minute
+	noteInterval float64
+	streams      map[choice.SessID]*stream // entries are removed by Forget
+	boxes        map[choice.ServerID]*box  // entries are removed by Tick after a minute without media, report or note
 }
 
-// New makes an ear. Boxes send load notes every noteEvery seconds; 0 means that they send none.
-func New(noteEvery float64) *Meter {
-	return &Meter{noteEvery: noteEvery, tracks: map[choice.SessID]*track{}, boxes: map[choice.ServerID]*box{}}
+// New returns an empty Meter. Boxes send load notes every noteInterval seconds; 0 means that they send none.
+func New(noteInterval float64) *Meter {
+	return &Meter{noteInterval: noteInterval, streams: map[choice.SessID]*stream{}, boxes: map[choice.ServerID]*box{}}
 }
 
-// Progress tells that at instant now a session had media up to the media second media, the newest of which came in
-// at instant at.
-func (e *Meter) Progress(id choice.SessID, on choice.ServerID, now, at, media float64) {
-	t := e.tracks[id]
-	// Against a source that was changed or sought: time that runs back starts anew, and so does a leap ahead. A
-	// box that skips media to seem quick is caught by that too. Harm: one second unmeasured.
-	if t == nil || t.box != on || t.n > 0 && (media < t.past[t.n-1].media || media-t.past[t.n-1].media > 10) {
-		t = &track{box: on}
-		e.tracks[id] = t
+// Progress records that at time now a session had media up to position media (in seconds), the newest of which arrived
+// at time at.
+func (m *Meter) Progress(id choice.SessID, on choice.ServerID, now, at, media float64) {
+	t := m.streams[id]
+	// A media time that goes back or leaps ahead means a seek or a changed source, so measuring restarts. That also
+	// guards against a box that skips media to seem fast. Drawback: one second is not measured.
+	if t == nil || t.box != on || t.n > 0 && (media < t.samples[t.n-1].media || media-t.samples[t.n-1].media > 10) {
+		t = &stream{box: on}
+		m.streams[id] = t
 	}
-	if t.n > 0 && now <= t.past[t.n-1].now {
+	if t.n > 0 && now <= t.samples[t.n-1].now {
 		return
 	}
-	if t.n == len(t.past) {
-		copy(t.past[:], t.past[1:])
+	if t.n == len(t.samples) {
+		copy(t.samples[:], t.samples[1:])
 		t.n--
 	}
-	t.past[t.n] = sample{now, at, media}
+	t.samples[t.n] = sample{now, at, media}
 	t.n++
 }
 
-// Forget drops a session that ended, paused or changes its source.
-func (e *Meter) Forget(id choice.SessID) { delete(e.tracks, id) }
+// Forget removes a session that ended, paused or changes its source.
+func (m *Meter) Forget(id choice.SessID) { delete(m.streams, id) }
 
-// share is what a session got over the last span seconds; ok is false before so much is known.
-func (t *track) share() (x float64, ok bool) {
+// share returns the share that a session received over the last windowSeconds; ok is false until that much is known.
+func (t *stream) share() (x float64, ok bool) {
 	if t.n < 2 {
 		return 0, false
 	}
-	last := t.past[t.n-1]
+	last := t.samples[t.n-1]
 	for i := t.n - 2; i >= 0; i-- {
-		p := t.past[i]
-		if last.now-p.now < span {
+		p := t.samples[i]
+		if last.now-p.now < windowSeconds {
 			continue
 		}
-		from, to := p.at, last.at
-		if last.now-last.at > stillness {
+		from, to := p.arrivedAt, last.arrivedAt
+		if last.now-last.arrivedAt > maxFrameGapSeconds {
 			to = last.now
 		}
-		if p.now-p.at > stillness {
-			from = p.now // what was still before is counted already
+		if p.now-p.arrivedAt > maxFrameGapSeconds {
+			from = p.now // the silence before this sample belongs to an earlier window
 		}
 		if to <= from {
 			return 0, true
 		}
-		return min((last.media-p.media)/(to-from), most), true
+		return min((last.media-p.media)/(to-from), maxShare), true
 	}
 	return 0, false
 }
 
-// Tick gives what is due to be told at an instant, by boxes' ids.
-func (e *Meter) Tick(now float64) (told []ShareReport) {
-	type sum struct { // in millionths: whole numbers add up alike in any order
+// Tick returns the reports that are due, sorted by box.
+func (m *Meter) Tick(now float64) (due []ShareReport) {
+	type sum struct { // in millionths: integer sums don't depend on the order of the map
 		x, n int64
 	}
 	sums := map[choice.ServerID]sum{}
-	for _, t := range e.tracks {
+	for _, t := range m.streams {
 		if x, ok := t.share(); ok {
 			s := sums[t.box]
 			sums[t.box] = sum{s.x + int64(x*1e6), s.n + 1}
 		}
 	}
 	for id, s := range sums {
-		b := e.box(id)
+		b := m.box(id)
 		x := float64(s.x) / float64(s.n) / 1e6
-		if now-b.told < every {
+		if now-b.reportedAt < reportIntervalSeconds {
 			continue
 		}
-		if x < short {
-			told = append(told, ShareReport{id, math.Round(x*1e4) / 1e4})
-			b.told, b.short = now, true
-		} else if b.short {
-			told = append(told, ShareReport{id, 1})
-			b.told, b.short = now, false
+		if x < shortThreshold {
+			due = append(due, ShareReport{id, math.Round(x*1e4) / 1e4})
+			b.reportedAt, b.reportedShort = now, true
+		} else if b.reportedShort {
+			due = append(due, ShareReport{id, 1})
+			b.reportedAt, b.reportedShort = now, false
 		}
 	}
-	for id, b := range e.boxes {
-		if now-max(b.told, b.noted) > 60 && sums[id].n == 0 {
-			delete(e.boxes, id)
+	for id, b := range m.boxes {
+		if now-max(b.reportedAt, b.noteForwardedAt) > 60 && sums[id].n == 0 {
+			delete(m.boxes, id)
 		}
 	}
-	slices.SortFunc(told, func(a, b ShareReport) int { return int(a.Box) - int(b.Box) })
-	return told
+	slices.SortFunc(due, func(a, b ShareReport) int { return int(a.Box) - int(b.Box) })
+	return due
 }
 
-func (e *Meter) box(id choice.ServerID) *box {
-	b := e.boxes[id]
+func (m *Meter) box(id choice.ServerID) *box {
+	b := m.boxes[id]
 	if b == nil {
-		b = &box{told: -every, noted: math.Inf(-1)}
-		e.boxes[id] = b
+		b = &box{reportedAt: -reportIntervalSeconds, noteForwardedAt: math.Inf(-1)}
+		m.boxes[id] = b
 	}
 	return b
 }
 
-// AcceptNote tells whether a load note that came with a session's media is passed on: once a box and half a period, as
-// boxes send one with each session, and the bench's front hears one. A box that floods notes gains nothing.
-func (e *Meter) AcceptNote(on choice.ServerID, now, link, uplink float64) bool {
-	if e.noteEvery <= 0 || !sane(link) || !(sane(uplink) || uplink < 0) {
+// AcceptNote reports whether a load note that came with a session's media is passed on: at most one per box and half a
+// note interval, since a box sends a note with each of its sessions, and a front in the simulator receives only one. A box
+// that floods notes gains nothing.
+func (m *Meter) AcceptNote(on choice.ServerID, now, link, uplink float64) bool {
+	if m.noteInterval <= 0 || !plausible(link) || !(plausible(uplink) || uplink < 0) {
 		return false
 	}
-	b := e.box(on)
-	if now-b.noted < e.noteEvery/2 {
+	b := m.box(on)
+	if now-b.noteForwardedAt < m.noteInterval/2 {
 		return false
 	}
-	b.noted = now
+	b.noteForwardedAt = now
 	return true
 }
 
-// sane tells whether a load can be true. Against a broken box: past a hundred times what a link gives, or no number
-// at all, is a fault of the figure, and would stay in the module's smoothed ones.
-func sane(x float64) bool { return x >= 0 && x <= 100 }
+// plausible reports whether a load can be real. It guards against faulty boxes: a load above a hundred times the link's
+// capacity, or NaN, would persist in the choice module's smoothed values.
+func plausible(x float64) bool { return x >= 0 && x <= 100 }
 
-// SanitizeReport makes a report of figures that a box sent; what can't be true counts as not told.
+// SanitizeReport makes a report of the figures that a box sent; implausible ones count as not reported.
 func SanitizeReport(link, uplink float64, capped bool) choice.Report {
 	r := choice.Report{Link: -1, Uplink: -1}
-	if sane(link) {
+	if plausible(link) {
 		r.Link, r.Capped = link, capped
 	}
-	if sane(uplink) {
+	if plausible(uplink) {
 		r.Uplink = uplink
 	}
 	return r
--- a/choice/restore/restore.go
+++ b/choice/restore/restore.go
@@ -1,8 +1,9 @@
-// Package restore decides what a front that starts believes of what an earlier one had stored, after how long a gap. It
-// does no I/O.
+// Package restore decides which parts of a saved state a starting front takes over, depending on the state's age. It does
+// no I/O.
 //
-// The measure is that a stored word must never break a rule that forgetting would keep. What makes the front more careful
-// is believed as long as it can matter; what would let it do more is believed only where it is a fact of the past.
+// The criterion: saved state must never make the front break a rule that it would keep when starting from nothing. State
+// that makes the front more careful is restored for as long as it can matter; state that would permit more is restored
+// only where it is a fact of the past.
 package restore
 
 import (
@@ -13,80 +14,80 @@
 	"rainhaven/choice"
 )
 
-// Snapshot is what was kept.
+// Snapshot is the saved state of a front. Its JSON names are part of the format of the state file.
 type Snapshot struct {
-	SavedAt   float64       `json:"Saved"` // instant of the keeping
-	CleanExit bool          `json:"Clean"` // the front had ended in order: nothing came after it
+	SavedAt   float64       `json:"Saved"` // time of the snapshot
+	CleanExit bool          `json:"Clean"` // the front shut down in order, so nothing happened after the snapshot
 	Memory    choice.Memory `json:"Memory"`
 }
 
-// Config are the figures of the front that starts.
+// Config holds the settings of the starting front.
 type Config struct {
-	WindowSeconds, BaseAllowance, RetryShare float64 // the ration's
+	WindowSeconds, BaseAllowance, RetryShare float64 // of the retry budget
 	WarmUpSeconds                            float64
 }
 
 const (
-	// Clocks that run a little apart, or are set by a little, are no reason to forget.
-	setBack = 1.0
-	// A box set aside answers probes within seconds once it is well; past half a minute it is asked like any other.
-	asideTime = 30.0
-	// Other fronts' demand fades by e in 30 s in the module itself; past two minutes nothing of it is left.
-	readingTime = 120.0
-	// Short notes fade by e in 5 s.
-	liftTime = 30.0
+	// clockToleranceSeconds is the step back of the clock that is still ignored: clocks drift and are adjusted a little.
+	clockToleranceSeconds = 1.0
+	// An ejected box answers probes within seconds of its recovery; after half a minute it is tried like any other.
+	ejectedMaxAgeSeconds = 30.0
+	// The choice module lets other fronts' demand decay by a factor of e in 30 s; after two minutes nothing of it is left.
+	demandMaxAgeSeconds = 120.0
+	// The lift from reports of short delivery decays by a factor of e in 5 s.
+	liftMaxAgeSeconds = 30.0
 	// The mean load of all links follows the time of day.
-	usualTime = 600.0
-	// Sizes of links and a box's gaps between signs of life change with hardware; what own sessions showed an hour ago
-	// may be of another day's other traffic.
-	learnedTime = 3600.0
+	meanLoadMaxAgeSeconds = 600.0
+	// Link capacities and a box's intervals between signs of life change with the hardware; what own sessions showed an
+	// hour ago may come from a different traffic pattern.
+	learnedMaxAgeSeconds = 3600.0
 )
 
-// FromSnapshot gives what the front starts with, and what there is to say of it.
-func FromSnapshot(now float64, s Snapshot, t Config) (m choice.Memory, say []string) {
+// FromSnapshot returns the state that the front starts with, and messages for the log.
+func FromSnapshot(now float64, s Snapshot, c Config) (m choice.Memory, messages []string) {
 	age := now - s.SavedAt
-	if age < -setBack {
-		// The clock was set back between the runs: instants of before can't be told from ones to come. What makes
-		// careful is taken as of this moment; all else is forgotten.
-		say = append(say, fmt.Sprintf("the clock was set back by %.0f s: only what makes careful is believed", -age))
-		return careful(now, s, t), say
+	if age < -clockToleranceSeconds {
+		// The clock was set back between the runs, so saved times can't be told from future ones. Only state that makes
+		// the front more careful is restored, with the present time.
+		messages = append(messages, fmt.Sprintf("the clock was set back by %.0f s: restoring only the used retry budget and cold boxes", -age))
+		return conservative(now, s, c), messages
 	}
 	age = max(age, 0)
-	m = ration(now, s, t)
+	m = requestWindow(now, s, c)
 	if added := len(m.Further) - len(s.Memory.Further); added > 0 && !s.CleanExit {
-		say = append(say, fmt.Sprintf("the last front did not end in order: no further SETUPs for %.0f s, it may have used the ration up", t.WindowSeconds))
+		messages = append(messages, fmt.Sprintf("the last process did not shut down cleanly and may have used up the retry budget: no retries for %.0f s", c.WindowSeconds))
 	}
 	for _, r := range s.Memory.Servers {
-		b := choice.Remembered{ID: r.ID, Born: born(now, r.Born), Slot: -1}
-		if age < asideTime {
+		b := choice.Remembered{ID: r.ID, Born: startTime(now, r.Born), Slot: -1}
+		if age < ejectedMaxAgeSeconds {
 			b.Aside, b.Full = r.Aside, min(r.Full, now+1)
 		}
-		if age < learnedTime && positive(r.Gap) && positive(r.Dev) {
-			// Silence is judged from now on: nobody listened meanwhile.
+		if age < learnedMaxAgeSeconds && positive(r.Gap) && positive(r.Dev) {
+			// Silence counts from now on: nothing was received while no front ran.
 			b.Gap, b.Dev, b.Heard = r.Gap, r.Dev, now
 		}
-		b.Link = reading(now, age, r.Link)
+		b.Link = linkReading(now, age, r.Link)
 		m.Servers = append(m.Servers, b)
 	}
 	for _, r := range s.Memory.Uplinks {
-		m.Uplinks = append(m.Uplinks, reading(now, age, r))
+		m.Uplinks = append(m.Uplinks, linkReading(now, age, r))
 	}
-	if age < usualTime && sound(s.Memory.Usual[0]) && sound(s.Memory.Usual[1]) && sound(s.Memory.UsualAt) {
-		m.Usual = s.Memory.Usual // UsualAt goes with this front's own sessions, of which there are none
+	if age < meanLoadMaxAgeSeconds && nonNegative(s.Memory.Usual[0]) && nonNegative(s.Memory.Usual[1]) && nonNegative(s.Memory.UsualAt) {
+		m.Usual = s.Memory.Usual // UsualAt depends on own sessions, and a starting front has none
 	}
-	return m, say
+	return m, messages
 }
 
-// ration keeps requests and further SETUPs of the last window. Where the last front was killed, what it did after it had
-// kept them is not known: it may have used what was left, so that much counts as used now. Forgetting would allow the
-// spare ones anew.
-func ration(now float64, s Snapshot, t Config) (m choice.Memory) {
-	if t.WindowSeconds <= 0 {
+// requestWindow restores the first SETUPs and the retries of the last window. What a killed front did after its last
+// snapshot is unknown: it may have spent the rest of the retry budget, so the rest counts as spent now. Starting from nothing
+// would grant the base allowance a second time.
+func requestWindow(now float64, s Snapshot, c Config) (m choice.Memory) {
+	if c.WindowSeconds <= 0 {
 		return m
 	}
 	within := func(list []float64) (out []float64) {
 		for _, x := range list {
-			if x <= now && now-x <= 1.02*t.WindowSeconds {
+			if x <= now && now-x <= 1.02*c.WindowSeconds {
 				out = append(out, x)
 			}
 		}
@@ -94,29 +95,32 @@
 		return out
 	}
 	m.Taken, m.Further = within(s.Memory.Taken), within(s.Memory.Further)
-	if !s.CleanExit && now-s.SavedAt <= 1.02*t.WindowSeconds {
-		m.Further = fill(now, m.Further, t.BaseAllowance+t.RetryShare*float64(len(m.Taken)))
+	if !s.CleanExit && now-s.SavedAt <= 1.02*c.WindowSeconds {
+		m.Further = spendBudget(now, m.Further, c.BaseAllowance+c.RetryShare*float64(len(m.Taken)))
 	}
 	return m
 }
 
-// fill counts the ration as used up at an instant. A ration is some tens; the bound is against figures that are wrong.
-func fill(now float64, further []float64, budget float64) []float64 {
-	for n := min(budget, 10000); float64(len(further)) < n; {
-		further = append(further, now)
+// maxRestoredRetries guards against wrong figures: a retry budget is some tens.
+const maxRestoredRetries = 10000
+
+// spendBudget adds retries at time now until the whole budget is spent.
+func spendBudget(now float64, retries []float64, budget float64) []float64 {
+	for n := min(budget, maxRestoredRetries); float64(len(retries)) < n; {
+		retries = append(retries, now)
 	}
-	return further
+	return retries
 }
 
-// careful keeps of a memory whose instants mean nothing what makes careful: the ration counts as used, boxes that were
-// cold are cold from now.
-func careful(now float64, s Snapshot, t Config) (m choice.Memory) {
-	if t.WindowSeconds > 0 {
-		m.Further = fill(now, nil, t.BaseAllowance)
+// conservative restores a snapshot whose times are meaningless: the base allowance of the retry budget counts as spent, and
+// boxes that were cold are cold from now on.
+func conservative(now float64, s Snapshot, c Config) (m choice.Memory) {
+	if c.WindowSeconds > 0 {
+		m.Further = spendBudget(now, nil, c.BaseAllowance)
 	}
 	for _, r := range s.Memory.Servers {
 		b := choice.Remembered{ID: r.ID, Slot: -1}
-		if r.Born > 0 && s.SavedAt-r.Born < t.WarmUpSeconds {
+		if r.Born > 0 && s.SavedAt-r.Born < c.WarmUpSeconds {
 			b.Born = now
 		}
 		m.Servers = append(m.Servers, b)
@@ -124,32 +128,34 @@
 	return m
 }
 
-// born is a box's last start. The list may not tell starts; then only a front that saw the box come knows that it is cold.
-func born(now, at float64) float64 {
+// startTime returns a box's last start, 0 if unknown. Where the list of boxes has no start times, only a front that saw the
+// box appear knows that it is cold.
+func startTime(now, at float64) float64 {
 	if !(at > 0) {
 		return 0
 	}
 	return min(at, now)
 }
 
-func reading(now, age float64, r choice.Reading) (b choice.Reading) {
+// linkReading restores the parts of a link's reading that are recent enough; nothing if a value is invalid.
+func linkReading(now, age float64, r choice.Reading) (b choice.Reading) {
 	for _, x := range []float64{r.Told, r.Size, r.Rest, r.Read, r.Top, r.Load, r.Seen, r.Lift, r.Lifted} {
-		if !sound(x) {
+		if !nonNegative(x) {
 			return b
 		}
 	}
-	if age < learnedTime && r.Told > 0 && r.Size >= r.Told {
+	if age < learnedMaxAgeSeconds && r.Told > 0 && r.Size >= r.Told {
 		b.Told, b.Size = r.Told, r.Size
 	}
-	if age < readingTime && r.Read <= now {
-		// Top stays out: own sessions' growth since is told from none, and this front has none.
+	if age < demandMaxAgeSeconds && r.Read <= now {
+		// Top is left out: it is the base for the growth of own sessions' demand, and a starting front has no sessions.
 		b.Rest, b.Read, b.Load, b.Seen = r.Rest, r.Read, r.Load, min(r.Seen, now)
 	}
-	if age < liftTime && r.Lifted <= now {
+	if age < liftMaxAgeSeconds && r.Lifted <= now {
 		b.Lift, b.Lifted = r.Lift, r.Lifted
 	}
 	return b
 }
 
-func sound(x float64) bool    { return x >= 0 && !math.IsInf(x, 0) }
-func positive(x float64) bool { return x > 0 && !math.IsInf(x, 0) }
+func nonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+func positive(x float64) bool    { return x > 0 && !math.IsInf(x, 0) }
