--- a/choice/delivery/delivery_test.go
+++ b/choice/delivery/delivery_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestNotesAreLimitedPerBox(t *testing.T) {
+func TestNotesOnceABox(t *testing.T) {
 	m, passed := New(3), 0
 	for i := range 1000 {
 		if m.AcceptNote(7, float64(i)*0.03, 0.5, -1) { // as many as ten sessions send in 30 s
