--- a/choice/share/share.go
+++ b/choice/share/share.go
@@ -1,89 +1,96 @@
-// Package share decides how one front node's descriptors are shared out between viewers and servers, which viewers'
-// connections give way, which connection carries a SETUP, and how long requests and sessions are let go on. It does no I/O.
+// Package share divides a front node's file descriptors between viewers and servers. It decides which viewer's connection is
+// closed to make room, which connection carries a SETUP, and how long requests and sessions may take. It does no I/O.
 package share
 
-// MaxViewerConns is how many viewers' connections are held together beside so many to servers: usual viewers hold at most a
-// third of all descriptors, and as many again may be held by others until their age tells them apart. A tenth of all is
-// nobody's, so that the coordinator's connection, the listener and the program itself never want for one.
+// MaxViewerConns is the maximum number of viewers' connections beside the given number of connections to servers. Usual
+// viewers hold at most a third of all descriptors, and misbehaving ones may hold as many again until they can be told apart
+// by their age. A tenth of all is reserved, so that the coordinator's connection, the listener and the program itself never
+// run out.
 func MaxViewerConns(descriptors, servers int) int {
 	return max(min(descriptors*55/100, descriptors*90/100-servers), descriptors*36/100, 8)
 }
 
-// AcceptSlack is how many viewers' connections past their share are accepted before others have given way to them. Harm: so many
-// descriptors less of the tenth that is nobody's.
+// AcceptSlack is the number of viewers' connections accepted above MaxViewerConns before others have been closed for them.
+// Drawback: they take that many descriptors from the reserved tenth.
 const AcceptSlack = 4
 
-// MaxConnsPerServer is how many connections one server may have: what viewers, the coordinator and the program itself leave,
-// split among the servers, within 1 to 8. A SETUP has a connection for itself where it can, as a spoilt answer ends
-// all that its connection carries.
+// MaxConnsPerServer is the maximum number of connections to one server: the descriptors that viewers, the coordinator and the
+// program itself leave, divided among the servers, within 1 to 8. Where possible each SETUP has a connection of its own,
+// because a malformed answer ends all requests on its connection.
 func MaxConnsPerServer(descriptors, servers int) int {
 	return min(max((descriptors*35/100)/max(servers, 1), 1), 8)
 }
 
-// MaxServerConns is how many connections all servers may have together, PerServer or not: with as many servers as descriptors,
-// one each would leave the coordinator and the listener none.
+// MaxServerConns is the maximum number of connections to all servers together, whatever MaxConnsPerServer allows: with as
+// many servers as descriptors, one connection to each would leave none for the coordinator and the listener.
 func MaxServerConns(descriptors int) int { return max(descriptors*54/100, 8) }
 
 const (
-	// MessageTimeout is how many seconds a viewer's connection may take to send its first whole message, and each further one
-	// from its first byte: usual viewers send at once; against silent and half ones, who are owed a close within 3 s.
+	// MessageTimeout is the time in seconds for a viewer's connection to send its first complete message, and for each later
+	// message from its first byte. Usual viewers send at once; silent connections and those with half a message must be
+	// closed within 3 s.
 	MessageTimeout = 2.0
-	// unused is how many seconds a connection without sessions is kept: viewers close theirs after 4 s. Against
-	// viewers who ask once and hold their connection for good.
-	unused = 6.0
-	// MaxPendingPerConn is how many requests of one connection may be without their answers, and openInAll of all; more are
-	// busy-replied, as nothing of them ran. Usual connections of the platform carry some tens.
-	MaxPendingPerConn, openInAll = 64, 512
-	// AnswerMargin is how many seconds an answer may take on its way back to the viewer, whose patience began when it sent its
-	// SETUP: some 1 ms each way and what a busy core adds. Much more would cut short SETUPs that would still be served.
+	// idleTimeoutSeconds is how long a connection without sessions is kept: viewers close theirs after 4 s. It guards against
+	// viewers that send one request and hold their connection forever.
+	idleTimeoutSeconds = 6.0
+	// MaxPendingPerConn bounds the unanswered requests of one connection, and maxPendingTotal those of all connections.
+	// Further ones get a busy reply, as no work has been done for them. Usual connections of the platform carry some tens.
+	MaxPendingPerConn, maxPendingTotal = 64, 512
+	// AnswerMargin is the time in seconds reserved for an answer's way back to the viewer, whose timeout started when it sent
+	// its SETUP: about 1 ms each way, and the delay of a busy core. Much more would abort SETUPs that would still be served.
 	AnswerMargin = 0.012
-	// wrong is how many of a connection's requests may be refused as malformed before it is closed.
-	wrong = 8
+	// maxMalformedRequests is the number of malformed requests after which a connection is closed.
+	maxMalformedRequests = 8
 )
 
-// ConnUsage is what decides whether a viewer's connection gives way.
+// ConnUsage is the state of a viewer's connection that decides whether and in which order it is closed.
 type ConnUsage struct {
-	SentMessage      bool // it has sent a whole message
-	RequestedSession bool // it has asked for a session
-	Pending          int  // requests without their answers
-	Established      int  // sessions whose release it waits for
-	Malformed        int  // requests of its that made no sense
+	SentMessage      bool // it has sent a complete message
+	RequestedSession bool // it has requested a session
+	Pending          int  // unanswered requests
+	Established      int  // established sessions, whose release it still waits for
+	Malformed        int  // malformed requests
 	OpenedAt         float64
-	LastUsed         float64 // when it last had something of a session's to do
+	LastUsed         float64 // when it last sent a message, or a session of its ended
 }
 
-// Idle tells whether a connection has been without sessions for too long.
+// Idle reports whether a connection has been without sessions for too long.
 func (h ConnUsage) Idle(now float64) bool {
-	return h.SentMessage && h.Pending == 0 && h.Established == 0 && now-h.LastUsed > unused
+	return h.SentMessage && h.Pending == 0 && h.Established == 0 && now-h.LastUsed > idleTimeoutSeconds
 }
 
-// TooManyMalformed tells whether a connection without sessions has sent enough that makes no sense.
+// TooManyMalformed reports whether a connection without sessions has sent so many malformed requests that it is closed.
 func (h ConnUsage) TooManyMalformed() bool {
-	return h.Malformed >= wrong && h.Pending == 0 && h.Established == 0
+	return h.Malformed >= maxMalformedRequests && h.Pending == 0 && h.Established == 0
 }
 
-// TooManyPending tells whether one more request of a connection is turned away, with so many open in all.
-func (h ConnUsage) TooManyPending(all int) bool {
-	return h.Pending >= MaxPendingPerConn || all >= openInAll
+// TooManyPending reports whether a further request on the connection is refused, with total unanswered requests on all
+// connections.
+func (h ConnUsage) TooManyPending(total int) bool {
+	return h.Pending >= MaxPendingPerConn || total >= maxPendingTotal
 }
 
-// MaxHandedOver is how many sessions that stand already are taken in, by memory: a session takes about a kilobyte, and a tenth
-// of the smallest node's memory holds what the largest usual one is handed. Against viewers who claim sessions without end.
+// MaxHandedOver is the maximum number of established sessions that a node takes over, by its memory. A session takes about a
+// kilobyte, and a tenth of the smallest node's memory holds as many as the largest usual node takes over. It guards against
+// viewers that claim sessions without end.
 func MaxHandedOver(megabytes int) int { return 100 * max(megabytes, 16) }
 
-// Stale tells whether a connection to a server, unused since then, is closed before its peer closes it after idle seconds.
-func Stale(now, since, idle float64) bool { return idle > 0 && now-since > 0.8*idle }
+// Stale reports whether a connection to a server that was last used at lastUsed is to be closed, before the server closes it
+// after idle seconds.
+func Stale(now, lastUsed, idle float64) bool { return idle > 0 && now-lastUsed > 0.8*idle }
 
-// fresh is how many seconds a new connection has before its silence counts: usual viewers send within milliseconds.
-const fresh = 0.25
+// silenceGraceSeconds is how long a new connection may be silent without a lower rank: usual viewers send within
+// milliseconds.
+const silenceGraceSeconds = 0.25
 
-// EvictionRank orders connections for giving way: the lowest goes first, the one unused longest of a rank; below 0 never goes.
-// Against hundreds that say nothing, or only tests, and would have usual viewers' new ones turned away in their place.
+// EvictionRank orders connections for closing: the lowest rank is closed first, and within a rank the one unused longest. A
+// connection with a negative rank is never closed. It guards against hundreds of connections that are silent or only send
+// probes, for which new ones of usual viewers would be refused.
 func (h ConnUsage) EvictionRank(now float64) int {
 	switch {
 	case h.Pending > 0:
 		return -1
-	case !h.SentMessage && now-h.OpenedAt >= fresh:
+	case !h.SentMessage && now-h.OpenedAt >= silenceGraceSeconds:
 		return 0
 	case h.SentMessage && !h.RequestedSession:
 		return 1
@@ -95,59 +102,64 @@
 	return 4
 }
 
-// DrainSeconds is how many seconds sessions may play on after SIGTERM: SIGKILL follows after the longest setup timeout, counted
-// as 3 s where it is longer, and 0.7 s at the earliest; a little before, all that was asked is answered.
+// DrainSeconds is how long sessions may play on after SIGTERM. SIGKILL follows no earlier than 0.7 s after the longest setup
+// timeout, which counts as at most 3 s; shortly before that every request must have been answered.
 func DrainSeconds(setupTimeout float64) float64 { return min(setupTimeout, 3) + 0.55 }
 
-// ServerConn is one connection to a server, as far as it matters for who carries a SETUP.
+// ServerConn is the state of a connection to a server that decides whether it carries a SETUP.
 type ServerConn struct {
-	Up       bool // it is open; else it is being opened
-	Pending  int  // SETUPs out on it, or waiting for it
+	Up       bool // it is open; otherwise it is being opened
+	Pending  int  // SETUPs in flight on it, or waiting for it to open
 	LastUsed float64
 }
 
-// OpenNew and NoConn tell that a SETUP goes over a new connection, or can't go.
+// Results instead of an index: OpenNew means that the SETUP takes a new connection, NoConn that no connection is available.
 const OpenNew, NoConn = -1, -2
 
-// PickIdle tells which of the connections to servers gives way to a new one: the one unused longest of those that carry
-// nothing; None where all carry something.
+// PickIdle returns the index of the connection to close in favour of a new one: among those without pending SETUPs the one
+// unused longest, or NoConn if there is none.
 func PickIdle(list []ServerConn) int {
-	first := NoConn
+	oldest := NoConn
 	for i, c := range list {
-		if c.Up && c.Pending == 0 && (first == NoConn || c.LastUsed < list[first].LastUsed) {
-			first = i
+		if c.Up && c.Pending == 0 && (oldest == NoConn || c.LastUsed < list[oldest].LastUsed) {
+			oldest = i
 		}
 	}
-	return first
+	return oldest
 }
 
-// AssumedArrivalSeconds is how many seconds after it was sent a message that belongs to no connection counts as arrived if its connection
-// ends: its peer may have closed just before, and what came then was thrown away. Heard twice it says nothing new.
+// AssumedArrivalSeconds is the time in seconds after which a sent message that is not bound to its connection counts as
+// arrived although the connection ends. The peer may have closed just before and discarded it, so a more recent message is
+// sent again; receiving it twice has no effect.
 const AssumedArrivalSeconds = 0.25
 
-// MaxResends is how many times a SETUP of which nothing left goes over a new connection to the same server: one cut while
-// idle is common; against a server that takes connections and ends each, which would be opened anew without end.
+// MaxResends is how often a SETUP of which nothing was sent is moved to a new connection to the same server. Connections cut
+// while idle are common; the limit guards against a server that accepts connections and closes each, to which connections
+// would be opened without end.
 const MaxResends = 1
 
-// OvertakenAnswerWait is how many seconds an answer that its session's release has overtaken on another connection is waited for: connections
-// of one server differ by a few milliseconds, and by some tens where one of them is crowded. Harm: a client that is refused so
-// much later where no answer comes.
+// OvertakenAnswerWait is the time in seconds to wait for an answer that was overtaken by its session's release on another
+// connection. The delays of a server's connections differ by a few milliseconds, or some tens if one of them is congested.
+// Drawback: where no answer comes, the client's refusal is that much later.
 const OvertakenAnswerWait = 0.05
 
-// MaxLocalRetries is how many times a SETUP is tried again for which the own machine had no connection to give, and LocalRetryDelay
-// after how many seconds: descriptors and ports come back as connections close. Harm: an answer that comes so much later.
+// A SETUP for which this machine could not open a connection is tried again up to MaxLocalRetries times, after
+// LocalRetryDelay seconds each: descriptors and ports become free as connections close. Drawback: the answer is that much
+// later.
 const (
 	MaxLocalRetries = 3
 	LocalRetryDelay = 0.02
 )
 
-// ListenTimeout is how many seconds a process that starts tries to get its address: one before it may just be ending. Nine in ten
-// restarted ones are to be ready within 10 s.
+// ListenTimeout is the time in seconds during which a starting process tries to bind its address, as its predecessor may
+// still be shutting down. Nine in ten restarted processes must be ready within 10 s.
 const ListenTimeout = 5.0
 
-// PickConn tells which of a server's connections carries a SETUP: an open one that carries none, the one used last; else a
-// new one, up to most of them; else the one that carries fewest, within streams where that is above 0.
-func PickConn(list []ServerConn, most, streams int) int {
+// PickConn returns the index of the connection that carries a SETUP to a server: an open one without pending SETUPs, of
+// several the one used last; otherwise OpenNew if there are fewer than maxConns connections; otherwise the one with the
+// fewest pending SETUPs. maxPerConn limits the pending SETUPs of a connection if it is above 0; NoConn means that no
+// connection has room.
+func PickConn(list []ServerConn, maxConns, maxPerConn int) int {
 	best := OpenNew
 	for i, c := range list {
 		if best == OpenNew {
@@ -162,9 +174,9 @@
 	switch {
 	case best != OpenNew && list[best].Pending == 0 && list[best].Up:
 		return best
-	case len(list) < most && (best == OpenNew || list[best].Pending > 0):
+	case len(list) < maxConns && (best == OpenNew || list[best].Pending > 0):
 		return OpenNew
-	case best == OpenNew || streams > 0 && list[best].Pending >= streams:
+	case best == OpenNew || maxPerConn > 0 && list[best].Pending >= maxPerConn:
 		return NoConn
 	}
 	return best
--- a/choice/slowstart/slowstart.go
+++ b/choice/slowstart/slowstart.go
@@ -6,8 +6,8 @@
 // random, independently of the others: it divides time into short slots of its own, and draws for each slot how many requests
 // it may send. The total is then close to a Poisson variable, and the mean is chosen so that the platform's bound lies 6.5
 // standard deviations above it. This needs no common clock, no communication and no state across restarts. Drawbacks: a slot
-// that was drawn open but gets no request is wasted; where all servers that hold a title are starting, most of its requests
-// are refused until they are warm.
+// that was drawn open but gets no request is wasted, like an unused turn where processes take turns; where all servers that
+// hold a title are starting, most of its requests are refused until they are warm.
 package slowstart
 
 import "math"
