--- a/choice/liveness/liveness.go
+++ b/choice/liveness/liveness.go
@@ -1,46 +1,50 @@
-// Package liveness decides what a front node does about servers that hold standing sessions and may have died: when it
-// opens a connection to hear their releases, when it tests them, and when their sessions count as ended. No connection
-// owns a session that stands, so a break alone means nothing. It does no I/O.
+// Package liveness decides how a front node watches servers with established sessions: when it opens a connection to receive
+// their releases, when it probes them, and when their sessions count as ended. An established session is not bound to a
+// connection, so a lost connection alone means nothing. It does no I/O.
 package liveness
 
 const (
-	// Quiet is how many seconds of silence from a server that holds sessions bring a test. A server that hangs resets its
-	// sessions after 3 s itself, and of a process that dies its connections tell, so only machines that vanish wait for this.
-	// Among hundreds of front nodes with a session or two at each server a test a second was nearly one a request, 0.08 of a
-	// session each. Harm: viewers of a machine that vanished wait for longer.
-	quiet = 4.5
-	// Retest is how many seconds lie between tests of a server that stays silent.
-	retest = 1.0
-	// Lost is how many seconds of silence, two tests and more within them, end a server's sessions: what can't be released is
-	// owed its end within 8 s. Harm: a standstill of such a length costs all its sessions a new set-up.
-	lost = 7.0
-	// Pause is how many seconds lie between connections tried.
-	pause = 0.25
+	// probeAfterSeconds is the silence after which a server with sessions is probed. A server that hangs resets its sessions
+	// itself after 3 s, and a process that dies is noticed by its closed connections, so this matters only for machines that
+	// vanish. With hundreds of front nodes that have a session or two at each server, probing every second meant nearly one
+	// probe per request, at a cost of 0.08 sessions each. Drawback: viewers of a vanished machine wait longer.
+	probeAfterSeconds = 4.5
+	// probeIntervalSeconds separates the probes of a server that stays silent.
+	probeIntervalSeconds = 1.0
+	// lostAfterSeconds is the silence, with at least two probes in it, after which a server's sessions count as ended:
+	// sessions that can't be released must end within 8 s. Drawback: after a stall of that length all sessions of the server
+	// have to be set up again.
+	lostAfterSeconds = 7.0
+	// dialIntervalSeconds separates attempts to connect.
+	dialIntervalSeconds = 0.25
 )
 
-// Monitor is what is known of one server while sessions stand there. The zero value has heard nothing.
+// Monitor tracks one server while it has established sessions. The zero value is ready: its silence counts from the first
+// Check.
 type Monitor struct {
-	heard, tried, tested float64
+	lastHeardAt, lastDialAt, lastProbeAt float64
 }
 
-// Heard tells that a message came from the server; that a connection was taken proves no living process.
-func (w *Monitor) Heard(now float64) { w.heard = now }
+// Heard records a message from the server. An accepted connection is not enough: the kernel accepts it for a process that
+// hangs.
+func (m *Monitor) Heard(now float64) { m.lastHeardAt = now }
 
-// Action is what a look at a server asks for.
+// Action is what Check asks the caller to do: open a connection, send a probe, or end the server's sessions. At most one is
+// set.
 type Action struct{ Connect, Probe, Lost bool }
 
-// Check tells what to do: up is how many connections are open, opening whether one is being opened.
-func (w *Monitor) Check(now float64, up int, opening bool) (d Action) {
-	if w.heard == 0 {
-		w.heard = now
+// Check returns what is to be done now. up is the number of open connections, opening whether one is being opened.
+func (m *Monitor) Check(now float64, up int, opening bool) (a Action) {
+	if m.lastHeardAt == 0 {
+		m.lastHeardAt = now
 	}
 	switch {
-	case now-w.heard >= lost:
-		d.Lost = true
-	case up == 0 && !opening && now-w.tried >= pause:
-		d.Connect, w.tried = true, now
-	case up > 0 && now-w.heard >= quiet && now-w.tested >= retest:
-		d.Probe, w.tested = true, now
+	case now-m.lastHeardAt >= lostAfterSeconds:
+		a.Lost = true
+	case up == 0 && !opening && now-m.lastDialAt >= dialIntervalSeconds:
+		a.Connect, m.lastDialAt = true, now
+	case up > 0 && now-m.lastHeardAt >= probeAfterSeconds && now-m.lastProbeAt >= probeIntervalSeconds:
+		a.Probe, m.lastProbeAt = true, now
 	}
-	return d
+	return a
 }
--- a/choice/liveness/liveness_test.go
+++ b/choice/liveness/liveness_test.go
@@ -6,64 +6,65 @@
 	"pgregory.net/rapid"
 )
 
-// days plays a server that answers tests or not, and gives when its sessions counted as lost, 0 for never.
-func days(until float64, up func(now float64) int, answers func(now float64) bool) (lost float64, tests, connects int) {
-	var w Monitor
+// simulate runs a Monitor against a server that answers probes or not, and returns when its sessions counted as lost, 0 for
+// never, and the numbers of probes and attempts to connect.
+func simulate(until float64, up func(now float64) int, answers func(now float64) bool) (lost float64, probes, connects int) {
+	var m Monitor
 	for now := 100.0; now < 100+until; now += 0.1 {
-		d := w.Check(now, up(now), false)
-		if d.Lost {
-			return now - 100, tests, connects
+		a := m.Check(now, up(now), false)
+		if a.Lost {
+			return now - 100, probes, connects
 		}
-		if d.Probe {
-			tests++
+		if a.Probe {
+			probes++
 			if answers(now) {
-				w.Heard(now)
+				m.Heard(now)
 			}
 		}
-		if d.Connect {
+		if a.Connect {
 			connects++
 		}
 	}
-	return 0, tests, connects
+	return 0, probes, connects
 }
 
 func TestWatch(t *testing.T) {
 	one, none := func(float64) int { return 1 }, func(float64) int { return 0 }
 	yes, no := func(float64) bool { return true }, func(float64) bool { return false }
-	if lost, tests, _ := days(60, one, yes); lost != 0 || tests > 60/4 {
-		t.Errorf("a quiet server: lost at %v, %d tests", lost, tests)
+	if lost, probes, _ := simulate(60, one, yes); lost != 0 || probes > 60/4 {
+		t.Errorf("a server that answers probes: lost at %v, %d probes", lost, probes)
 	}
-	if lost, tests, _ := days(60, one, no); lost < 6.5 || lost > 7.5 || tests < 2 {
-		t.Errorf("a silent server: lost at %v, %d tests", lost, tests)
+	if lost, probes, _ := simulate(60, one, no); lost < 6.5 || lost > 7.5 || probes < 2 {
+		t.Errorf("a silent server: lost at %v, %d probes", lost, probes)
 	}
-	if lost, _, connects := days(60, none, no); lost < 6.5 || lost > 7.5 || connects < 20 || connects > 28 {
-		t.Errorf("no connection: lost at %v, %d tried", lost, connects)
+	if lost, _, connects := simulate(60, none, no); lost < 6.5 || lost > 7.5 || connects < 20 || connects > 28 {
+		t.Errorf("no connection: lost at %v, %d attempts to connect", lost, connects)
 	}
-	// It stands still for two seconds, as a crowded one does, wherever that falls between its tests.
+	// A server that stalls for two seconds, as an overloaded one does, is not lost, wherever the stall falls between probes.
 	for from := 101.0; from < 112; from += 0.05 {
-		if lost, _, _ := days(60, one, func(now float64) bool { return now < from || now >= from+2 }); lost != 0 {
-			t.Errorf("a short standstill from %.2f s on: lost at %v", from-100, lost)
+		if lost, _, _ := simulate(60, one, func(now float64) bool { return now < from || now >= from+2 }); lost != 0 {
+			t.Errorf("a short stall from %.2f s on: lost at %v", from-100, lost)
 		}
 	}
 }
 
-// A server is lost once it has been silent for so long, and never before.
-func TestNeverBetween(t *testing.T) {
+// A server is lost exactly from lostAfterSeconds of silence on, and Check asks for at most one thing at a time.
+func TestLostExactlyAfterSilence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w Monitor
+		var m Monitor
 		now, last := 50.0, 50.0
-		w.Heard(now)
+		m.Heard(now)
 		for range 200 {
 			now += rapid.Float64Range(0.01, 0.5).Draw(t, "step")
-			d := w.Check(now, rapid.IntRange(0, 3).Draw(t, "up"), rapid.Bool().Draw(t, "opening"))
-			if d.Lost != (now-last >= lost) {
-				t.Fatalf("lost is %v after %v s", d.Lost, now-last)
+			a := m.Check(now, rapid.IntRange(0, 3).Draw(t, "up"), rapid.Bool().Draw(t, "opening"))
+			if a.Lost != (now-last >= lostAfterSeconds) {
+				t.Fatalf("lost is %v after %v s", a.Lost, now-last)
 			}
-			if d.Connect && d.Probe || d.Lost && (d.Connect || d.Probe) {
-				t.Fatalf("two things at once: %+v", d)
+			if a.Connect && a.Probe || a.Lost && (a.Connect || a.Probe) {
+				t.Fatalf("two actions at once: %+v", a)
 			}
-			if d.Lost || rapid.IntRange(0, 5).Draw(t, "heard") == 0 {
-				w.Heard(now)
+			if a.Lost || rapid.IntRange(0, 5).Draw(t, "heard") == 0 {
+				m.Heard(now)
 				last = now
 			}
 		}
