--- a/choice/health/health.go
+++ b/choice/health/health.go
@@ -1,4 +1,4 @@
-// Package health decides what a front says of itself to those who watch it: live, ready, degraded, and why. It does no
+// Package health derives a front's health status (live, ready, degraded, with reasons) from the facts about it. It does no
 // I/O.
 package health
 
@@ -7,66 +7,69 @@
 	"strings"
 )
 
-// Facts are what is looked at.
+// Facts are what the status is derived from.
 type Facts struct {
-	State          string // of the process, as choice/lifecycle names it
-	Serving        bool   // it is the one state in which new viewers are wanted
-	LoopResponsive bool   // the front's loop answered within its time
-	Boxes, Usable  int    // listed, and those of them that may get new sessions
+	State          string // state of the process, by its name in choice/lifecycle
+	Serving        bool   // whether new viewers are accepted in this state
+	LoopResponsive bool   // the front's event loop answered in time
+	Boxes, Usable  int    // boxes in the list, and those that may get new sessions
 	Sessions       int
-	MaxSessions    int     // sessions it may hold
-	ReloadError    string  // why the last reload was not taken; empty where it was
-	StateAge       float64 // seconds since the stored state was last written; below 0 where none is kept
-	StateError     string  // why stored state is not written; empty where it is
+	MaxSessions    int     // limit on sessions, 0 for none
+	ReloadError    string  // why the last reload was refused; empty if it succeeded
+	StateAge       float64 // seconds since state was last saved; negative if no state is kept
+	StateError     string  // why state can't be saved; empty if it can
 }
 
-// Status is what is said. A load balancer sends viewers where Ready is; a supervisor starts anew what is not Live.
+// Status is the health status. Load balancers send viewers to fronts that are Ready; the supervisor restarts a front that is
+// not Live. Its JSON names are matched by both.
 type Status struct {
 	Live     bool     `json:"Live"`
 	Ready    bool     `json:"Ready"`
-	Degraded []string `json:"Degraded"` // what works less well than it should, though viewers are served
-	Reason   string   `json:"Why"`      // it is not ready
+	Degraded []string `json:"Degraded"` // what is impaired although viewers are served
+	Reason   string   `json:"Why"`      // why it is not ready; empty if it is
 }
 
 const (
-	// Past this share of its sessions a front is nearly full: some seconds are left to send viewers elsewhere.
-	nearlyFull = 0.9
-	// Stored state is written every quarter second; ten seconds without mean that writing fails or stands still.
-	unsavedLong = 10.0
+	// nearlyFullShare is the share of its sessions from which a front is reported as nearly full: some seconds remain to send
+	// viewers elsewhere.
+	nearlyFullShare = 0.9
+	// State is saved every second; ten seconds without mean that writing fails or hangs.
+	maxStateAgeSeconds = 10.0
 )
 
-// Evaluate makes a word of facts. A loop that does not answer is not live: nothing in the process can answer a viewer then.
-// While it drains a front is live and not ready, so that a load balancer takes it out before its sockets close.
-func Evaluate(f Facts) (w Status) {
-	w.Live = f.LoopResponsive
-	w.Ready = f.LoopResponsive && f.Serving && f.Usable > 0 && (f.MaxSessions == 0 || f.Sessions < f.MaxSessions)
-	var why []string
+// Evaluate derives the status from the facts. A front whose event loop does not answer is not live: nothing else in the
+// process could serve a viewer. A draining front is live but not ready, so that load balancers remove it before its sockets
+// close.
+func Evaluate(f Facts) (s Status) {
+	s.Live = f.LoopResponsive
+	s.Ready = f.LoopResponsive && f.Serving && f.Usable > 0 && (f.MaxSessions == 0 || f.Sessions < f.MaxSessions)
+	var reasons []string
 	if !f.LoopResponsive {
-		why = append(why, "the loop does not answer")
+		reasons = append(reasons, "the loop does not answer")
 	}
 	if !f.Serving {
-		why = append(why, f.State)
+		reasons = append(reasons, f.State)
 	}
 	if f.Usable == 0 {
-		why = append(why, fmt.Sprintf("none of %d boxes may get sessions", f.Boxes))
+		reasons = append(reasons, fmt.Sprintf("none of %d boxes may get sessions", f.Boxes))
 	}
 	if f.MaxSessions > 0 && f.Sessions >= f.MaxSessions {
-		why = append(why, fmt.Sprintf("all of %d sessions taken", f.MaxSessions))
+		reasons = append(reasons, fmt.Sprintf("all of %d sessions in use", f.MaxSessions))
 	}
-	w.Reason = strings.Join(why, "; ")
-	if f.MaxSessions > 0 && float64(f.Sessions) >= nearlyFull*float64(f.MaxSessions) && f.Sessions < f.MaxSessions {
-		w.Degraded = append(w.Degraded, fmt.Sprintf("%d of %d sessions taken", f.Sessions, f.MaxSessions))
+	s.Reason = strings.Join(reasons, "; ")
+	if f.MaxSessions > 0 && float64(f.Sessions) >= nearlyFullShare*float64(f.MaxSessions) && f.Sessions < f.MaxSessions {
+		s.Degraded = append(s.Degraded, fmt.Sprintf("%d of %d sessions in use", f.Sessions, f.MaxSessions))
 	}
 	if f.Usable > 0 && 2*f.Usable < f.Boxes {
-		w.Degraded = append(w.Degraded, fmt.Sprintf("%d of %d boxes may get sessions", f.Usable, f.Boxes))
+		s.Degraded = append(s.Degraded, fmt.Sprintf("%d of %d boxes may get sessions", f.Usable, f.Boxes))
 	}
 	if f.ReloadError != "" {
-		w.Degraded = append(w.Degraded, "the last reload was refused: "+f.ReloadError)
+		s.Degraded = append(s.Degraded, "the last reload was refused: "+f.ReloadError)
 	}
 	if f.StateError != "" {
-		w.Degraded = append(w.Degraded, "state is not kept: "+f.StateError)
-	} else if f.StateAge > unsavedLong {
-		w.Degraded = append(w.Degraded, fmt.Sprintf("state was last kept %.0f s ago", f.StateAge))
+		s.Degraded = append(s.Degraded, "state is not kept: "+f.StateError)
+	} else if f.StateAge > maxStateAgeSeconds {
+		s.Degraded = append(s.Degraded, fmt.Sprintf("state was last saved %.0f s ago", f.StateAge))
 	}
-	return w
+	return s
 }
--- a/choice/restore/restore.go
+++ b/choice/restore/restore.go
@@ -55,7 +55,7 @@
 	age = max(age, 0)
 	m = requestWindow(now, s, c)
 	if added := len(m.Further) - len(s.Memory.Further); added > 0 && !s.CleanExit {
-		messages = append(messages, fmt.Sprintf("the last process did not shut down cleanly and may have used up the retry budget: no retries for %.0f s", c.WindowSeconds))
+		messages = append(messages, fmt.Sprintf("the last process did not shut down cleanly: no further SETUPs for %.0f s, as it may have used up the retry budget", c.WindowSeconds))
 	}
 	for _, r := range s.Memory.Servers {
 		b := choice.Remembered{ID: r.ID, Born: startTime(now, r.Born), Slot: -1}
