--- a/choice/health/health.go
+++ b/choice/health/health.go
@@ -21,7 +21,7 @@
 }
 
 // Status is the health status. Load balancers send viewers to fronts that are Ready; the supervisor restarts a front that is
-// not Live. Its JSON names are matched by both.
+// not Live. Its JSON names are part of the admin interface.
 type Status struct {
 	Live     bool     `json:"Live"`
 	Ready    bool     `json:"Ready"`
--- a/choice/health/health_test.go
+++ b/choice/health/health_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Load balancers and the supervisor match these names.
+// The supervisor and monitoring tools read these names.
 func TestStatusFieldNames(t *testing.T) {
 	for want, s := range map[string]Status{
 		`{"Live":true,"Ready":true,"Degraded":["few boxes"],"Why":"draining"}`: {Live: true, Ready: true, Degraded: []string{"few boxes"}, Reason: "draining"},
