--- a/choice/auth/auth.go
+++ b/choice/auth/auth.go
@@ -1,6 +1,6 @@
-// Package auth decides which requests of viewers pass where users are named: digest authentication by RFC 7616
-// (SHA-256, and MD5 for old clients) and RFC 2069 as RFC 2326 names it. It does no I/O and keeps no table: what it must
-// know of a challenge stands in the challenge itself, signed.
+// Package auth authenticates the requests of viewers where users are configured: digest authentication by RFC 7616
+// (SHA-256, and MD5 for old clients) and by RFC 2069, which RFC 2326 refers to. It does no I/O and stores no challenges:
+// the nonce carries its own state, signed.
 package auth
 
 import (
@@ -16,13 +16,14 @@
 	"strings"
 )
 
-// User is one who may enter.
+// User is an account that viewers authenticate with.
 type User struct{ Name, Password string }
 
-// Result is what becomes of a request.
+// Result is the outcome of checking a request.
 type Result int
 
-// The verdicts. NoCredentials and StaleNonce are answered 401, StaleNonce with the word that only the nonce was old.
+// The results. All but Accepted are answered 401. StaleNonce means that only the nonce was out of date; its challenge
+// carries stale=true.
 const (
 	Accepted Result = iota + 1
 	NoCredentials
@@ -31,60 +32,64 @@
 )
 
 const (
-	// A nonce is good for so many seconds: a session's set-up takes a few, and a stale one costs a round trip.
-	nonceTime = 300.0
-	// So many wrong answers on one connection end it: a user's mistyped password takes one, a guesser thousands.
-	mostWrong = 5
+	// Seconds. A session's set-up takes a few; a stale nonce costs the client one more round trip.
+	nonceLifetime = 300.0
+	// Rejected credentials after which a connection is closed. A mistyped password takes one, guessing takes thousands.
+	maxFailures = 5
+	// Parameters accepted in one header.
+	maxParams = 20
 )
 
-// algorithms are those offered, the stronger one first.
+// algorithms are offered in this order, the strongest first.
 var algorithms = []struct {
-	name string
-	make func() hash.Hash
+	name    string
+	newHash func() hash.Hash
 }{{"SHA-256", sha256.New}, {"MD5", md5.New}}
 
-// Authenticator checks credentials. It keeps hashes of passwords, not the passwords.
+// Authenticator checks credentials against hashes of the passwords; it does not store the passwords.
 type Authenticator struct {
 	realm string
 	key   []byte
-	users map[string][2]string // H(user:realm:password) by algorithm
+	users map[string][2]string // HA1 by user name, in the order of algorithms
 }
 
-// New makes a gate; key signs nonces and is secret. Without users it is nil, and everyone passes.
+// New returns an Authenticator for users; key is the secret that signs nonces. Without users it returns nil, which accepts
+// every request.
 func New(realm string, users []User, key []byte) *Authenticator {
 	if len(users) == 0 {
 		return nil
 	}
-	g := &Authenticator{realm: realm, key: key, users: map[string][2]string{}}
+	a := &Authenticator{realm: realm, key: key, users: map[string][2]string{}}
 	for _, u := range users {
 		var h [2]string
-		for i, a := range algorithms {
-			h[i] = digest(a.make, u.Name+":"+realm+":"+u.Password)
+		for i, alg := range algorithms {
+			h[i] = hexDigest(alg.newHash, u.Name+":"+realm+":"+u.Password)
 		}
-		g.users[u.Name] = h
+		a.users[u.Name] = h
 	}
-	return g
+	return a
 }
 
-func digest(make func() hash.Hash, s string) string {
-	h := make()
+func hexDigest(newHash func() hash.Hash, s string) string {
+	h := newHash()
 	h.Write([]byte(s))
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// nonce is the instant in milliseconds, and a signature over it and the connection: it is of no use on another one.
-func (g *Authenticator) nonce(ms uint64, conn uint64) string {
+// nonce returns the time in milliseconds and a signature over it and the connection's number, so that a nonce is valid on
+// one connection only.
+func (a *Authenticator) nonce(ms uint64, conn uint64) string {
 	b := binary.BigEndian.AppendUint64(nil, ms)
-	m := hmac.New(sha256.New, g.key)
+	m := hmac.New(sha256.New, a.key)
 	m.Write(binary.BigEndian.AppendUint64(b, conn))
 	return base64.RawURLEncoding.EncodeToString(append(b[:8:8], m.Sum(nil)[:16]...))
 }
 
-// Challenge is what a refused request is answered with: values for WWW-Authenticate.
-func (g *Authenticator) Challenge(now float64, conn uint64, stale bool) (list []string) {
-	n := g.nonce(uint64(max(now, 0)*1000), conn)
-	for _, a := range algorithms {
-		v := fmt.Sprintf(`Digest realm="%s", nonce="%s", algorithm=%s, qop="auth"`, g.realm, n, a.name)
+// Challenge returns the WWW-Authenticate values of a 401 response, one per algorithm.
+func (a *Authenticator) Challenge(now float64, conn uint64, stale bool) (list []string) {
+	n := a.nonce(uint64(max(now, 0)*1000), conn)
+	for _, alg := range algorithms {
+		v := fmt.Sprintf(`Digest realm="%s", nonce="%s", algorithm=%s, qop="auth"`, a.realm, n, alg.name)
 		if stale {
 			v += ", stale=true"
 		}
@@ -93,28 +98,28 @@
 	return list
 }
 
-// TooManyFailures tells that a connection has given so many wrong answers that it is ended.
-func TooManyFailures(wrong int) bool { return wrong >= mostWrong }
+// TooManyFailures reports whether a connection is to be closed after this many rejected credentials.
+func TooManyFailures(failures int) bool { return failures >= maxFailures }
 
-// Check judges a request by its Authorization field, empty where it has none.
-func (g *Authenticator) Check(now float64, conn uint64, method, url, authorization string) Result {
-	if g == nil {
+// Check authenticates a request by its Authorization header, which is empty if the request has none.
+func (a *Authenticator) Check(now float64, conn uint64, method, url, header string) Result {
+	if a == nil {
 		return Accepted
 	}
-	if authorization == "" {
+	if header == "" {
 		return NoCredentials
 	}
-	scheme, p, err := ParseHeader(authorization)
-	if err != nil || !strings.EqualFold(scheme, "Digest") || p["realm"] != g.realm {
+	scheme, p, err := ParseHeader(header)
+	if err != nil || !strings.EqualFold(scheme, "Digest") || p["realm"] != a.realm {
 		return Rejected
 	}
 	algorithm := -1
-	for i, a := range algorithms {
-		if strings.EqualFold(p["algorithm"], a.name) || p["algorithm"] == "" && a.name == "MD5" {
+	for i, alg := range algorithms {
+		if strings.EqualFold(p["algorithm"], alg.name) || p["algorithm"] == "" && alg.name == "MD5" {
 			algorithm = i
 		}
 	}
-	if algorithm < 0 || !covers(p["uri"], url) {
+	if algorithm < 0 || !uriMatches(p["uri"], url) {
 		return Rejected
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(p["nonce"])
@@ -122,9 +127,9 @@
 		return Rejected
 	}
 	ms := binary.BigEndian.Uint64(raw)
-	signed := subtle.ConstantTimeCompare([]byte(p["nonce"]), []byte(g.nonce(ms, conn))) == 1
-	h, known := g.users[p["username"]]
-	if !known { // as much work as for one who is known
+	signed := subtle.ConstantTimeCompare([]byte(p["nonce"]), []byte(a.nonce(ms, conn))) == 1
+	h, known := a.users[p["username"]]
+	if !known { // the same work as for a known user, so that timing does not reveal user names
 		h = [2]string{strings.Repeat("0", 64), strings.Repeat("0", 32)}
 	}
 	want := Response(algorithms[algorithm].name, h[algorithm], method, p)
@@ -132,56 +137,56 @@
 	switch age := now - float64(ms)/1000; {
 	case !good || !known:
 		return Rejected
-	case !signed || age > nonceTime || age < -1:
-		return StaleNonce // the right password over a nonce that is old, or another connection's
+	case !signed || age > nonceLifetime || age < -1:
+		return StaleNonce // correct password, but the nonce has expired, is forged or belongs to another connection
 	}
 	return Accepted
 }
 
-// covers tells whether a digest's uri names the request's URL, or the presentation that this is a track of. Players
-// sign either one.
-func covers(uri, url string) bool {
+// uriMatches reports whether the uri of a digest is the request's URL or the presentation that the URL is a track of.
+// Players sign either one.
+func uriMatches(uri, url string) bool {
 	uri, _, _ = strings.Cut(uri, "?")
 	url, _, _ = strings.Cut(url, "?")
 	uri, url = strings.TrimRight(uri, "/"), strings.TrimRight(url, "/")
 	return uri != "" && (uri == url || strings.HasPrefix(url, uri+"/") && strings.Count(uri, "/") >= 4)
 }
 
-// Response is the digest over a request: ha1 is H(user:realm:password), p the parameters of the Authorization field.
+// Response computes the response digest of a request from ha1 and the parameters p of its Authorization header.
 func Response(algorithm, ha1, method string, p map[string]string) string {
 	h := md5.New
 	if strings.EqualFold(algorithm, "SHA-256") {
 		h = sha256.New
 	}
-	ha2 := digest(h, method+":"+p["uri"])
+	ha2 := hexDigest(h, method+":"+p["uri"])
 	if p["qop"] == "" { // RFC 2069
-		return digest(h, ha1+":"+p["nonce"]+":"+ha2)
+		return hexDigest(h, ha1+":"+p["nonce"]+":"+ha2)
 	}
-	return digest(h, strings.Join([]string{ha1, p["nonce"], p["nc"], p["cnonce"], p["qop"], ha2}, ":"))
+	return hexDigest(h, strings.Join([]string{ha1, p["nonce"], p["nc"], p["cnonce"], p["qop"], ha2}, ":"))
 }
 
-// HA1 is H(user:realm:password).
+// HA1 returns H(user:realm:password).
 func HA1(algorithm, realm string, u User) string {
 	h := md5.New
 	if strings.EqualFold(algorithm, "SHA-256") {
 		h = sha256.New
 	}
-	return digest(h, u.Name+":"+realm+":"+u.Password)
+	return hexDigest(h, u.Name+":"+realm+":"+u.Password)
 }
 
-// ParseHeader reads an Authorization or WWW-Authenticate field: its scheme, and its parameters by their names in small
-// letters. A name that stands twice is an error, as is more than there is in any honest field.
+// ParseHeader parses an Authorization or WWW-Authenticate header into its scheme and its parameters, keyed by lower-case
+// name. Duplicate names and more than maxParams parameters are errors; valid headers have fewer.
 func ParseHeader(v string) (scheme string, p map[string]string, err error) {
 	scheme, rest, _ := strings.Cut(strings.TrimSpace(v), " ")
 	p = map[string]string{}
 	for rest = strings.TrimSpace(rest); rest != ""; rest = strings.TrimSpace(strings.TrimPrefix(strings.TrimSpace(rest), ",")) {
 		name, after, ok := strings.Cut(rest, "=")
 		name = strings.ToLower(strings.TrimSpace(name))
-		if !ok || name == "" || strings.ContainsAny(name, " ,\"") || len(p) >= 20 {
-			return "", nil, fmt.Errorf("parameter %.20q", rest)
+		if !ok || name == "" || strings.ContainsAny(name, " ,\"") || len(p) >= maxParams {
+			return "", nil, fmt.Errorf("unexpected parameter %.20q", rest)
 		}
-		if _, twice := p[name]; twice {
-			return "", nil, fmt.Errorf("%.20q stands twice", name)
+		if _, duplicate := p[name]; duplicate {
+			return "", nil, fmt.Errorf("duplicate parameter %.20q", name)
 		}
 		after = strings.TrimSpace(after)
 		if !strings.HasPrefix(after, `"`) {
@@ -201,11 +206,11 @@
 			b.WriteByte(after[i])
 		}
 		if i >= len(after) {
-			return "", nil, fmt.Errorf("%.20q is not closed", name)
+			return "", nil, fmt.Errorf("parameter %.20q: missing closing quote", name)
 		}
 		p[name], rest = b.String(), after[i+1:]
 		if r := strings.TrimSpace(rest); r != "" && r[0] != ',' {
-			return "", nil, fmt.Errorf("%.20q goes on after its end", name)
+			return "", nil, fmt.Errorf("parameter %.20q: unexpected text after the closing quote", name)
 		}
 	}
 	return scheme, p, nil
--- a/choice/auth/auth_test.go
+++ b/choice/auth/auth_test.go
@@ -8,7 +8,7 @@
 
 const url = "rtsp://h:554/fault-clips/vents"
 
-// reply is what a client answers a challenge with.
+// reply builds the Authorization header with which a client answers a challenge.
 func reply(challenge string, u User, method, uri string, qop bool) string {
 	_, p, _ := ParseHeader(challenge)
 	q := map[string]string{"username": u.Name, "realm": p["realm"], "nonce": p["nonce"], "uri": uri, "algorithm": p["algorithm"]}
@@ -23,8 +23,8 @@
 	return strings.TrimSuffix(s, ", ")
 }
 
-// The example of RFC 7616, section 3.9.1, for both algorithms.
-func TestPublishedExample(t *testing.T) {
+// Checks the example of RFC 7616, section 3.9.1, for both algorithms.
+func TestRFC7616Example(t *testing.T) {
 	p := map[string]string{"uri": "/dir/index.html", "nonce": "7ypf/xlj9XXwfDPEoM4URrv/xwf94BcCAzFZH4GiTo0v", "nc": "00000001",
 		"cnonce": "f2/wE4q74E6zIJEtWaHKaf5wv/H5QzzpXusqGemxURZJ", "qop": "auth"}
 	u := User{"Mufasa", "Circle of Life"}
@@ -36,10 +36,10 @@
 	}
 }
 
-func TestWhoPasses(t *testing.T) {
+func TestCheck(t *testing.T) {
 	u := User{"lena", `p"w:d`}
-	g := New("rainhaven", []User{u}, []byte("key"))
-	ch := g.Challenge(1000, 7, false)
+	a := New("rainhaven", []User{u}, []byte("key"))
+	ch := a.Challenge(1000, 7, false)
 	if len(ch) != 2 || !strings.Contains(ch[0], "SHA-256") || !strings.Contains(ch[1], "MD5") {
 		t.Fatal(ch)
 	}
@@ -52,45 +52,45 @@
 	}{
 		"SHA-256":            {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), Accepted},
 		"MD5":                {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, true), Accepted},
-		"an old client":      {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, false), Accepted},
-		"the presentation":   {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url+"/", true), Accepted},
-		"none":               {1001, 7, "SETUP", "", NoCredentials},
+		"no qop (RFC 2069)":  {1001, 7, "SETUP", reply(ch[1], u, "SETUP", url, false), Accepted},
+		"presentation URL":   {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url+"/", true), Accepted},
+		"no credentials":     {1001, 7, "SETUP", "", NoCredentials},
 		"another method":     {1001, 7, "SETUP", reply(ch[0], u, "PLAY", url, true), Rejected},
 		"another URL":        {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554/fault-clips/other", true), Rejected},
-		"a URL over all":     {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554", true), Rejected},
+		"server URL":         {1001, 7, "SETUP", reply(ch[0], u, "SETUP", "rtsp://h:554", true), Rejected},
 		"wrong password":     {1001, 7, "SETUP", reply(ch[0], User{"lena", "x"}, "SETUP", url, true), Rejected},
-		"nobody":             {1001, 7, "SETUP", reply(ch[0], User{"eve", "x"}, "SETUP", url, true), Rejected},
-		"later":              {1301, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), StaleNonce},
+		"unknown user":       {1001, 7, "SETUP", reply(ch[0], User{"eve", "x"}, "SETUP", url, true), Rejected},
+		"expired nonce":      {1301, 7, "SETUP", reply(ch[0], u, "SETUP", url, true), StaleNonce},
 		"another connection": {1001, 8, "SETUP", reply(ch[0], u, "SETUP", url, true), StaleNonce},
-		"a made-up nonce":    {1001, 7, "SETUP", reply(strings.Replace(ch[0], `nonce="A`, `nonce="B`, 1), u, "SETUP", url, true), StaleNonce},
+		"forged nonce":       {1001, 7, "SETUP", reply(strings.Replace(ch[0], `nonce="A`, `nonce="B`, 1), u, "SETUP", url, true), StaleNonce},
 		"Basic":              {1001, 7, "SETUP", "Basic bGVuYTpwdw==", Rejected},
-		"broken":             {1001, 7, "SETUP", `Digest username="lena`, Rejected},
-		"twice":              {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true) + `, username="x"`, Rejected},
+		"unclosed quote":     {1001, 7, "SETUP", `Digest username="lena`, Rejected},
+		"duplicate name":     {1001, 7, "SETUP", reply(ch[0], u, "SETUP", url, true) + `, username="x"`, Rejected},
 	} {
-		if got := g.Check(c.now, c.conn, c.method, url+"/track1?viewer=3", c.auth); got != c.want {
+		if got := a.Check(c.now, c.conn, c.method, url+"/track1?viewer=3", c.auth); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
 	if New("r", nil, nil).Check(1, 1, "SETUP", url, "") != Accepted {
-		t.Error("without users not all pass")
+		t.Error("request rejected although no users are configured")
 	}
 	if TooManyFailures(1) || !TooManyFailures(100) {
-		t.Error("wrong answers are not counted")
+		t.Error("TooManyFailures: 1 failure must be allowed, 100 must not")
 	}
 }
 
 func FuzzCheck(f *testing.F) {
 	u := User{"lena", "pw"}
-	g := New("rainhaven", []User{u}, []byte("key"))
-	f.Add(reply(g.Challenge(1000, 7, false)[0], u, "SETUP", url, true))
+	a := New("rainhaven", []User{u}, []byte("key"))
+	f.Add(reply(a.Challenge(1000, 7, false)[0], u, "SETUP", url, true))
 	f.Add(`Digest a="\"", b=c,, d`)
 	f.Fuzz(func(t *testing.T, v string) {
-		// On another connection than the challenge's nothing passes, whatever it says.
-		if g.Check(1001, 8, "SETUP", url, v) == Accepted {
-			t.Fatalf("%q passes", v)
+		// No header is accepted on a connection other than the challenge's.
+		if a.Check(1001, 8, "SETUP", url, v) == Accepted {
+			t.Fatalf("%q accepted", v)
 		}
 		if _, p, err := ParseHeader(v); err == nil && len(p) > 20 {
-			t.Fatalf("%d parameters", len(p))
+			t.Fatalf("%d parameters accepted", len(p))
 		}
 	})
 }
--- a/choice/decisionlog/decisionlog.go
+++ b/choice/decisionlog/decisionlog.go
@@ -1,5 +1,5 @@
-// Package decisionlog keeps the last decisions of a front and puts them into words: why a session got its box and rung, or was
-// turned away. It does no I/O.
+// Package decisionlog keeps the most recent decisions of a front and explains them: why a session got its box and rung, or why
+// it was rejected. It does no I/O.
 package decisionlog
 
 import (
@@ -10,10 +10,10 @@
 	"rainhaven/choice"
 )
 
-// Kind is what was decided, or what came of it.
+// Kind says which decision or outcome an Entry records.
 type Kind int
 
-// The acts.
+// The kinds of entry.
 const (
 	Requested Kind = iota + 1
 	SetupSent
@@ -27,32 +27,32 @@
 
 // Entry is one decision or outcome.
 type Entry struct {
-	At          float64
+	At          float64 // seconds on the front's clock
 	Session     choice.SessID
 	Kind        Kind
 	Box         choice.ServerID
 	Rung        int
-	Seconds     float64 // a SETUP's wait, a busy reply's advice
+	Seconds     float64 // SetupSent: timeout; BusyReplied: advice when to retry
 	Outcome     choice.Outcome
-	EndReason   string          // of an end
-	Snapshot    choice.Standing // at a SETUP and at an answer; holders by most room, mostHolders of them
-	HolderCount int             // in all
+	EndReason   string          // set for Ended
+	Snapshot    choice.Standing // set for SetupSent, RungChanged, BusyReplied and Failed; at most maxHolders holders, largest Room first
+	HolderCount int             // holders before the snapshot was truncated
 }
 
 const (
-	// Decisions kept: a minute or more of a front that sets up ten sessions a second, in about 1 MB.
-	most = 2048
-	// Holders kept of each, those with most room first: the choice fell among them.
-	mostHolders = 6
+	// At ten session setups a second this covers a minute or more, in about 1 MB.
+	capacity = 2048
+	// The chosen box is among the holders with the most room, so the others are not kept.
+	maxHolders = 6
 )
 
-// Ring keeps the last decisions; older ones give way.
+// Ring is a ring buffer of the last capacity entries.
 type Ring struct {
-	list []Entry
-	next int
+	entries []Entry
+	next    int
 }
 
-// Record keeps one.
+// Record adds an entry and overwrites the oldest one when the buffer is full. It sorts e.Snapshot.Holders in place.
 func (r *Ring) Record(e Entry) {
 	e.HolderCount = len(e.Snapshot.Holders)
 	slices.SortStableFunc(e.Snapshot.Holders, func(a, b choice.View) int {
@@ -64,129 +64,129 @@
 		}
 		return 0
 	})
-	e.Snapshot.Holders = slices.Clone(e.Snapshot.Holders[:min(len(e.Snapshot.Holders), mostHolders)])
-	if len(r.list) < most {
-		r.list = append(r.list, e)
+	e.Snapshot.Holders = slices.Clone(e.Snapshot.Holders[:min(len(e.Snapshot.Holders), maxHolders)])
+	if len(r.entries) < capacity {
+		r.entries = append(r.entries, e)
 		return
 	}
-	r.list[r.next] = e
-	r.next = (r.next + 1) % most
+	r.entries[r.next] = e
+	r.next = (r.next + 1) % capacity
 }
 
-// ForSession gives what is kept of a session, oldest first.
+// ForSession returns the entries of a session, oldest first.
 func (r *Ring) ForSession(id choice.SessID) (list []Entry) {
-	for i := range r.list {
-		if e := r.list[(r.next+i)%len(r.list)]; e.Session == id {
+	for i := range r.entries {
+		if e := r.entries[(r.next+i)%len(r.entries)]; e.Session == id {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// LastRejected gives the session that was turned away last; empty where none is kept.
+// LastRejected returns the session that was rejected last, or an empty ID if the buffer holds no rejection.
 func (r *Ring) LastRejected() choice.SessID {
-	for i := len(r.list) - 1; i >= 0; i-- {
-		if e := r.list[(r.next+i)%len(r.list)]; e.Kind == BusyReplied || e.Kind == Failed {
+	for i := len(r.entries) - 1; i >= 0; i-- {
+		if e := r.entries[(r.next+i)%len(r.entries)]; e.Kind == BusyReplied || e.Kind == Failed {
 			return e.Session
 		}
 	}
 	return ""
 }
 
-var outcomes = map[choice.Outcome]string{choice.Served: "served", choice.ServerError: "the box failed; it may have run", choice.Full: "the box is full; it never ran",
-	choice.TimedOut: "no answer within its wait; it may have run", choice.NoConnection: "no connection; it never ran", choice.Reset: "the connection broke; it may have run",
-	choice.Cancelled: "given up", choice.Unsent: "not sent, the box left the list",
-	choice.Departed: "ended before its answer came"}
+var outcomeTexts = map[choice.Outcome]string{choice.Served: "served", choice.ServerError: "the box failed; it may have run", choice.Full: "the box is full; it never ran",
+	choice.TimedOut: "no answer before its timeout; it may have run", choice.NoConnection: "no connection; it never ran", choice.Reset: "the connection broke; it may have run",
+	choice.Cancelled: "cancelled", choice.Unsent: "not sent; the box was removed from the list",
+	choice.Departed: "the session ended before the answer arrived"}
 
-// Explain puts a session's entries into words, a line each, instants from the first one on.
+// Explain describes a session's entries, one line each, with times relative to the first entry.
 func Explain(list []Entry) (lines []string) {
 	for _, e := range list {
-		lines = append(lines, fmt.Sprintf("%+.3f s  %s", e.At-list[0].At, e.words()))
+		lines = append(lines, fmt.Sprintf("%+.3f s  %s", e.At-list[0].At, e.text()))
 	}
 	return lines
 }
 
-func (e Entry) words() string {
+func (e Entry) text() string {
 	switch e.Kind {
 	case Requested:
-		return fmt.Sprintf("asked for; rung %d at most by its viewer", e.Rung)
+		return fmt.Sprintf("asked for; the viewer accepts rung %d at most", e.Rung)
 	case SetupSent:
-		return fmt.Sprintf("SETUP to box %d at rung %d, waited for %.2f s; %s", e.Box, e.Rung, e.Seconds, e.holders())
+		return fmt.Sprintf("SETUP to box %d at rung %d, timeout %.2f s; %s", e.Box, e.Rung, e.Seconds, e.holdersText())
 	case SetupEnded:
-		return fmt.Sprintf("SETUP to box %d: %s", e.Box, outcomes[e.Outcome])
+		return fmt.Sprintf("SETUP to box %d: %s", e.Box, outcomeTexts[e.Outcome])
 	case RungChanged:
-		return fmt.Sprintf("to rung %d, as demand over the target is now %s", e.Rung, e.pressure())
+		return fmt.Sprintf("to rung %d; demand/target is now %s", e.Rung, e.loadText())
 	case RungRefused:
-		return fmt.Sprintf("the box did not make the change; rung %d stays", e.Rung)
+		return fmt.Sprintf("the box rejected the rung change; rung %d stays", e.Rung)
 	case BusyReplied:
-		return fmt.Sprintf("busy-replied, to come back in %.0f s: %s; %s", e.Seconds, e.why(), e.holders())
+		return fmt.Sprintf("busy-replied, retry after %.0f s: %s; %s", e.Seconds, e.rejectionReason(), e.holdersText())
 	case Failed:
-		return "torn down: a SETUP may have run, and its group's are not repeated; " + e.holders()
+		return "failed, torn down: a SETUP may have run, and SETUPs of its group are not retried; " + e.holdersText()
 	case Ended:
-		return "over: " + e.EndReason
+		return "ended: " + e.EndReason
 	}
 	return "unknown"
 }
 
-// pressure is that of the session's own box.
-func (e Entry) pressure() string {
+// loadText formats the demand/target ratios of the session's own box.
+func (e Entry) loadText() string {
 	for _, v := range e.Snapshot.Holders {
 		if v.Box == e.Box {
-			return fmt.Sprintf("%.2f on its link and %.2f on its uplink", v.Link, v.Uplink)
+			return fmt.Sprintf("%.2f on the link and %.2f on the uplink", v.Link, v.Uplink)
 		}
 	}
-	return "not kept"
+	return "not recorded"
 }
 
-// why names the first cause that turned the session away, in the order in which the module looks.
-func (e Entry) why() string {
+// rejectionReason returns the first cause of a rejection, in the order in which package choice checks them.
+func (e Entry) rejectionReason() string {
 	s := e.Snapshot
-	free := 0
+	eligible := 0
 	for _, v := range s.Holders {
 		if v.State == choice.Ready && !v.Aside && !v.Full && !v.Waits && !v.Tried {
-			free++
+			eligible++
 		}
 	}
 	switch {
 	case s.Seats:
 		return "all seats of its title are taken"
 	case s.Sent > 0 && s.Spent:
-		return "the ration of further SETUPs is spent"
+		return "the retry budget is spent"
 	case e.HolderCount == 0:
-		return "no box of the list holds its title"
-	case free == 0:
+		return "no listed box holds its title"
+	case eligible == 0:
 		return "no holder may get it"
 	case s.Sent > 0:
-		return "its SETUPs or its time are used up"
+		return "its SETUP attempts or its time are used up"
 	}
-	return "holders that may get it are past twice their target"
+	return "all eligible holders are past twice their target"
 }
 
-// holders counts what stands against holders and names those with most room.
-func (e Entry) holders() string {
-	var not []string
-	count := func(what string, is func(v choice.View) bool) {
+// holdersText counts the holders, also those excluded by cause, and names the first three.
+func (e Entry) holdersText() string {
+	var excluded []string
+	count := func(cause string, match func(v choice.View) bool) {
 		n := 0
 		for _, v := range e.Snapshot.Holders {
-			if is(v) {
+			if match(v) {
 				n++
 			}
 		}
 		if n > 0 {
-			not = append(not, fmt.Sprintf("%d %s", n, what))
+			excluded = append(excluded, fmt.Sprintf("%d %s", n, cause))
 		}
 	}
 	count("draining or gone", func(v choice.View) bool { return v.State != choice.Ready })
-	count("set aside", func(v choice.View) bool { return v.Aside })
+	count("ejected", func(v choice.View) bool { return v.Aside })
 	count("full", func(v choice.View) bool { return v.Full })
-	count("cold, in another front's turn", func(v choice.View) bool { return v.Waits })
-	count("tried", func(v choice.View) bool { return v.Tried })
+	count("cold, no warm-up slot for this front", func(v choice.View) bool { return v.Waits })
+	count("already tried", func(v choice.View) bool { return v.Tried })
 	s := fmt.Sprintf("%d holders", e.HolderCount)
-	if len(not) > 0 {
-		s += " (" + strings.Join(not, ", ") + ")"
+	if len(excluded) > 0 {
+		s += " (" + strings.Join(excluded, ", ") + ")"
 	}
 	for i, v := range e.Snapshot.Holders[:min(len(e.Snapshot.Holders), 3)] {
-		s += fmt.Sprintf("%s box %d has room for %.0f kB/s at %.2f/%.2f of its targets", [...]string{":", ",", ","}[i], v.Box, v.Room, v.Link, v.Uplink)
+		s += fmt.Sprintf("%s box %d has room for %.0f kB/s at demand/target %.2f (link), %.2f (uplink)", [...]string{":", ",", ","}[i], v.Box, v.Room, v.Link, v.Uplink)
 	}
 	return s
 }
--- a/choice/decisionlog/decisionlog_test.go
+++ b/choice/decisionlog/decisionlog_test.go
@@ -8,36 +8,36 @@
 	"rainhaven/choice"
 )
 
-func TestTheRingKeepsTheNewest(t *testing.T) {
+func TestRingKeepsNewestEntries(t *testing.T) {
 	var r Ring
-	for i := range most + 10 {
-		r.Record(Entry{At: float64(i), Session: choice.SessID(fmt.Sprint(i % (most / 2))), Kind: Requested})
+	for i := range capacity + 10 {
+		r.Record(Entry{At: float64(i), Session: choice.SessID(fmt.Sprint(i % (capacity / 2))), Kind: Requested})
 	}
-	if n := len(r.list); n != most {
-		t.Fatalf("%d entries", n)
+	if n := len(r.entries); n != capacity {
+		t.Fatalf("%d entries kept, want %d", n, capacity)
 	}
-	if l := r.ForSession("3"); len(l) != 2 || l[0].At >= l[1].At || l[1].At != most+3 {
+	if l := r.ForSession("3"); len(l) != 2 || l[0].At >= l[1].At || l[1].At != capacity+3 {
 		t.Errorf("%+v", l)
 	}
 	if l := r.ForSession("20"); len(l) != 2 || l[0].At != 20 {
 		t.Errorf("%+v", l)
 	}
 	if r.LastRejected() != "" {
-		t.Error("none was turned away")
+		t.Error("LastRejected is not empty without a rejection")
 	}
 	r.Record(Entry{Session: "x", Kind: BusyReplied})
 	r.Record(Entry{Session: "y", Kind: Requested})
 	if r.LastRejected() != "x" {
-		t.Errorf("turned away last: %q", r.LastRejected())
+		t.Errorf("LastRejected = %q, want x", r.LastRejected())
 	}
 }
 
-func TestWhyBusy(t *testing.T) {
+func TestBusyReplyReasons(t *testing.T) {
 	free := choice.View{State: choice.Ready, Room: 5}
 	for want, e := range map[string]Entry{
 		"all seats":            {Snapshot: choice.Standing{Seats: true, Holders: []choice.View{free}}},
-		"the ration":           {Snapshot: choice.Standing{Sent: 1, Spent: true, Holders: []choice.View{free}}},
-		"no box of the list":   {},
+		"the retry budget":     {Snapshot: choice.Standing{Sent: 1, Spent: true, Holders: []choice.View{free}}},
+		"no listed box":        {},
 		"no holder may get it": {Snapshot: choice.Standing{Holders: []choice.View{{State: choice.Ready, Aside: true}, {State: choice.Ready, Full: true}, {State: choice.Ready, Waits: true}}}},
 		"used up":              {Snapshot: choice.Standing{Sent: 3, Holders: []choice.View{free}}},
 		"past twice":           {Snapshot: choice.Standing{Holders: []choice.View{free}}},
--- a/choice/describe/describe.go
+++ b/choice/describe/describe.go
@@ -1,8 +1,8 @@
-// Package describe decides where a title's description comes from: the cache, or which of its holders is asked, how often
-// and for how long one is believed. It does no I/O.
+// Package describe decides whether a title's description comes from the cache or is fetched from one of its holders, how
+// many holders are queried and how long a description stays valid. It does no I/O.
 //
-// How it is called: Boxes with the list, Want for a viewer's DESCRIBE, Got with what a holder answered. Those who wait for
-// a title are its caller's.
+// The caller passes the list of boxes to UpdateBoxes, a viewer's DESCRIBE to Request and a holder's answer to HandleReply.
+// It keeps the queue of viewers that wait for a title itself.
 package describe
 
 import (
@@ -12,10 +12,11 @@
 	"rainhaven/choice"
 )
 
-// Action is what to do next for a title.
+// Action tells the caller what to do next for a title.
 type Action int
 
-// The steps. Wait: a holder was asked already. Fail: no holder gave a description that can be used.
+// The actions. Answer: send the returned description to the viewers that wait. Fetch: query the returned box. Wait: a query
+// is already pending. Fail: no holder gave a usable description.
 const (
 	Answer Action = iota + 1
 	Fetch
@@ -24,45 +25,46 @@
 )
 
 const (
-	// A description changes when a title is made anew; a minute is short beside that, and spares boxes all but one
-	// question a minute and title.
-	fresh = 60.0
-	// One that is older still serves while no holder answers: a viewer that starts is worth more than a description
-	// that may be out of date, and its tracks rarely change.
-	stale = 3600.0
-	// Holders asked before a viewer is told: it waits some seconds at most, and a third would rarely come to that.
-	mostAsked = 2
-	// Time a holder has to answer; it comes in milliseconds.
+	// A description changes only when a title is produced again, which takes far longer than a minute. A box is queried at
+	// most once a minute and title.
+	freshSeconds = 60.0
+	// Up to this age a description is still served while no holder answers: a viewer that can start outweighs the risk of
+	// an outdated description, as tracks rarely change.
+	staleSeconds = 3600.0
+	// Holders queried before a viewer gets an error: viewers wait a few seconds at most, so that a third query would rarely
+	// finish in time.
+	maxQueries = 2
+	// FetchTimeout is the time in seconds that a holder has to answer; answers normally take milliseconds.
 	FetchTimeout = 1.0
-	// Titles kept: at 2 kB each this bounds the cache at 4 MB.
-	mostKept = 2000
+	// Cached titles; at 2 kB each this limits the cache to 4 MB.
+	maxTitles = 2000
 )
 
-type entry struct {
-	body  []byte // nil before the first
-	at    float64
-	used  float64
-	asked []choice.ServerID // in this round
-	out   bool              // one of them has not answered yet
+type description struct {
+	body      []byte // nil until the first successful fetch
+	fetchedAt float64
+	usedAt    float64
+	queried   []choice.ServerID // holders queried in the current fetch
+	pending   bool              // the last one queried has not answered yet
 }
 
-// Cache is one front's.
+// Cache holds the descriptions of one front.
 type Cache struct {
-	cells  int
-	titles map[string]*entry // mostKept at most; the longest unused leaves
-	boxes  []choice.Listing  // by id; as the list names them
-	turn   int
+	cells     int
+	titles    map[string]*description // at most maxTitles; the least recently used is evicted
+	boxes     []choice.Listing        // sorted by ID
+	nextIndex int
 }
 
-// New makes a cache for boxes in so many cells.
-func New(cells int) *Cache { return &Cache{cells: max(cells, 1), titles: map[string]*entry{}} }
+// New returns a cache for boxes in the given number of cells.
+func New(cells int) *Cache { return &Cache{cells: max(cells, 1), titles: map[string]*description{}} }
 
-// SetCells changes how many cells there are.
+// SetCells changes the number of cells.
 func (c *Cache) SetCells(n int) { c.cells = max(n, 1) }
 
-// UpdateBoxes takes the list, whole or changed entries only.
-func (c *Cache) UpdateBoxes(whole bool, list []choice.Listing) {
-	if whole {
+// UpdateBoxes replaces the list of boxes, or merges changed entries into it if full is false.
+func (c *Cache) UpdateBoxes(full bool, list []choice.Listing) {
+	if full {
 		c.boxes = nil
 	}
 	for _, e := range list {
@@ -78,75 +80,75 @@
 	}
 }
 
-// next picks a holder that was not asked in this round. Holders take turns, so that one that hangs is not every title's
-// first. A box that drains is asked nothing new.
-func (c *Cache) next(e *entry, start, span int) (choice.ServerID, bool) {
-	c.turn++
+// nextHolder picks a holder that has not been queried yet. It rotates among the holders, so that one that hangs is not the
+// first choice of every title, and skips boxes that drain.
+func (c *Cache) nextHolder(e *description, start, span int) (choice.ServerID, bool) {
+	c.nextIndex++
 	for i := range c.boxes {
-		b := c.boxes[(c.turn+i)%len(c.boxes)]
-		if b.State == choice.Ready && (b.Cell-start+c.cells)%c.cells < span && !slices.Contains(e.asked, b.ID) {
+		b := c.boxes[(c.nextIndex+i)%len(c.boxes)]
+		if b.State == choice.Ready && (b.Cell-start+c.cells)%c.cells < span && !slices.Contains(e.queried, b.ID) {
 			return b.ID, true
 		}
 	}
 	return 0, false
 }
 
-// Request takes a viewer's wish for a title that lies in span cells from start on.
+// Request handles a viewer's DESCRIBE for a title that is held in span cells, from cell start on.
 func (c *Cache) Request(now float64, title string, start, span int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
 	if e == nil {
-		c.room()
-		e = &entry{}
+		c.evict()
+		e = &description{}
 		c.titles[title] = e
 	}
-	e.used = now
+	e.usedAt = now
 	switch {
-	case e.body != nil && now-e.at < fresh:
+	case e.body != nil && now-e.fetchedAt < freshSeconds:
 		return Answer, 0, e.body
-	case e.out:
+	case e.pending:
 		return Wait, 0, nil
 	}
-	e.asked = nil
-	return c.ask(now, e, start, span)
+	e.queried = nil
+	return c.queryNext(now, e, start, span)
 }
 
-func (c *Cache) ask(now float64, e *entry, start, span int) (Action, choice.ServerID, []byte) {
-	if len(e.asked) < mostAsked {
-		if id, ok := c.next(e, start, span); ok {
-			e.asked, e.out = append(e.asked, id), true
+func (c *Cache) queryNext(now float64, e *description, start, span int) (Action, choice.ServerID, []byte) {
+	if len(e.queried) < maxQueries {
+		if id, ok := c.nextHolder(e, start, span); ok {
+			e.queried, e.pending = append(e.queried, id), true
 			return Fetch, id, nil
 		}
 	}
-	if e.body != nil && now-e.at < stale {
+	if e.body != nil && now-e.fetchedAt < staleSeconds {
 		return Answer, 0, e.body
 	}
 	return Fail, 0, nil
 }
 
-// HandleReply takes what a holder answered; body is nil where it did not, or what it said can't be used. The step is for all who
-// wait for the title.
+// HandleReply handles a holder's answer; body is nil if there was none or it was unusable. The returned action applies to all
+// viewers that wait for the title.
 func (c *Cache) HandleReply(now float64, title string, from choice.ServerID, body []byte, start, span int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
-	if e == nil || !e.out || e.asked[len(e.asked)-1] != from {
-		return Wait, 0, nil // too late: another was asked since
+	if e == nil || !e.pending || e.queried[len(e.queried)-1] != from {
+		return Wait, 0, nil // late: another holder has been queried since, or the query is no longer pending
 	}
-	e.out = false
+	e.pending = false
 	if body != nil {
-		e.body, e.at = body, now
+		e.body, e.fetchedAt = body, now
 		return Answer, 0, body
 	}
-	return c.ask(now, e, start, span)
+	return c.queryNext(now, e, start, span)
 }
 
-// room makes place for one more title.
-func (c *Cache) room() {
-	if len(c.titles) < mostKept {
+// evict removes the least recently used title without a pending query if the cache is full.
+func (c *Cache) evict() {
+	if len(c.titles) < maxTitles {
 		return
 	}
 	oldest, at := "", 0.0
 	for t, e := range c.titles {
-		if !e.out && (oldest == "" || e.used < at || e.used == at && t < oldest) {
-			oldest, at = t, e.used
+		if !e.pending && (oldest == "" || e.usedAt < at || e.usedAt == at && t < oldest) {
+			oldest, at = t, e.usedAt
 		}
 	}
 	delete(c.titles, oldest)
--- a/choice/describe/describe_test.go
+++ b/choice/describe/describe_test.go
@@ -18,65 +18,65 @@
 	return c
 }
 
-func TestOneQuestionForManyViewers(t *testing.T) {
+func TestViewersShareOneQuery(t *testing.T) {
 	c := cache()
-	step, box, _ := c.Request(1, "a", 1, 2)
-	if step != Fetch || box < 11 || box > 12 {
-		t.Fatalf("%v of box %d, which does not hold it", step, box)
+	action, box, _ := c.Request(1, "a", 1, 2)
+	if action != Fetch || box < 11 || box > 12 {
+		t.Fatalf("action %v, box %d, want a query to a holder (box 11 or 12)", action, box)
 	}
 	for range 5 {
-		if step, _, _ := c.Request(1.1, "a", 1, 2); step != Wait {
-			t.Fatalf("%v while one is asked", step)
+		if action, _, _ := c.Request(1.1, "a", 1, 2); action != Wait {
+			t.Fatalf("action %v while a query is pending", action)
 		}
 	}
-	if step, _, body := c.HandleReply(1.2, "a", box, []byte("x"), 1, 2); step != Answer || string(body) != "x" {
-		t.Fatalf("%v %q", step, body)
+	if action, _, body := c.HandleReply(1.2, "a", box, []byte("x"), 1, 2); action != Answer || string(body) != "x" {
+		t.Fatalf("%v %q", action, body)
 	}
-	if step, _, _ := c.Request(60, "a", 1, 2); step != Answer {
-		t.Errorf("%v within a minute", step)
+	if action, _, _ := c.Request(60, "a", 1, 2); action != Answer {
+		t.Errorf("action %v within a minute", action)
 	}
-	if step, _, _ := c.Request(62, "a", 1, 2); step != Fetch {
-		t.Errorf("%v after a minute", step)
+	if action, _, _ := c.Request(62, "a", 1, 2); action != Fetch {
+		t.Errorf("action %v after a minute", action)
 	}
 }
 
-func TestHoldersThatHangOrLie(t *testing.T) {
+func TestUnresponsiveHolders(t *testing.T) {
 	c := cache()
 	_, first, _ := c.Request(1, "a", 0, 4)
-	step, second, _ := c.HandleReply(2, "a", first, nil, 0, 4)
-	if step != Fetch || second == first {
-		t.Fatalf("%v of %d after %d", step, second, first)
+	action, second, _ := c.HandleReply(2, "a", first, nil, 0, 4)
+	if action != Fetch || second == first {
+		t.Fatalf("action %v, box %d after box %d failed", action, second, first)
 	}
-	if step, _, _ := c.HandleReply(2.1, "a", first, []byte("late"), 0, 4); step != Wait {
-		t.Errorf("a late answer of the first: %v", step)
+	if action, _, _ := c.HandleReply(2.1, "a", first, []byte("late"), 0, 4); action != Wait {
+		t.Errorf("late answer of the first box: action %v", action)
 	}
-	if step, _, _ := c.HandleReply(3, "a", second, nil, 0, 4); step != Fail {
-		t.Errorf("after two: %v", step)
+	if action, _, _ := c.HandleReply(3, "a", second, nil, 0, 4); action != Fail {
+		t.Errorf("after two failures: action %v", action)
 	}
 	_, box, _ := c.Request(4, "a", 0, 4)
 	c.HandleReply(4, "a", box, []byte("old"), 0, 4)
 	_, box, _ = c.Request(100, "a", 0, 4)
 	_, box, _ = c.HandleReply(101, "a", box, nil, 0, 4)
-	if step, _, body := c.HandleReply(102, "a", box, nil, 0, 4); step != Answer || string(body) != "old" {
-		t.Errorf("an old one in place of none: %v %q", step, body)
+	if action, _, body := c.HandleReply(102, "a", box, nil, 0, 4); action != Answer || string(body) != "old" {
+		t.Errorf("stale description as a fallback: action %v, body %q", action, body)
 	}
 	c.UpdateBoxes(false, []choice.Listing{{ID: 10, State: choice.Draining}, {ID: 11, State: choice.Gone}, {ID: 12, State: choice.Gone}, {ID: 13, State: choice.Gone}})
-	if step, _, _ := c.Request(9000, "b", 0, 4); step != Fail {
-		t.Errorf("with a box that drains alone: %v", step)
+	if action, _, _ := c.Request(9000, "b", 0, 4); action != Fail {
+		t.Errorf("with only a draining box: action %v", action)
 	}
 }
 
-// Whatever comes in any order: never two out for a title, never a box that is not listed ready or asked before in the
-// round, and the cache stays bounded.
-func TestAnyOrder(t *testing.T) {
+// With events in random order, a title never has two pending queries, only boxes listed as ready are queried, and the
+// cache stays within its limit.
+func TestRandomEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, now := cache(), 0.0
-		out := map[string]choice.ServerID{}
+		pending := map[string]choice.ServerID{}
 		ready := map[choice.ServerID]bool{10: true, 11: true, 12: true, 13: true}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 40).Draw(t, "dt")
 			title := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "title"))
-			var step Action
+			var action Action
 			var box choice.ServerID
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -89,39 +89,39 @@
 				c.UpdateBoxes(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: s}})
 				continue
 			case 1:
-				from, is := out[title]
-				if !is {
+				from, ok := pending[title]
+				if !ok {
 					continue
 				}
-				delete(out, title)
+				delete(pending, title)
 				var body []byte
 				if rapid.Bool().Draw(t, "good") {
 					body = []byte("x")
 				}
-				step, box, _ = c.HandleReply(now, title, from, body, 0, 4)
-				if step == Wait {
-					t.Fatal("an answer that was waited for is passed over")
+				action, box, _ = c.HandleReply(now, title, from, body, 0, 4)
+				if action == Wait {
+					t.Fatal("the answer to a pending query was ignored")
 				}
 			default:
-				step, box, _ = c.Request(now, title, 0, 4)
-				if _, is := out[title]; is != (step == Wait) && step != Answer {
-					t.Fatalf("%v while one is out: %v", step, is)
+				action, box, _ = c.Request(now, title, 0, 4)
+				if _, ok := pending[title]; ok != (action == Wait) && action != Answer {
+					t.Fatalf("action %v, pending query: %v", action, ok)
 				}
 			}
-			if step == Fetch {
-				if _, two := out[title]; two || !ready[box] {
-					t.Fatalf("box %d asked, ready %v, another out %v", box, ready[box], two)
+			if action == Fetch {
+				if _, two := pending[title]; two || !ready[box] {
+					t.Fatalf("box %d queried: ready %v, another query pending %v", box, ready[box], two)
 				}
-				out[title] = box
+				pending[title] = box
 			}
 		}
 	})
 	c := cache()
-	for i := range 3 * mostKept {
+	for i := range 3 * maxTitles {
 		c.Request(float64(i), fmt.Sprint(i), 0, 4)
-		c.HandleReply(float64(i), fmt.Sprint(i), c.titles[fmt.Sprint(i)].asked[0], []byte("x"), 0, 4)
+		c.HandleReply(float64(i), fmt.Sprint(i), c.titles[fmt.Sprint(i)].queried[0], []byte("x"), 0, 4)
 	}
-	if len(c.titles) > mostKept {
-		t.Errorf("%d titles kept", len(c.titles))
+	if len(c.titles) > maxTitles {
+		t.Errorf("%d titles cached, want at most %d", len(c.titles), maxTitles)
 	}
 }
--- a/choice/pool/pool.go
+++ b/choice/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool decides which connection to a box is used again, which is closed and whether one more may be opened.
+// Package pool decides which connection to a box is reused, which is closed and whether another may be opened.
 // A connection carries one session at a time: media of one session never waits behind another's, a SETUP can be
-// withdrawn by closing the sending side, and a break concerns one session only. It does no I/O.
+// withdrawn by closing the sending side, and a broken connection affects one session only. It does no I/O.
 package pool
 
 import (
@@ -9,41 +9,41 @@
 	"rainhaven/choice"
 )
 
-// ConnID names a connection; its front numbers them.
+// ConnID identifies a connection; the front assigns the numbers.
 type ConnID uint64
 
 const (
-	// Idle connections kept a box: set-ups arrive about evenly, and four cover those that come together among a
-	// hundred sessions a box. More would cost boxes descriptors, with 110 fronts each.
-	mostIdle = 4
-	// An idle connection is closed after so many seconds, under the 15 s after which boxes close theirs, so that a
-	// SETUP does not meet a connection that is just being closed.
-	idleTime = 10.0
+	// Idle connections kept per box. Set-ups arrive about evenly; four cover simultaneous ones at a hundred sessions per
+	// box. Each one more costs a box up to 110 descriptors, one per front.
+	maxIdle = 4
+	// Seconds. Shorter than the 15 s after which boxes close idle connections, so that a SETUP is not sent on a connection
+	// that the box is closing.
+	idleTimeout = 10.0
 )
 
-type idle struct {
+type idleConn struct {
 	conn  ConnID
 	since float64
 }
 
-type box struct {
-	idle []idle // oldest first
+type boxConns struct {
+	idle []idleConn // longest idle first
 	open int
 }
 
-// Pool keeps account of one front's connections to boxes.
+// Pool tracks the connections of one front to its boxes.
 type Pool struct {
-	perBox int
-	boxes  map[choice.ServerID]*box // emptied as their connections are closed
+	maxPerBox int
+	boxes     map[choice.ServerID]*boxConns // an entry is deleted when its last connection is closed
 }
 
-// New makes a keeper that allows so many connections to a box.
-func New(perBox int) *Pool { return &Pool{max(perBox, 1), map[choice.ServerID]*box{}} }
+// New returns a pool that allows perBox connections to each box, at least one.
+func New(perBox int) *Pool { return &Pool{max(perBox, 1), map[choice.ServerID]*boxConns{}} }
 
-// SetMaxPerBox changes how many connections to a box are allowed; those open past it go on.
-func (k *Pool) SetMaxPerBox(n int) { k.perBox = max(n, 1) }
+// SetMaxPerBox changes the limit of connections per box. Open connections beyond a lower limit stay open.
+func (k *Pool) SetMaxPerBox(n int) { k.maxPerBox = max(n, 1) }
 
-// Get gives an idle connection to a box, the one used last, if there is one.
+// Get takes the most recently used idle connection to a box out of the pool, if there is one.
 func (k *Pool) Get(id choice.ServerID) (ConnID, bool) {
 	b := k.boxes[id]
 	if b == nil || len(b.idle) == 0 {
@@ -54,23 +54,24 @@
 	return c, true
 }
 
-// Reserve tells whether one more connection to a box may be opened, and counts it; Closed takes it back.
+// Reserve reports whether another connection to a box may be opened, and if so counts it as open until Closed is called.
 func (k *Pool) Reserve(id choice.ServerID) bool {
 	b := k.boxes[id]
 	if b == nil {
-		b = &box{}
+		b = &boxConns{}
 		k.boxes[id] = b
 	}
-	if b.open >= k.perBox {
+	if b.open >= k.maxPerBox {
 		return false
 	}
 	b.open++
 	return true
 }
 
-// Reusable tells whether a connection may carry another session after a box's last answer on it, of a SETUP or a TEARDOWN.
-// Against a box that answers an error and goes on sending the old session's media, which the next viewer would get:
-// only these answers prove that it holds nothing there. It covers SETUPs that failed halfway. Harm: a new connection.
+// Reusable reports whether a connection may carry another session after the box's last answer on it, to a SETUP or a
+// TEARDOWN. It guards against a box that answers with an error but keeps sending the old session's media, which the next
+// viewer would receive: only the statuses accepted here prove that the box holds no session on the connection, also after
+// a SETUP that failed halfway. Drawback: other errors cost a new connection.
 func Reusable(status int, tearDown bool) bool {
 	if tearDown {
 		return status/100 == 2 || status == 454
@@ -78,32 +79,33 @@
 	return status == 453 || status == 503
 }
 
-// Put gives a connection back. It tells whether it is kept; else it is to be closed.
+// Put returns a connection to the pool. If it reports false, the caller must close the connection.
 func (k *Pool) Put(id choice.ServerID, c ConnID, now float64) bool {
 	b := k.boxes[id]
-	if b == nil || len(b.idle) >= mostIdle || slices.ContainsFunc(b.idle, func(i idle) bool { return i.conn == c }) {
+	if b == nil || len(b.idle) >= maxIdle || slices.ContainsFunc(b.idle, func(i idleConn) bool { return i.conn == c }) {
 		return false
 	}
-	b.idle = append(b.idle, idle{c, now})
+	b.idle = append(b.idle, idleConn{c, now})
 	return true
 }
 
-// Closed tells that a connection is closed, by whichever side.
+// Closed records that a connection was closed by either side.
 func (k *Pool) Closed(id choice.ServerID, c ConnID) {
 	b := k.boxes[id]
 	if b == nil {
 		return
 	}
-	b.idle = slices.DeleteFunc(b.idle, func(i idle) bool { return i.conn == c })
+	b.idle = slices.DeleteFunc(b.idle, func(i idleConn) bool { return i.conn == c })
 	if b.open--; b.open <= 0 {
 		delete(k.boxes, id)
 	}
 }
 
-// Expired gives the idle connections that are to be closed by now. Closed follows for each.
+// Expired removes and returns the connections that have been idle for too long. The caller closes each of them and calls
+// Closed.
 func (k *Pool) Expired(now float64) (list []ConnID) {
 	for _, b := range k.boxes {
-		for len(b.idle) > 0 && now-b.idle[0].since >= idleTime {
+		for len(b.idle) > 0 && now-b.idle[0].since >= idleTimeout {
 			list = append(list, b.idle[0].conn)
 			b.idle = b.idle[1:]
 		}
@@ -112,11 +114,11 @@
 	return list
 }
 
-// Count is how many connections are open and how many of them idle.
-func (k *Pool) Count() (open, unused int) {
+// Count returns how many connections are open and how many of those are idle.
+func (k *Pool) Count() (open, idle int) {
 	for _, b := range k.boxes {
 		open += b.open
-		unused += len(b.idle)
+		idle += len(b.idle)
 	}
-	return open, unused
+	return open, idle
 }
--- a/choice/pool/pool_test.go
+++ b/choice/pool/pool_test.go
@@ -7,8 +7,8 @@
 	"rainhaven/choice"
 )
 
-// A model of plain lists beside the keeper: bounds are kept, nothing is handed out twice, nothing stays behind.
-func TestKeeper(t *testing.T) {
+// Compares the pool with a model of plain maps: limits hold, no connection is handed out twice, and none is leaked.
+func TestPool(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		per := rapid.IntRange(1, 6).Draw(t, "per box")
 		k, now, serial := New(per), 0.0, ConnID(0)
@@ -22,7 +22,7 @@
 			return n
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"use": func(t *rapid.T) {
+			"open": func(t *rapid.T) {
 				id := choice.ServerID(rapid.IntRange(1, 3).Draw(t, "box"))
 				if c, ok := k.Get(id); ok {
 					if idle[c] != id {
@@ -33,11 +33,11 @@
 					return
 				}
 				if on(id, idle) > 0 {
-					t.Fatal("an idle connection was passed over")
+					t.Fatal("an idle connection was not reused")
 				}
 				ok := k.Reserve(id)
 				if ok != (on(id, busy) < per) {
-					t.Fatalf("%d of %d open, one more: %v", on(id, busy), per, ok)
+					t.Fatalf("Reserve returned %v with %d connections open of %d", ok, on(id, busy), per)
 				}
 				if ok {
 					serial++
@@ -66,12 +66,12 @@
 					}
 				}
 			},
-			"time": func(t *rapid.T) {
+			"advance clock": func(t *rapid.T) {
 				now += rapid.Float64Range(0, 12).Draw(t, "dt")
 				for _, c := range k.Expired(now) {
 					id, ok := idle[c]
 					if !ok {
-						t.Fatalf("%d is stale and not idle", c)
+						t.Fatalf("connection %d expired but is not idle", c)
 					}
 					delete(idle, c)
 					k.Closed(id, c)
@@ -80,10 +80,10 @@
 			"": func(t *rapid.T) {
 				open, unused := k.Count()
 				if open != len(busy)+len(idle) || unused != len(idle) {
-					t.Fatalf("%d open, %d unused; want %d, %d", open, unused, len(busy)+len(idle), len(idle))
+					t.Fatalf("%d open, %d idle; want %d, %d", open, unused, len(busy)+len(idle), len(idle))
 				}
 				for id := choice.ServerID(1); id <= 3; id++ {
-					if on(id, idle) > mostIdle || on(id, idle)+on(id, busy) > per {
+					if on(id, idle) > maxIdle || on(id, idle)+on(id, busy) > per {
 						t.Fatalf("box %d: %d idle, %d busy", id, on(id, idle), on(id, busy))
 					}
 				}
@@ -97,12 +97,12 @@
 			k.Closed(id, c)
 		}
 		if open, unused := k.Count(); open+unused+len(k.boxes) > 0 {
-			t.Fatalf("left behind: %d open, %d unused, %d boxes", open, unused, len(k.boxes))
+			t.Fatalf("leaked: %d open, %d idle, %d boxes", open, unused, len(k.boxes))
 		}
 	})
 }
 
-func TestClean(t *testing.T) {
+func TestReusable(t *testing.T) {
 	for _, c := range []struct {
 		status   int
 		tearDown bool
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.batch(now, events); err != nil {
+		if err := h.runBatch(now, events); err != nil {
 			return err
 		}
 		if err := w.EndReply(); err != nil {
@@ -44,8 +44,8 @@
 	w      *wire.Writer
 }
 
-// batch feeds the events in order, then settles each front concerned, in the order of first mention.
-func (h *host) batch(now float64, events []wire.Event) error {
+// runBatch feeds the events in order, then settles each front concerned, in the order of first mention.
+func (h *host) runBatch(now float64, events []wire.Event) error {
 	var order []string
 	seen := map[string]bool{}
 	for i := range events {
@@ -57,18 +57,18 @@
 		if h.fronts[e.Front] == nil && e.Kind != wire.Start && e.Kind != wire.Stop {
 			return fmt.Errorf("an event for %s, which was not started", e.Front)
 		}
-		h.guarded(e.Front, func() { h.feed(now, e) })
+		h.recoverPanics(e.Front, func() { h.dispatch(now, e) })
 	}
 	for _, name := range order {
 		if f := h.fronts[name]; f != nil {
-			h.guarded(name, f.Settle)
+			h.recoverPanics(name, f.Settle)
 		}
 	}
 	return nil
 }
 
-// guarded reports a panic of the module with the wire's own message.
-func (h *host) guarded(front string, do func()) {
+// recoverPanics reports a panic of the module with the wire's own message.
+func (h *host) recoverPanics(front string, do func()) {
 	defer func() {
 		if why := recover(); why != nil {
 			fmt.Fprintln(os.Stderr, "simhost:", front, why)
@@ -78,7 +78,7 @@
 	do()
 }
 
-func (h *host) feed(now float64, e *wire.Event) {
+func (h *host) dispatch(now float64, e *wire.Event) {
 	switch e.Kind {
 	case wire.Start:
 		h.fronts[e.Front] = choice.New(now, e.Figures, wire.ActWriter{Front: e.Front, Out: h.w})
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -8,13 +8,13 @@
 	"rainhaven/choice"
 )
 
-// start reads a front's first message.
-func start(rest string) (Event, error) {
-	f, err := fields(rest)
+// parseStart reads a front's first message.
+func parseStart(rest string) (Event, error) {
+	f, err := parseFields(rest)
 	if err != nil {
 		return Event{}, err
 	}
-	g := &getter{f: f}
+	g := &fieldReader{f: f}
 	e := Event{Kind: Start, Front: g.text("i")}
 	seed, err := strconv.ParseUint(f["salt"], 10, 64)
 	if err != nil {
@@ -31,7 +31,7 @@
 // by commas, and entries of a list of objects are numbered. What a site leaves out stays at its zero, which switches
 // it off. The seed is the caller's.
 func ParseStartFigures(f map[string]string) (s choice.StartFigures, err error) {
-	g := &getter{f: f}
+	g := &fieldReader{f: f}
 	s.Me, s.Fronts, s.Zone = g.whole("me", false), g.whole("balancers", false), g.whole("zone", false)
 	fam := "family_info."
 	s.Cells, s.Racks = g.whole(fam+"cells", false), g.whole(fam+"cabinets", false)
@@ -63,10 +63,10 @@
 	live := strings.Split(f[fam+"live"], ",")
 	for i := range g.whole("grades.count", false) {
 		at := fmt.Sprintf("grades.%d.", i)
-		s.Groups = append(s.Groups, choice.ServiceGroup{Utility: g.optional(at + "worth"), Scale: nth(scale, i, 1),
+		s.Groups = append(s.Groups, choice.ServiceGroup{Utility: g.optional(at + "worth"), Scale: valueAt(scale, i, 1),
 			StartTarget: g.seconds(at+"goal_time", false),
-			Paid:        f[at+"effect"] != "pure", Floor: int(nth(floor, i, 0)),
-			Top: int(nth(top, i, float64(len(s.Ladder)-1))), Seats: int(nth(seats, i, 0))})
+			Paid:        f[at+"effect"] != "pure", Floor: int(valueAt(floor, i, 0)),
+			Top: int(valueAt(top, i, float64(len(s.Ladder)-1))), Seats: int(valueAt(seats, i, 0))})
 		if i < len(live) && (live[i] == "true" || live[i] == "1") {
 			s.Groups[i].Adds = g.optional(fam + "shared_adds")
 		}
@@ -74,21 +74,21 @@
 	return s, g.err
 }
 
-func nth(list []float64, i int, otherwise float64) float64 {
+func valueAt(list []float64, i int, otherwise float64) float64 {
 	if i < len(list) {
 		return list[i]
 	}
 	return otherwise
 }
 
-func (g *getter) optional(name string) float64 {
+func (g *fieldReader) optional(name string) float64 {
 	if g.f[name] == "" {
 		return 0
 	}
 	return g.number(name)
 }
 
-func (g *getter) numbers(name string) (list []float64) {
+func (g *fieldReader) numbers(name string) (list []float64) {
 	if g.f[name] == "" {
 		return nil
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -94,7 +94,7 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), lists: map[int64][]choice.Listing{}}
 }
 
-func (r *Reader) next() (word, rest string, err error) {
+func (r *Reader) nextLine() (word, rest string, err error) {
 	line, err := r.in.ReadString('\n')
 	if err == io.EOF && line != "" {
 		return "", "", fmt.Errorf("line %d: input ends within a line", r.line+1)
@@ -109,14 +109,14 @@
 
 // ReadBatch reads one batch: the clock and the events. It returns io.EOF at the end of input.
 func (r *Reader) ReadBatch() (now float64, events []Event, err error) {
-	word, rest, err := r.next()
+	word, rest, err := r.nextLine()
 	if err != nil {
 		return 0, nil, err
 	}
 	if word != "ROUND" {
 		return 0, nil, fmt.Errorf("line %d: %q where ROUND is due", r.line, word)
 	}
-	f, err := fields(rest)
+	f, err := parseFields(rest)
 	if err == nil {
 		now, err = f.seconds("now", true)
 	}
@@ -124,7 +124,7 @@
 		return 0, nil, fmt.Errorf("line %d: %w", r.line, err)
 	}
 	for {
-		word, rest, err := r.next()
+		word, rest, err := r.nextLine()
 		if err == io.EOF {
 			return 0, nil, fmt.Errorf("line %d: input ends within a batch", r.line)
 		}
@@ -135,10 +135,10 @@
 			return now, events, nil
 		}
 		if word == "CATALOG" {
-			err = r.catalog(rest)
+			err = r.readCatalog(rest)
 		} else {
 			var e Event
-			if e, err = r.event(word, rest); err == nil {
+			if e, err = r.parseEvent(word, rest); err == nil {
 				events = append(events, e)
 			}
 		}
@@ -148,8 +148,8 @@
 	}
 }
 
-func (r *Reader) catalog(rest string) error {
-	f, err := fields(rest)
+func (r *Reader) readCatalog(rest string) error {
+	f, err := parseFields(rest)
 	if err != nil {
 		return err
 	}
@@ -166,18 +166,18 @@
 	}
 	var list []choice.Listing
 	for range n {
-		word, rest, err := r.next()
+		word, rest, err := r.nextLine()
 		if err != nil {
 			return fmt.Errorf("the list ends early: %w", err)
 		}
 		if word != "ITEM" {
 			return fmt.Errorf("%q where ITEM is due", word)
 		}
-		f, err := fields(rest)
+		f, err := parseFields(rest)
 		if err != nil {
 			return err
 		}
-		g := getter{f: f}
+		g := fieldReader{f: f}
 		e := choice.Listing{ID: g.server("server"), Zone: g.whole("dc", false), Kind: g.whole("class_of_host", false),
 			Cell: g.whole("cell", false), State: choice.Lifecycle(g.whole("lifecycle", true)), Heft: 1,
 			Born: g.seconds("born", false)}
@@ -199,15 +199,15 @@
 	return nil
 }
 
-func (r *Reader) event(word, rest string) (Event, error) {
+func (r *Reader) parseEvent(word, rest string) (Event, error) {
 	if word == "SPAWN" {
-		return start(rest)
+		return parseStart(rest)
 	}
-	f, err := fields(rest)
+	f, err := parseFields(rest)
 	if err != nil {
 		return Event{}, err
 	}
-	g := &getter{f: f}
+	g := &fieldReader{f: f}
 	e := Event{Front: g.text("i")}
 	switch word {
 	case "POWER_OFF":
@@ -272,15 +272,15 @@
 	return e, g.err
 }
 
-// notes are the kinds of note by number, from 1.
-var notes = [...]Kind{Ignored, DeliveredShare, RungInForce, LinkLoad, UplinkLoad}
+// noteKinds are the kinds of note by number, from 1.
+var noteKinds = [...]Kind{Ignored, DeliveredShare, RungInForce, LinkLoad, UplinkLoad}
 
 // NoteKind is the kind of a note by its number; Ignored where there is none of that number.
 func NoteKind(n int) Kind {
-	if n < 1 || n >= len(notes) {
+	if n < 1 || n >= len(noteKinds) {
 		return Ignored
 	}
-	return notes[n]
+	return noteKinds[n]
 }
 
 // ReadReport reads a load report: names and values, separated by commas.
@@ -311,7 +311,7 @@
 
 type fieldMap map[string]string
 
-func fields(rest string) (fieldMap, error) {
+func parseFields(rest string) (fieldMap, error) {
 	f := fieldMap{}
 	for _, p := range strings.Fields(rest) {
 		name, value, ok := strings.Cut(p, "=")
@@ -340,19 +340,19 @@
 	return float64(n) / 1e6, err
 }
 
-// getter takes values and keeps the first error.
-type getter struct {
+// fieldReader takes values and keeps the first error.
+type fieldReader struct {
 	f   fieldMap
 	err error
 }
 
-func (g *getter) fail(err error) {
+func (g *fieldReader) fail(err error) {
 	if g.err == nil && err != nil {
 		g.err = err
 	}
 }
 
-func (g *getter) text(name string) string {
+func (g *fieldReader) text(name string) string {
 	v := g.f[name]
 	if v == "" {
 		g.fail(fmt.Errorf("%s is missing", name))
@@ -360,19 +360,19 @@
 	return v
 }
 
-func (g *getter) whole(name string, must bool) int {
+func (g *fieldReader) whole(name string, must bool) int {
 	n, err := g.f.whole(name, must)
 	g.fail(err)
 	return int(n)
 }
 
-func (g *getter) seconds(name string, must bool) float64 {
+func (g *fieldReader) seconds(name string, must bool) float64 {
 	n, err := g.f.seconds(name, must)
 	g.fail(err)
 	return n
 }
 
-func (g *getter) server(name string) choice.ServerID {
+func (g *fieldReader) server(name string) choice.ServerID {
 	n, err := strconv.ParseUint(g.f[name], 10, 32)
 	if err != nil {
 		g.fail(fmt.Errorf("%s=%q is not a server", name, g.f[name]))
@@ -380,7 +380,7 @@
 	return choice.ServerID(n)
 }
 
-func (g *getter) number(name string) float64 {
+func (g *fieldReader) number(name string) float64 {
 	x, err := strconv.ParseFloat(g.f[name], 64)
 	if err != nil {
 		g.fail(fmt.Errorf("%s=%q is not a number", name, g.f[name]))
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -35,7 +35,7 @@
 	Out   *Writer
 }
 
-func us(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
+func toMicros(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
 
 // Rung sets a session's rung.
 func (a ActWriter) Rung(id choice.SessID, rung int) {
@@ -44,12 +44,12 @@
 
 // Setup sends a SETUP.
 func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, wait float64) {
-	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, us(wait))
+	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, toMicros(wait))
 }
 
 // BusyReply ends a request as busy.
 func (a ActWriter) BusyReply(id choice.SessID, comeBack float64) {
-	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, us(comeBack))
+	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, toMicros(comeBack))
 }
 
 // TearDown ends a request as failed.
@@ -69,5 +69,5 @@
 
 // Wake sets a timer.
 func (a ActWriter) Wake(after float64) {
-	fmt.Fprintf(a.Out.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, us(after))
+	fmt.Fprintf(a.Out.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, toMicros(after))
 }
