--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts instances of the decision module on the simulator's wire.
+// Command simhost runs instances of the decision module for the simulator, with which it talks on standard input and output.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// serve answers batches until the end of input.
+// serve replies to batches until the end of input.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	h := host{fronts: map[string]*choice.Front{}, w: w}
@@ -38,13 +38,13 @@
 	}
 }
 
-// host holds the instances of this process, which share nothing.
+// host holds the fronts of this process, which share no state.
 type host struct {
-	fronts map[string]*choice.Front // emptied as instances are stopped
+	fronts map[string]*choice.Front // by name; an entry is deleted when its front is stopped
 	w      *wire.Writer
 }
 
-// runBatch feeds the events in order, then settles each front concerned, in the order of first mention.
+// runBatch dispatches the events in order, then calls Settle on each front that got one, in the order of first mention.
 func (h *host) runBatch(now float64, events []wire.Event) error {
 	var order []string
 	seen := map[string]bool{}
@@ -55,7 +55,7 @@
 			order = append(order, e.Front)
 		}
 		if h.fronts[e.Front] == nil && e.Kind != wire.Start && e.Kind != wire.Stop {
-			return fmt.Errorf("an event for %s, which was not started", e.Front)
+			return fmt.Errorf("event for front %s, which is not running", e.Front)
 		}
 		h.recoverPanics(e.Front, func() { h.dispatch(now, e) })
 	}
@@ -67,15 +67,15 @@
 	return nil
 }
 
-// recoverPanics reports a panic of the module with the wire's own message.
-func (h *host) recoverPanics(front string, do func()) {
+// recoverPanics calls f and reports a panic of the front to the simulator instead of crashing.
+func (h *host) recoverPanics(front string, f func()) {
 	defer func() {
-		if why := recover(); why != nil {
-			fmt.Fprintln(os.Stderr, "simhost:", front, why)
-			h.w.ReportPanic(front, why)
+		if cause := recover(); cause != nil {
+			fmt.Fprintln(os.Stderr, "simhost:", front, cause)
+			h.w.ReportPanic(front, cause)
 		}
 	}()
-	do()
+	f()
 }
 
 func (h *host) dispatch(now float64, e *wire.Event) {
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -8,94 +8,94 @@
 	"rainhaven/choice"
 )
 
-// parseStart reads a front's first message.
+// parseStart parses SPAWN, a front's first message.
 func parseStart(rest string) (Event, error) {
 	f, err := parseFields(rest)
 	if err != nil {
 		return Event{}, err
 	}
-	g := &fieldReader{f: f}
-	e := Event{Kind: Start, Front: g.text("i")}
+	fr := &fieldReader{fields: f}
+	e := Event{Kind: Start, Front: fr.text("i")}
 	seed, err := strconv.ParseUint(f["salt"], 10, 64)
 	if err != nil {
-		g.fail(fmt.Errorf("salt=%q is not a whole number", f["salt"]))
+		fr.setErr(fmt.Errorf("salt=%q is not an integer", f["salt"]))
 	}
-	g.fail(err)
+	fr.setErr(err)
 	e.Figures, err = ParseStartFigures(f)
 	e.Figures.Seed = seed
-	g.fail(err)
-	return e, g.err
+	fr.setErr(err)
+	return e, fr.err
 }
 
-// ParseStartFigures reads what a front is told at its start, by the names of the simulator's first message; lists are separated
-// by commas, and entries of a list of objects are numbered. What a site leaves out stays at its zero, which switches
-// it off. The seed is the caller's.
+// ParseStartFigures parses a front's configuration, keyed by the field names of the simulator's first message. Lists are
+// separated by commas, and objects in a list are numbered. A missing field stays zero, which switches its function off. The
+// caller sets Seed.
 func ParseStartFigures(f map[string]string) (s choice.StartFigures, err error) {
-	g := &fieldReader{f: f}
-	s.Me, s.Fronts, s.Zone = g.whole("me", false), g.whole("balancers", false), g.whole("zone", false)
-	fam := "family_info."
-	s.Cells, s.Racks = g.whole(fam+"cells", false), g.whole(fam+"cabinets", false)
-	s.FleetLinks = g.optional(fam + "fleet_kb")
-	s.UplinkMean, s.FullAt = g.optional(fam+"uplink_kb"), g.optional(fam+"guard")
-	s.Ladder = g.numbers(fam + "level_kb")
-	s.Places = g.numbers(fam + "places_by_kind")
-	s.NoteLag, s.NoteEvery = g.seconds(fam+"see", false), g.seconds(fam+"told_every", false)
-	s.MostSetups = g.whole("caps.most_tries", false)
+	fr := &fieldReader{fields: f}
+	s.Me, s.Fronts, s.Zone = fr.integer("me", false), fr.integer("balancers", false), fr.integer("zone", false)
+	family := "family_info."
+	s.Cells, s.Racks = fr.integer(family+"cells", false), fr.integer(family+"cabinets", false)
+	s.FleetLinks = fr.optional(family + "fleet_kb")
+	s.UplinkMean, s.FullAt = fr.optional(family+"uplink_kb"), fr.optional(family+"guard")
+	s.Ladder = fr.numbers(family + "level_kb")
+	s.Places = fr.numbers(family + "places_by_kind")
+	s.NoteLag, s.NoteEvery = fr.seconds(family+"see", false), fr.seconds(family+"told_every", false)
+	s.MostSetups = fr.integer("caps.most_tries", false)
 	if f["caps.retry_after"] == "true" || f["caps.retry_after"] == "1" {
-		s.Advice = g.seconds("caps.max_retry_after", false)
+		s.Advice = fr.seconds("caps.max_retry_after", false)
 	}
 	s.Probes = f["caps.probes"] == "true" || f["caps.probes"] == "1"
 	s.Peers = f["caps.peers"] == "true" || f["caps.peers"] == "1"
-	s.CrossZonePrice = g.optional("charges.cross_zone")
-	s.ProbePrice = g.optional("charges.probe")
+	s.CrossZonePrice = fr.optional("charges.cross_zone")
+	s.ProbePrice = fr.optional("charges.probe")
 	switch f["reporting.source"] {
 	case "piggyback":
 		s.Reporting = choice.ReportsInAnswers
 	case "pull":
 		s.Reporting = choice.ReportsInProbes
 	}
-	s.WarmUp, s.ColdShare = g.seconds("rules.cold", false), g.optional("rules.start_capacity")
-	s.FallFactor, s.FallTime = g.optional("rules.overload_factor"), g.seconds("rules.fall", false)
-	s.SpareSetups, s.SetupShare = g.optional("rules.spare_attempts"), g.optional("rules.repeat_ratio")
-	s.SetupWindow = g.seconds("rules.counted_over", false)
-	scale, floor := g.numbers(fam+"class_scale"), g.numbers(fam+"class_floor")
-	top, seats := g.numbers(fam+"highest_rung"), g.numbers(fam+"seats")
-	live := strings.Split(f[fam+"live"], ",")
-	for i := range g.whole("grades.count", false) {
-		at := fmt.Sprintf("grades.%d.", i)
-		s.Groups = append(s.Groups, choice.ServiceGroup{Utility: g.optional(at + "worth"), Scale: valueAt(scale, i, 1),
-			StartTarget: g.seconds(at+"goal_time", false),
-			Paid:        f[at+"effect"] != "pure", Floor: int(valueAt(floor, i, 0)),
+	s.WarmUp, s.ColdShare = fr.seconds("rules.cold", false), fr.optional("rules.start_capacity")
+	s.FallFactor, s.FallTime = fr.optional("rules.overload_factor"), fr.seconds("rules.fall", false)
+	s.SpareSetups, s.SetupShare = fr.optional("rules.spare_attempts"), fr.optional("rules.repeat_ratio")
+	s.SetupWindow = fr.seconds("rules.counted_over", false)
+	scale, floor := fr.numbers(family+"class_scale"), fr.numbers(family+"class_floor")
+	top, seats := fr.numbers(family+"highest_rung"), fr.numbers(family+"seats")
+	live := strings.Split(f[family+"live"], ",")
+	for i := range fr.integer("grades.count", false) {
+		prefix := fmt.Sprintf("grades.%d.", i)
+		s.Groups = append(s.Groups, choice.ServiceGroup{Utility: fr.optional(prefix + "worth"), Scale: valueAt(scale, i, 1),
+			StartTarget: fr.seconds(prefix+"goal_time", false),
+			Paid:        f[prefix+"effect"] != "pure", Floor: int(valueAt(floor, i, 0)),
 			Top: int(valueAt(top, i, float64(len(s.Ladder)-1))), Seats: int(valueAt(seats, i, 0))})
 		if i < len(live) && (live[i] == "true" || live[i] == "1") {
-			s.Groups[i].Adds = g.optional(fam + "shared_adds")
+			s.Groups[i].Adds = fr.optional(family + "shared_adds")
 		}
 	}
-	return s, g.err
+	return s, fr.err
 }
 
-func valueAt(list []float64, i int, otherwise float64) float64 {
+func valueAt(list []float64, i int, fallback float64) float64 {
 	if i < len(list) {
 		return list[i]
 	}
-	return otherwise
+	return fallback
 }
 
-func (g *fieldReader) optional(name string) float64 {
-	if g.f[name] == "" {
+func (fr *fieldReader) optional(name string) float64 {
+	if fr.fields[name] == "" {
 		return 0
 	}
-	return g.number(name)
+	return fr.number(name)
 }
 
-func (g *fieldReader) numbers(name string) (list []float64) {
-	if g.f[name] == "" {
+func (fr *fieldReader) numbers(name string) (list []float64) {
+	if fr.fields[name] == "" {
 		return nil
 	}
-	for _, v := range strings.Split(g.f[name], ",") {
+	for _, v := range strings.Split(fr.fields[name], ",") {
 		x, err := strconv.ParseFloat(v, 64)
 		if err != nil {
-			g.fail(fmt.Errorf("%s: %q is not a number", name, v))
+			fr.setErr(fmt.Errorf("%s: %q is not a number", name, v))
 		}
 		list = append(list, x)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,7 @@
-// Package wire reads and writes the simulator's dialect and puts it into the module's words.
+// Package wire reads and writes the simulator's line protocol and translates it to the types of package choice.
+//
+// The simulator sends batches of events, one message per line with name=value fields; times are whole microseconds. Each batch
+// gets one reply.
 package wire
 
 import (
@@ -12,10 +15,10 @@
 	"rainhaven/choice"
 )
 
-// Kind is what an event tells.
+// Kind is the type of an event.
 type Kind int
 
-// The kinds of event. Ignored events concern a front but nothing that the module is told.
+// The kinds of event. Ignored events name a front but are not passed on to it.
 const (
 	Ignored Kind = iota
 	Start
@@ -35,7 +38,7 @@
 	Message
 )
 
-// Event is one thing that a front is told.
+// Event is one event for a front; Kind determines which of the other fields are set.
 type Event struct {
 	Front    string
 	Kind     Kind
@@ -52,7 +55,7 @@
 	Payload  []byte
 }
 
-// Dispatch tells a front of an event; Start and Stop are its host's affair.
+// Dispatch passes the event to a front. Start and Stop are handled by the host of the front.
 func (e *Event) Dispatch(f *choice.Front) {
 	switch e.Kind {
 	case ServerList:
@@ -82,39 +85,39 @@
 	}
 }
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int64][]choice.Listing // by number, 16 at most; a new list replaces the old one
+	lists map[int64][]choice.Listing // by set_id, at most 16; a new list replaces the old one of its number
 }
 
-// NewReader reads from in.
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), lists: map[int64][]choice.Listing{}}
 }
 
-func (r *Reader) nextLine() (word, rest string, err error) {
+func (r *Reader) nextLine() (name, rest string, err error) {
 	line, err := r.in.ReadString('\n')
 	if err == io.EOF && line != "" {
-		return "", "", fmt.Errorf("line %d: input ends within a line", r.line+1)
+		return "", "", fmt.Errorf("line %d: unexpected end of input within a line", r.line+1)
 	}
 	if err != nil {
 		return "", "", err
 	}
 	r.line++
-	word, rest, _ = strings.Cut(strings.TrimRight(line, "\r\n"), " ")
-	return word, rest, nil
+	name, rest, _ = strings.Cut(strings.TrimRight(line, "\r\n"), " ")
+	return name, rest, nil
 }
 
-// ReadBatch reads one batch: the clock and the events. It returns io.EOF at the end of input.
+// ReadBatch reads one batch: the time in seconds and the events. It returns io.EOF at the end of input.
 func (r *Reader) ReadBatch() (now float64, events []Event, err error) {
-	word, rest, err := r.nextLine()
+	name, rest, err := r.nextLine()
 	if err != nil {
 		return 0, nil, err
 	}
-	if word != "ROUND" {
-		return 0, nil, fmt.Errorf("line %d: %q where ROUND is due", r.line, word)
+	if name != "ROUND" {
+		return 0, nil, fmt.Errorf("line %d: got %q, want ROUND", r.line, name)
 	}
 	f, err := parseFields(rest)
 	if err == nil {
@@ -124,26 +127,26 @@
 		return 0, nil, fmt.Errorf("line %d: %w", r.line, err)
 	}
 	for {
-		word, rest, err := r.nextLine()
+		name, rest, err := r.nextLine()
 		if err == io.EOF {
-			return 0, nil, fmt.Errorf("line %d: input ends within a batch", r.line)
+			return 0, nil, fmt.Errorf("line %d: unexpected end of input within a batch", r.line)
 		}
 		if err != nil {
 			return 0, nil, err
 		}
-		if word == "OVER_TO_YOU" {
+		if name == "OVER_TO_YOU" {
 			return now, events, nil
 		}
-		if word == "CATALOG" {
+		if name == "CATALOG" {
 			err = r.readCatalog(rest)
 		} else {
 			var e Event
-			if e, err = r.parseEvent(word, rest); err == nil {
+			if e, err = r.parseEvent(name, rest); err == nil {
 				events = append(events, e)
 			}
 		}
 		if err != nil {
-			return 0, nil, fmt.Errorf("line %d: %s: %w", r.line, word, err)
+			return 0, nil, fmt.Errorf("line %d: %s: %w", r.line, name, err)
 		}
 	}
 }
@@ -153,45 +156,45 @@
 	if err != nil {
 		return err
 	}
-	id, err := f.whole("set_id", true)
+	id, err := f.integer("set_id", true)
 	if err != nil {
 		return err
 	}
-	n, err := f.whole("rows", true)
+	n, err := f.integer("rows", true)
 	if err != nil {
 		return err
 	}
 	if n < 0 {
-		return fmt.Errorf("rows=%d is below 0", n)
+		return fmt.Errorf("rows=%d is negative", n)
 	}
 	var list []choice.Listing
 	for range n {
-		word, rest, err := r.nextLine()
+		name, rest, err := r.nextLine()
 		if err != nil {
-			return fmt.Errorf("the list ends early: %w", err)
+			return fmt.Errorf("incomplete list: %w", err)
 		}
-		if word != "ITEM" {
-			return fmt.Errorf("%q where ITEM is due", word)
+		if name != "ITEM" {
+			return fmt.Errorf("got %q, want ITEM", name)
 		}
 		f, err := parseFields(rest)
 		if err != nil {
 			return err
 		}
-		g := fieldReader{f: f}
-		e := choice.Listing{ID: g.server("server"), Zone: g.whole("dc", false), Kind: g.whole("class_of_host", false),
-			Cell: g.whole("cell", false), State: choice.Lifecycle(g.whole("lifecycle", true)), Heft: 1,
-			Born: g.seconds("born", false)}
-		if _, told := f["heft"]; told {
-			e.Heft = g.number("heft")
+		fr := fieldReader{fields: f}
+		e := choice.Listing{ID: fr.server("server"), Zone: fr.integer("dc", false), Kind: fr.integer("class_of_host", false),
+			Cell: fr.integer("cell", false), State: choice.Lifecycle(fr.integer("lifecycle", true)), Heft: 1,
+			Born: fr.seconds("born", false)}
+		if _, ok := f["heft"]; ok {
+			e.Heft = fr.number("heft")
 		}
 		if e.State < choice.Gone || e.State > choice.Draining {
-			g.fail(fmt.Errorf("lifecycle=%d is unknown", e.State))
+			fr.setErr(fmt.Errorf("unknown lifecycle=%d", e.State))
 		}
 		if e.Kind < 0 || e.Cell < 0 {
-			g.fail(fmt.Errorf("a kind or cell below 0"))
+			fr.setErr(fmt.Errorf("class_of_host=%d or cell=%d is negative", e.Kind, e.Cell))
 		}
-		if g.err != nil {
-			return g.err
+		if fr.err != nil {
+			return fr.err
 		}
 		list = append(list, e)
 	}
@@ -199,83 +202,83 @@
 	return nil
 }
 
-func (r *Reader) parseEvent(word, rest string) (Event, error) {
-	if word == "SPAWN" {
+func (r *Reader) parseEvent(name, rest string) (Event, error) {
+	if name == "SPAWN" {
 		return parseStart(rest)
 	}
 	f, err := parseFields(rest)
 	if err != nil {
 		return Event{}, err
 	}
-	g := &fieldReader{f: f}
-	e := Event{Front: g.text("i")}
-	switch word {
+	fr := &fieldReader{fields: f}
+	e := Event{Front: fr.text("i")}
+	switch name {
 	case "POWER_OFF":
 		e.Kind = Stop
 	case "MESSAGE":
 		e.Kind = Message
-		if raw := g.f["raw"]; raw != "-" {
-			words, err := base64.StdEncoding.DecodeString(raw)
-			g.fail(err)
-			e.Payload = words
+		if raw := fr.fields["raw"]; raw != "-" {
+			payload, err := base64.StdEncoding.DecodeString(raw)
+			fr.setErr(err)
+			e.Payload = payload
 		}
 	case "TOPOLOGY":
-		mode := g.whole("mode", true)
+		mode := fr.integer("mode", true)
 		if mode < 0 || mode > 3 {
-			g.fail(fmt.Errorf("mode=%d is unknown", mode))
+			fr.setErr(fmt.Errorf("unknown mode=%d", mode))
 		}
-		if mode == 2 || g.err != nil {
+		if mode == 2 || fr.err != nil {
 			break
 		}
-		id := g.whole("set_id", true)
+		id := fr.integer("set_id", true)
 		list, known := r.lists[int64(id)]
 		if !known {
-			g.fail(fmt.Errorf("list %d was never sent", id))
+			fr.setErr(fmt.Errorf("unknown set_id=%d", id))
 		}
 		e.Kind, e.FullList, e.Servers = ServerList, mode != 3, list
 	case "ASK", "PREEXISTING":
 		e.Kind = Request
-		e.Request = choice.Request{ID: choice.SessID(g.text("xid")), Group: g.whole("tier_class", false),
-			Title: g.f["programme"], StartCell: g.whole("start_cell", false), Span: g.whole("span", false),
-			BestRung: g.whole("best_rung", false), SetupTimeout: g.seconds("expires", word == "ASK"),
-			Length: g.seconds("work", false)}
-		if word == "PREEXISTING" {
-			e.Kind, e.Server = Handover, g.server("server")
+		e.Request = choice.Request{ID: choice.SessID(fr.text("xid")), Group: fr.integer("tier_class", false),
+			Title: fr.fields["programme"], StartCell: fr.integer("start_cell", false), Span: fr.integer("span", false),
+			BestRung: fr.integer("best_rung", false), SetupTimeout: fr.seconds("expires", name == "ASK"),
+			Length: fr.seconds("work", false)}
+		if name == "PREEXISTING" {
+			e.Kind, e.Server = Handover, fr.server("server")
 		}
 	case "ABORTED":
-		e.Kind, e.Request.ID = ClientLeft, choice.SessID(g.text("xid"))
+		e.Kind, e.Request.ID = ClientLeft, choice.SessID(fr.text("xid"))
 	case "BEGUN":
-		e.Kind, e.Request.ID = Established, choice.SessID(g.text("xid"))
-		e.Server, e.Elapsed = g.server("server"), g.seconds("elapsed", false)
+		e.Kind, e.Request.ID = Established, choice.SessID(fr.text("xid"))
+		e.Server, e.Elapsed = fr.server("server"), fr.seconds("elapsed", false)
 	case "RESOLVED", "CHECK_RESULT":
 		e.Kind = ProbeEnded
-		if word == "RESOLVED" {
-			e.Kind, e.Request.ID, e.Final = SetupEnded, choice.SessID(g.text("xid")), g.f["final"] == "1"
+		if name == "RESOLVED" {
+			e.Kind, e.Request.ID, e.Final = SetupEnded, choice.SessID(fr.text("xid")), fr.fields["final"] == "1"
 		}
-		e.Server, e.Elapsed = g.server("server"), g.seconds("elapsed", false)
-		e.Outcome = choice.Outcome(g.whole("outcome", true))
+		e.Server, e.Elapsed = fr.server("server"), fr.seconds("elapsed", false)
+		e.Outcome = choice.Outcome(fr.integer("outcome", true))
 		if e.Outcome < choice.Served || e.Outcome > choice.Unsent {
-			g.fail(fmt.Errorf("outcome=%d is unknown", e.Outcome))
+			fr.setErr(fmt.Errorf("unknown outcome=%d", e.Outcome))
 		}
 		var err error
 		if e.Report, err = ReadReport(f["telemetry"]); err != nil {
-			g.fail(err)
+			fr.setErr(err)
 		}
 	case "PROGRESS":
-		e.Request.ID, e.Server, e.Value = choice.SessID(g.text("xid")), g.server("server"), g.number("value")
-		e.Kind = NoteKind(g.whole("sort", true))
+		e.Request.ID, e.Server, e.Value = choice.SessID(fr.text("xid")), fr.server("server"), fr.number("value")
+		e.Kind = NoteKind(fr.integer("sort", true))
 	case "REMINDER":
 		e.Kind = TimerFired
 	default:
 		return Event{}, fmt.Errorf("unknown message")
 	}
-	return e, g.err
+	return e, fr.err
 }
 
-// noteKinds are the kinds of note by number, from 1.
+// noteKinds maps the number of a note, from 1, to its kind.
 var noteKinds = [...]Kind{Ignored, DeliveredShare, RungInForce, LinkLoad, UplinkLoad}
 
-// NoteKind is the kind of a note by its number; Ignored where there is none of that number.
+// NoteKind returns the kind of a note by its number, or Ignored for an unknown number.
 func NoteKind(n int) Kind {
 	if n < 1 || n >= len(noteKinds) {
 		return Ignored
@@ -283,17 +286,18 @@
 	return noteKinds[n]
 }
 
-// ReadReport reads a load report: names and values, separated by commas.
+// ReadReport parses a load report: name:value pairs separated by commas. Missing loads are -1, and unknown names
+// are skipped.
 func ReadReport(s string) (choice.Report, error) {
 	r := choice.Report{Link: -1, Uplink: -1}
 	if s == "" || s == "-" {
 		return r, nil
 	}
-	for _, pair := range strings.Split(s, ",") {
-		name, value, _ := strings.Cut(pair, ":")
+	for _, item := range strings.Split(s, ",") {
+		name, value, _ := strings.Cut(item, ":")
 		x, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return r, fmt.Errorf("telemetry: %q is not a name and a number", pair)
+			return r, fmt.Errorf("telemetry: %q is not a name:number pair", item)
 		}
 		switch name {
 		case "cpu":
@@ -323,67 +327,67 @@
 	return f, nil
 }
 
-func (f fieldMap) whole(name string, must bool) (int64, error) {
+func (f fieldMap) integer(name string, required bool) (int64, error) {
 	v, ok := f[name]
-	if !ok && !must {
+	if !ok && !required {
 		return 0, nil
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s=%q is not a whole number", name, v)
+		return 0, fmt.Errorf("%s=%q is not an integer", name, v)
 	}
 	return n, nil
 }
 
-func (f fieldMap) seconds(name string, must bool) (float64, error) {
-	n, err := f.whole(name, must)
+func (f fieldMap) seconds(name string, required bool) (float64, error) {
+	n, err := f.integer(name, required)
 	return float64(n) / 1e6, err
 }
 
-// fieldReader takes values and keeps the first error.
+// fieldReader converts fields and keeps the first error.
 type fieldReader struct {
-	f   fieldMap
-	err error
+	fields fieldMap
+	err    error
 }
 
-func (g *fieldReader) fail(err error) {
-	if g.err == nil && err != nil {
-		g.err = err
+func (fr *fieldReader) setErr(err error) {
+	if fr.err == nil && err != nil {
+		fr.err = err
 	}
 }
 
-func (g *fieldReader) text(name string) string {
-	v := g.f[name]
+func (fr *fieldReader) text(name string) string {
+	v := fr.fields[name]
 	if v == "" {
-		g.fail(fmt.Errorf("%s is missing", name))
+		fr.setErr(fmt.Errorf("missing field %s", name))
 	}
 	return v
 }
 
-func (g *fieldReader) whole(name string, must bool) int {
-	n, err := g.f.whole(name, must)
-	g.fail(err)
+func (fr *fieldReader) integer(name string, required bool) int {
+	n, err := fr.fields.integer(name, required)
+	fr.setErr(err)
 	return int(n)
 }
 
-func (g *fieldReader) seconds(name string, must bool) float64 {
-	n, err := g.f.seconds(name, must)
-	g.fail(err)
+func (fr *fieldReader) seconds(name string, required bool) float64 {
+	n, err := fr.fields.seconds(name, required)
+	fr.setErr(err)
 	return n
 }
 
-func (g *fieldReader) server(name string) choice.ServerID {
-	n, err := strconv.ParseUint(g.f[name], 10, 32)
+func (fr *fieldReader) server(name string) choice.ServerID {
+	n, err := strconv.ParseUint(fr.fields[name], 10, 32)
 	if err != nil {
-		g.fail(fmt.Errorf("%s=%q is not a server", name, g.f[name]))
+		fr.setErr(fmt.Errorf("%s=%q is not a server number", name, fr.fields[name]))
 	}
 	return choice.ServerID(n)
 }
 
-func (g *fieldReader) number(name string) float64 {
-	x, err := strconv.ParseFloat(g.f[name], 64)
+func (fr *fieldReader) number(name string) float64 {
+	x, err := strconv.ParseFloat(fr.fields[name], 64)
 	if err != nil {
-		g.fail(fmt.Errorf("%s=%q is not a number", name, g.f[name]))
+		fr.setErr(fmt.Errorf("%s=%q is not a number", name, fr.fields[name]))
 	}
 	return x
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("first list %+v", l)
 	}
 	if l := ev[2].Servers; ev[2].FullList || len(l) != 1 || l[0].State != choice.Gone {
-		t.Errorf("the list reused %+v", l)
+		t.Errorf("list of the reused set_id: %+v", l)
 	}
 	if q := ev[3].Request; q.SetupTimeout != 8.65225 || q.Group != 1 || q.BestRung != 2 {
 		t.Errorf("request %+v", q)
@@ -51,24 +51,24 @@
 		t.Errorf("message %+v", e)
 	}
 	if _, _, err := r.ReadBatch(); err != io.EOF {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end of input: %v, want io.EOF", err)
 	}
 }
 
-func TestMalformedInputNamesItsLine(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	for in, want := range map[string]string{
 		"HELLO\n":                        "line 1",
 		"ROUND now=x\n":                  "now=",
 		"ROUND now=1\nNOVEL i=front_1\n": "line 2: NOVEL: unknown message",
 		"ROUND now=1\nASK i=front_1 xid=a expires=soon\n":       "expires=",
 		"ROUND now=1\nMESSAGE i=front_1 who=2 raw=a\n":          "line 2: MESSAGE",
-		"ROUND now=1\nTOPOLOGY i=front_1 mode=0 set_id=3\n":     "list 3 was never sent",
-		"ROUND now=1\nCATALOG set_id=0 rows=2\nASK i=front_1\n": "ITEM is due",
+		"ROUND now=1\nTOPOLOGY i=front_1 mode=0 set_id=3\n":     "unknown set_id=3",
+		"ROUND now=1\nCATALOG set_id=0 rows=2\nASK i=front_1\n": "want ITEM",
 		"ROUND now=1\n": "within a batch",
 		"ROUND now=1\nRESOLVED i=front_1 xid=a outcome=99 server=1\n": "outcome=99",
 	} {
 		if _, _, err := NewReader(strings.NewReader(in)).ReadBatch(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q gives %v, not %q", in, err, want)
+			t.Errorf("%q: error %v, want %q", in, err, want)
 		}
 	}
 }
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -11,10 +11,10 @@
 	"rainhaven/choice"
 )
 
-// Writer writes replies.
+// Writer writes replies to batches.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter writes to out.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<20)} }
 
 // EndReply ends the reply and flushes it.
@@ -23,13 +23,13 @@
 	return w.out.Flush()
 }
 
-// ReportPanic reports a failure of the decision code.
-func (w *Writer) ReportPanic(front string, why any) {
-	words := strings.Join(strings.Fields(fmt.Sprint(why)), " ")
-	fmt.Fprintf(w.out, "BROKEN i=%s words=%s\n", front, words)
+// ReportPanic reports that the decision code of a front panicked.
+func (w *Writer) ReportPanic(front string, cause any) {
+	text := strings.Join(strings.Fields(fmt.Sprint(cause)), " ")
+	fmt.Fprintf(w.out, "BROKEN i=%s words=%s\n", front, text)
 }
 
-// ActWriter writes one front's acts.
+// ActWriter writes the actions that a front decides on to the reply.
 type ActWriter struct {
 	Front string
 	Out   *Writer
@@ -43,13 +43,13 @@
 }
 
 // Setup sends a SETUP.
-func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, wait float64) {
-	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, toMicros(wait))
+func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, timeout float64) {
+	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, toMicros(timeout))
 }
 
 // BusyReply ends a request as busy.
-func (a ActWriter) BusyReply(id choice.SessID, comeBack float64) {
-	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, toMicros(comeBack))
+func (a ActWriter) BusyReply(id choice.SessID, retryAfter float64) {
+	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, toMicros(retryAfter))
 }
 
 // TearDown ends a request as failed.
@@ -57,14 +57,14 @@
 	fmt.Fprintf(a.Out.out, "DROP_REQUEST i=%s xid=%s\n", a.Front, id)
 }
 
-// Probe examines a server.
+// Probe probes a server.
 func (a ActWriter) Probe(server choice.ServerID) {
 	fmt.Fprintf(a.Out.out, "TOUCH i=%s server=%d\n", a.Front, server)
 }
 
 // Tell sends a message to another front.
-func (a ActWriter) Tell(front int, words []byte) {
-	fmt.Fprintf(a.Out.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(words))
+func (a ActWriter) Tell(front int, payload []byte) {
+	fmt.Fprintf(a.Out.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(payload))
 }
 
 // Wake sets a timer.
