--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts instances of the decision module on the simulator's wire.
+// Command simhost runs instances of the decision module for the simulator, with which it talks on standard input and output.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// serve answers batches until the end of input.
+// serve replies to batches until the end of input.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	h := host{fronts: map[string]*choice.Front{}, w: w}
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.batch(now, events); err != nil {
+		if err := h.runBatch(now, events); err != nil {
 			return err
 		}
 		if err := w.EndReply(); err != nil {
@@ -38,14 +38,14 @@
 	}
 }
 
-// host holds the instances of this process, which share nothing.
+// host holds the fronts of this process, which share no state.
 type host struct {
-	fronts map[string]*choice.Front // emptied as instances are stopped
+	fronts map[string]*choice.Front // by name; an entry is deleted when its front is stopped
 	w      *wire.Writer
 }
 
-// batch feeds the events in order, then settles each front concerned, in the order of first mention.
-func (h *host) batch(now float64, events []wire.Event) error {
+// runBatch dispatches the events in order, then calls Settle on each front that got one, in the order of first mention.
+func (h *host) runBatch(now float64, events []wire.Event) error {
 	var order []string
 	seen := map[string]bool{}
 	for i := range events {
@@ -55,30 +55,30 @@
 			order = append(order, e.Front)
 		}
 		if h.fronts[e.Front] == nil && e.Kind != wire.Start && e.Kind != wire.Stop {
-			return fmt.Errorf("an event for %s, which was not started", e.Front)
+			return fmt.Errorf("event for front %s, which is not running", e.Front)
 		}
-		h.guarded(e.Front, func() { h.feed(now, e) })
+		h.recoverPanics(e.Front, func() { h.dispatch(now, e) })
 	}
 	for _, name := range order {
 		if f := h.fronts[name]; f != nil {
-			h.guarded(name, f.Reconcile)
+			h.recoverPanics(name, f.Reconcile)
 		}
 	}
 	return nil
 }
 
-// guarded reports a panic of the module with the wire's own message.
-func (h *host) guarded(front string, do func()) {
+// recoverPanics calls f and reports a panic of the front to the simulator instead of crashing.
+func (h *host) recoverPanics(front string, f func()) {
 	defer func() {
-		if why := recover(); why != nil {
-			fmt.Fprintln(os.Stderr, "simhost:", front, why)
-			h.w.ReportPanic(front, why)
+		if cause := recover(); cause != nil {
+			fmt.Fprintln(os.Stderr, "simhost:", front, cause)
+			h.w.ReportPanic(front, cause)
 		}
 	}()
-	do()
+	f()
 }
 
-func (h *host) feed(now float64, e *wire.Event) {
+func (h *host) dispatch(now float64, e *wire.Event) {
 	switch e.Kind {
 	case wire.Start:
 		h.fronts[e.Front] = choice.New(now, e.Figures, wire.ActWriter{Front: e.Front, Out: h.w})
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -11,10 +11,10 @@
 	"rainhaven/choice"
 )
 
-// Writer writes replies.
+// Writer writes replies to batches.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter writes to out.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<20)} }
 
 // EndReply ends the reply and flushes it.
@@ -23,19 +23,19 @@
 	return w.out.Flush()
 }
 
-// ReportPanic reports a failure of the decision code.
-func (w *Writer) ReportPanic(front string, why any) {
-	words := strings.Join(strings.Fields(fmt.Sprint(why)), " ")
-	fmt.Fprintf(w.out, "BROKEN i=%s words=%s\n", front, words)
+// ReportPanic reports that the decision code of a front panicked.
+func (w *Writer) ReportPanic(front string, cause any) {
+	text := strings.Join(strings.Fields(fmt.Sprint(cause)), " ")
+	fmt.Fprintf(w.out, "BROKEN i=%s words=%s\n", front, text)
 }
 
-// ActWriter writes one front's acts.
+// ActWriter writes the actions that a front decides on to the reply.
 type ActWriter struct {
 	Front string
 	Out   *Writer
 }
 
-func us(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
+func toMicros(seconds float64) int64 { return int64(math.Round(seconds * 1e6)) }
 
 // SetRung sets a session's rung.
 func (a ActWriter) SetRung(id choice.SessID, rung int) {
@@ -43,13 +43,13 @@
 }
 
 // Setup sends a SETUP.
-func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, wait float64) {
-	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, us(wait))
+func (a ActWriter) Setup(id choice.SessID, server choice.ServerID, timeout float64) {
+	fmt.Fprintf(a.Out.out, "TRY i=%s xid=%s server=%d max_wait=%d\n", a.Front, id, server, toMicros(timeout))
 }
 
 // BusyReply ends a request as busy.
-func (a ActWriter) BusyReply(id choice.SessID, comeBack float64) {
-	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, us(comeBack))
+func (a ActWriter) BusyReply(id choice.SessID, retryAfter float64) {
+	fmt.Fprintf(a.Out.out, "BUSY i=%s xid=%s stay_away=%d\n", a.Front, id, toMicros(retryAfter))
 }
 
 // FailureReply ends a request as failed.
@@ -57,17 +57,17 @@
 	fmt.Fprintf(a.Out.out, "DROP_REQUEST i=%s xid=%s\n", a.Front, id)
 }
 
-// Probe examines a server.
+// Probe probes a server.
 func (a ActWriter) Probe(server choice.ServerID) {
 	fmt.Fprintf(a.Out.out, "TOUCH i=%s server=%d\n", a.Front, server)
 }
 
 // SendMessage sends a message to another front.
-func (a ActWriter) SendMessage(front int, words []byte) {
-	fmt.Fprintf(a.Out.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(words))
+func (a ActWriter) SendMessage(front int, payload []byte) {
+	fmt.Fprintf(a.Out.out, "MEMO_TO i=%s addressee=%d raw=%s\n", a.Front, front, base64.StdEncoding.EncodeToString(payload))
 }
 
 // SetTimer sets a timer.
 func (a ActWriter) SetTimer(after float64) {
-	fmt.Fprintf(a.Out.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, us(after))
+	fmt.Fprintf(a.Out.out, "SET_TIMER i=%s after=%d mark=1\n", a.Front, toMicros(after))
 }
