--- a/choice/lifecycle/lifecycle.go
+++ b/choice/lifecycle/lifecycle.go
@@ -1,8 +1,8 @@
-// Package lifecycle decides what a front's process does from its start to its exit: what each signal, failure and
-// time-out brings about. It does no I/O.
+// Package lifecycle is the state machine of a front's process from start to exit: it decides how the process reacts to
+// signals, failures and timeouts. It does no I/O.
 //
-// How it is called: New once, then At with the clock and one method an event; Settle gives the orders. Next tells when
-// Settle is wanted even if nothing happens.
+// Call New once. For each event, set the clock with SetTime and call the method for that event, then Reconcile, which calls
+// the Actions that are due. NextWakeup returns when Reconcile must run even if no event arrives.
 package lifecycle
 
 import (
@@ -11,15 +11,15 @@
 	"rainhaven/choice/reload"
 )
 
-// State is where the process stands.
+// State is the state of the process.
 type State int
 
-// The states, in their order: none comes back.
+// The states, in order: the process never returns to an earlier one.
 const (
 	Starting State = iota
 	Serving
-	Draining // new requests are busy-replied, sessions go on
-	Cutting  // sessions are ended
+	Draining // new requests are busy-replied, sessions continue
+	Cutting  // sessions are being ended
 	Stopped
 )
 
@@ -27,192 +27,195 @@
 	return [...]string{"starting", "serving", "draining", "cutting", "stopped"}[s]
 }
 
-// ExitCode is a process's exit code.
+// ExitCode is the exit code of the process.
 type ExitCode int
 
-// The exit codes. 2 is wrong use of the command line.
+// The exit codes. The command line reports its own usage errors with 2.
 const (
 	ExitClean              ExitCode = 0
-	ExitFailed             ExitCode = 1 // settings, files, listeners: what the message says
-	ExitAddressUnavailable ExitCode = 3 // an address is taken or can't be had
-	ExitStateFolder        ExitCode = 4 // the state folder is missing, can't be written, or belongs to another process
-	ExitForced             ExitCode = 5 // sessions were cut because a second signal asked for it
-	ExitTimeout            ExitCode = 6 // the front did not end within its time
+	ExitFailed             ExitCode = 1 // settings, files or listeners failed; the message has the details
+	ExitAddressUnavailable ExitCode = 3 // an address is in use or can't be bound
+	ExitStateFolder        ExitCode = 4 // the state folder is missing, not writable or locked by another process
+	ExitForced             ExitCode = 5 // a second signal ended the sessions before the drain was complete
+	ExitTimeout            ExitCode = 6 // the front did not end in time
 )
 
-// Actions is what the process has done. All are given from within Settle.
+// Actions carries out the decisions of a Machine. All methods are called from within Reconcile.
 type Actions interface {
-	Reload()                        // read the settings and have them take hold; Reloaded follows
-	Drain()                         // busy-reply what is new; Drained follows when the last session is over
-	EndSessions()                   // end all sessions; Ended follows
-	Exit(code ExitCode, why string) // nothing follows
+	Reload()                           // read and apply the settings, then call Reloaded
+	Drain()                            // busy-reply new requests; call Drained when the last session has ended
+	EndSessions()                      // end all sessions, then call SessionsEnded
+	Exit(code ExitCode, reason string) // last call
 }
 
 const (
-	// cutTime is how many seconds the end of all sessions may take: TEARDOWNs are waited for 2 s, queued answers and
-	// connections are closed within another.
-	cutTime = 5.0
-	// A drain takes so many seconds at least, even without sessions: against viewers that a load balancer, which asks for
-	// health each half second, still sends meanwhile, and whose connections would break when the sockets close.
-	linger = 1.0
-	// A second signal within so many seconds of the first is the same wish: a terminal and a supervisor both pass one on.
-	same = 0.2
+	// Ending all sessions waits up to 2 s for answers to TEARDOWN and up to 1 s more for queued answers and for connections
+	// to close.
+	endSessionsTimeoutSeconds = 5.0
+	// A drain lasts at least this long, even without sessions. A load balancer that checks health every 0.5 s still sends
+	// viewers meanwhile, and their connections would break if the sockets closed at once.
+	minDrainSeconds = 1.0
+	// A terminal and a supervisor may both deliver the same signal: a second one within this time is ignored.
+	duplicateSignalSeconds = 0.2
 )
 
-// Machine is one process's.
+// Machine is the state machine of one process.
 type Machine struct {
-	out     Actions
-	now     float64
-	drain   float64 // seconds that sessions may play on
-	state   State
-	wanted  State
-	code    ExitCode
-	why     string
-	until   float64 // end of the drain, or of the cut
-	least   float64 // the drain's end if the last session is over by then
-	drained bool    // it is
-	asked   float64 // the last signal to end
-	reload  bool    // one is wanted
-	loading bool    // one is under way
-	loaded  float64 // when the last one took hold
-	refused string  // why the last one did not; empty where it did
-
+	actions       Actions
+	now           float64
+	drainSeconds  float64 // how long sessions may continue
+	state         State
+	wanted        State
+	code          ExitCode
+	reason        string
+	deadline      float64 // of the drain, or of ending the sessions
+	minDrainEnd   float64 // earliest end of the drain
+	drained       bool    // no session is left
+	signaledAt    float64 // last Terminate that was not ignored
+	reloadPending bool
+	reloading     bool
+	reloadedAt    float64 // last successful reload
+	reloadError   string  // of the last reload; empty on success
 }
 
-// New begins a process; sessions may play on for drain seconds once it is told to stop.
-func New(now, drain float64, out Actions) *Machine { return &Machine{out: out, now: now, drain: drain} }
+// New returns the machine of a process that is starting. Sessions may continue for drain seconds after it is told to stop.
+func New(now, drain float64, actions Actions) *Machine {
+	return &Machine{actions: actions, now: now, drainSeconds: drain}
+}
 
-// SetTime sets the clock; it never runs back.
-func (l *Machine) SetTime(now float64) { l.now = max(l.now, now) }
+// SetTime sets the clock. Earlier times are ignored.
+func (m *Machine) SetTime(now float64) { m.now = max(m.now, now) }
 
-// State is where the process stands, and why it is to end, if it is.
-func (l *Machine) State() (State, string) { return l.state, l.why }
+// State returns the current state and, once the process is to stop, the reason.
+func (m *Machine) State() (State, string) { return m.state, m.reason }
 
-// ReloadError is why the last reload was not taken; empty where it was.
-func (l *Machine) ReloadError() string { return l.refused }
+// ReloadError returns why the last reload was rejected, or "" if it succeeded.
+func (m *Machine) ReloadError() string { return m.reloadError }
 
-// Started tells that the front serves.
-func (l *Machine) Started() { l.want(Serving) }
+// Started records that the front serves requests.
+func (m *Machine) Started() { m.advanceTo(Serving) }
 
-func (l *Machine) want(s State) { l.wanted = max(l.wanted, s) }
+func (m *Machine) advanceTo(s State) { m.wanted = max(m.wanted, s) }
 
-// RequestReload is the signal to read the settings again. Several that come before the first is carried out are one.
-func (l *Machine) RequestReload() {
-	if l.wanted <= Serving {
-		l.reload = true
+// RequestReload asks for the settings to be read again. Requests that arrive before the reload starts are merged into one.
+func (m *Machine) RequestReload() {
+	if m.wanted <= Serving {
+		m.reloadPending = true
 	}
 }
 
-// Reloaded tells how a reload went: why it was refused, empty where it took hold.
-func (l *Machine) Reloaded(refused string) {
-	if l.loading = false; refused == "" {
-		l.loaded = l.now
+// Reloaded records the result of a reload: the reason for its rejection, or "" if it succeeded.
+func (m *Machine) Reloaded(rejection string) {
+	if m.reloading = false; rejection == "" {
+		m.reloadedAt = m.now
 	}
-	l.refused = refused
+	m.reloadError = rejection
 }
 
-// Terminate is a signal to end: the first drains, one more cuts, and a third is not waited for.
-func (l *Machine) Terminate(signal string) {
-	if l.asked > 0 && l.now-l.asked < same {
+// Terminate handles a signal to stop: the first one starts a drain, the second ends all sessions, and the third exits
+// without waiting for that.
+func (m *Machine) Terminate(signal string) {
+	if m.signaledAt > 0 && m.now-m.signaledAt < duplicateSignalSeconds {
 		return
 	}
-	l.asked = l.now
+	m.signaledAt = m.now
 	switch {
-	case l.wanted < Serving:
-		l.end(Stopped, ExitClean, signal+" before the front served")
-	case l.wanted == Serving:
-		l.end(Draining, ExitClean, signal)
-	case l.wanted == Draining:
-		l.end(Cutting, ExitForced, "a second signal: "+signal)
-	case l.wanted == Cutting:
-		l.end(Stopped, ExitForced, "a third signal: "+signal)
+	case m.wanted < Serving:
+		m.stop(Stopped, ExitClean, signal+" before the front was serving")
+	case m.wanted == Serving:
+		m.stop(Draining, ExitClean, signal)
+	case m.wanted == Draining:
+		m.stop(Cutting, ExitForced, "second signal: "+signal)
+	case m.wanted == Cutting:
+		m.stop(Stopped, ExitForced, "third signal: "+signal)
 	}
 }
 
-// Failed tells that something failed for good. Before the front serves that is its end; afterwards what plays still may
-// play on for the time of a drain, as it needs nothing of a listener.
-func (l *Machine) Failed(code ExitCode, what string) {
-	if l.wanted < Serving {
-		l.end(Stopped, code, what)
-	} else if l.wanted == Serving {
-		l.end(Draining, code, what)
+// Failed handles a permanent failure. Before the front serves, the process exits. Afterwards it drains, because sessions
+// that are established need no listener.
+func (m *Machine) Failed(code ExitCode, detail string) {
+	if m.wanted < Serving {
+		m.stop(Stopped, code, detail)
+	} else if m.wanted == Serving {
+		m.stop(Draining, code, detail)
 	}
 }
 
-// TakenOver tells that another process has the listeners now: this one drains.
-func (l *Machine) TakenOver() {
-	if l.wanted == Serving {
-		l.end(Draining, ExitClean, "another process has taken over")
+// TakenOver records that another process has the listeners now, so this one drains.
+func (m *Machine) TakenOver() {
+	if m.wanted == Serving {
+		m.stop(Draining, ExitClean, "another process has taken over")
 	}
 }
 
-// Drained tells that the last session is over.
-func (l *Machine) Drained() {
-	l.drained = l.wanted == Draining
+// Drained records that the last session has ended.
+func (m *Machine) Drained() {
+	m.drained = m.wanted == Draining
 }
 
-// Resumed tells that a session began after the last one was over, where requests are still taken during a drain.
-func (l *Machine) Resumed() { l.drained = false }
+// Resumed records that a session started after the last one had ended. This happens where requests are still accepted
+// during a drain.
+func (m *Machine) Resumed() { m.drained = false }
 
-// SessionsEnded tells that the front has ended.
-func (l *Machine) SessionsEnded() {
-	if l.wanted == Cutting {
-		l.end(Stopped, l.code, l.why)
+// SessionsEnded records that all sessions have been ended.
+func (m *Machine) SessionsEnded() {
+	if m.wanted == Cutting {
+		m.stop(Stopped, m.code, m.reason)
 	}
 }
 
-// end goes on towards the exit. The first failure's code stays.
-func (l *Machine) end(to State, code ExitCode, why string) {
-	if l.want(to); l.code == ExitClean {
-		l.code = code
+// stop moves towards the exit. The exit code of the first failure is kept.
+func (m *Machine) stop(to State, code ExitCode, reason string) {
+	if m.advanceTo(to); m.code == ExitClean {
+		m.code = code
 	}
-	if l.why == "" || code != ExitClean {
-		l.why = why
+	if m.reason == "" || code != ExitClean {
+		m.reason = reason
 	}
 }
 
-// NextWakeup is the instant at which Settle is wanted, 0 where none is.
-func (l *Machine) NextWakeup() float64 {
+// NextWakeup returns the time at which Reconcile must run, or 0 if it only has to run after events.
+func (m *Machine) NextWakeup() float64 {
 	switch {
-	case l.state == Draining && l.drained:
-		return min(l.until, l.least)
-	case l.state == Draining || l.state == Cutting:
-		return l.until
-	case l.reload && !l.loading && l.state == Serving:
-		return l.now + reload.Delay(l.now, l.loaded)
+	case m.state == Draining && m.drained:
+		return min(m.deadline, m.minDrainEnd)
+	case m.state == Draining || m.state == Cutting:
+		return m.deadline
+	case m.reloadPending && !m.reloading && m.state == Serving:
+		return m.now + reload.Delay(m.now, m.reloadedAt)
 	}
 	return 0
 }
 
-// Reconcile gives the orders that lead from where the process is to where it is wanted.
-func (l *Machine) Reconcile() {
-	if l.state == Draining && l.drained && l.now >= l.least {
-		l.end(Cutting, l.code, l.why)
+// Reconcile calls the actions that lead from the current state to the wanted one.
+func (m *Machine) Reconcile() {
+	if m.state == Draining && m.drained && m.now >= m.minDrainEnd {
+		m.stop(Cutting, m.code, m.reason)
 	}
-	if l.until > 0 && l.now >= l.until {
-		switch l.state {
+	if m.deadline > 0 && m.now >= m.deadline {
+		switch m.state {
 		case Draining:
-			l.end(Cutting, l.code, l.why)
+			m.stop(Cutting, m.code, m.reason)
 		case Cutting:
-			l.end(Stopped, ExitTimeout, fmt.Sprintf("the front did not end within %v s", cutTime))
-			l.code = ExitTimeout
+			m.stop(Stopped, ExitTimeout, fmt.Sprintf("the front did not end within %v s", endSessionsTimeoutSeconds))
+			m.code = ExitTimeout
 		}
 	}
-	for l.state < l.wanted {
-		l.state++
+	for m.state < m.wanted {
+		m.state++
 		switch {
-		case l.state == Draining && l.wanted == Draining:
-			l.until, l.least = l.now+l.drain, l.now+linger
-			l.out.Drain()
-		case l.state == Cutting && l.wanted == Cutting:
-			l.until = l.now + cutTime
-			l.out.EndSessions()
-		case l.state == Stopped:
-			l.out.Exit(l.code, l.why)
+		case m.state == Draining && m.wanted == Draining:
+			m.deadline, m.minDrainEnd = m.now+m.drainSeconds, m.now+minDrainSeconds
+			m.actions.Drain()
+		case m.state == Cutting && m.wanted == Cutting:
+			m.deadline = m.now + endSessionsTimeoutSeconds
+			m.actions.EndSessions()
+		case m.state == Stopped:
+			m.actions.Exit(m.code, m.reason)
 		}
 	}
-	if l.reload && !l.loading && l.state == Serving && reload.Delay(l.now, l.loaded) == 0 {
-		l.reload, l.loading = false, true
-		l.out.Reload()
+	if m.reloadPending && !m.reloading && m.state == Serving && reload.Delay(m.now, m.reloadedAt) == 0 {
+		m.reloadPending, m.reloading = false, true
+		m.actions.Reload()
 	}
 }
--- a/choice/lifecycle/lifecycle_test.go
+++ b/choice/lifecycle/lifecycle_test.go
@@ -7,134 +7,134 @@
 	"pgregory.net/rapid"
 )
 
-// process notes the orders and breaks the test where they come out of turn.
+// process records the actions of a Machine and fails the test if one comes out of order.
 type process struct {
-	t                    rapid.TB
-	l                    *Machine
-	log                  []string
-	loading, exited, cut bool
-	drained              bool
-	code                 ExitCode
-	now                  float64
+	t                                rapid.TB
+	m                                *Machine
+	actions                          []string
+	reloading, exited, sessionsEnded bool
+	draining                         bool
+	code                             ExitCode
+	now                              float64
 }
 
-func (p *process) note(s string) {
+func (p *process) record(action string) {
 	if p.exited {
-		p.t.Fatalf("%s after the exit", s)
+		p.t.Fatalf("%s after the exit", action)
 	}
-	p.log = append(p.log, s)
+	p.actions = append(p.actions, action)
 }
 
 func (p *process) Reload() {
-	if p.note("reload"); p.loading || p.drained {
-		p.t.Fatalf("a reload out of turn: %v", p.log)
+	if p.record("reload"); p.reloading || p.draining {
+		p.t.Fatalf("reload out of order: %v", p.actions)
 	}
-	p.loading = true
+	p.reloading = true
 }
 
 func (p *process) Drain() {
-	if p.note("drain"); p.drained || p.cut {
-		p.t.Fatalf("a drain out of turn: %v", p.log)
+	if p.record("drain"); p.draining || p.sessionsEnded {
+		p.t.Fatalf("drain out of order: %v", p.actions)
 	}
-	p.drained = true
+	p.draining = true
 }
 
 func (p *process) EndSessions() {
-	if p.note("cut"); p.cut {
-		p.t.Fatal("cut twice")
+	if p.record("end"); p.sessionsEnded {
+		p.t.Fatal("sessions ended twice")
 	}
-	p.cut = true
+	p.sessionsEnded = true
 }
 
-func (p *process) Exit(code ExitCode, why string) {
-	if p.note("exit"); why == "" {
-		p.t.Fatal("an exit without a word")
+func (p *process) Exit(code ExitCode, reason string) {
+	if p.record("exit"); reason == "" {
+		p.t.Fatal("exit without a reason")
 	}
 	p.exited, p.code = true, code
 }
 
-func begin(t rapid.TB) *process {
+func newProcess(t rapid.TB) *process {
 	p := &process{t: t}
-	p.l = New(0, 30, p)
+	p.m = New(0, 30, p)
 	return p
 }
 
 func (p *process) do(after float64, event func()) {
 	p.now += after
-	p.l.SetTime(p.now)
+	p.m.SetTime(p.now)
 	event()
-	p.l.Reconcile()
+	p.m.Reconcile()
 }
 
-func TestLives(t *testing.T) {
+func TestTransitions(t *testing.T) {
 	type step struct {
 		after float64
 		do    func(p *process)
 	}
-	up := step{0, func(p *process) { p.l.Started() }}
-	hup := step{0.1, func(p *process) { p.l.RequestReload() }}
-	term := step{1, func(p *process) { p.l.Terminate("terminated") }}
-	again := step{0.05, func(p *process) { p.l.Terminate("terminated") }}
-	drained := step{1, func(p *process) { p.l.Drained() }}
-	ended := step{0.1, func(p *process) { p.l.SessionsEnded() }}
-	loaded := step{0.1, func(p *process) { p.loading = false; p.l.Reloaded("") }}
+	started := step{0, func(p *process) { p.m.Started() }}
+	reload := step{0.1, func(p *process) { p.m.RequestReload() }}
+	term := step{1, func(p *process) { p.m.Terminate("terminated") }}
+	duplicate := step{0.05, func(p *process) { p.m.Terminate("terminated") }}
+	drained := step{1, func(p *process) { p.m.Drained() }}
+	ended := step{0.1, func(p *process) { p.m.SessionsEnded() }}
+	reloaded := step{0.1, func(p *process) { p.reloading = false; p.m.Reloaded("") }}
 	wait := func(s float64) step { return step{s, func(*process) {}} }
 	for name, c := range map[string]struct {
-		steps []step
-		log   string
-		code  ExitCode
+		steps   []step
+		actions string
+		code    ExitCode
 	}{
-		"drained":                  {[]step{up, term, drained, ended}, "drain cut exit", ExitClean},
-		"another begins meanwhile": {[]step{up, term, {0.1, func(p *process) { p.l.Drained() }}, {0.1, func(p *process) { p.l.Resumed() }}, wait(5)}, "drain", 0},
-		"the drain takes long":     {[]step{up, term, wait(30), ended}, "drain cut exit", ExitClean},
-		"a second signal":          {[]step{up, term, term, ended}, "drain cut exit", ExitForced},
-		"the same one twice":       {[]step{up, term, again, drained, ended}, "drain cut exit", ExitClean},
-		"a third":                  {[]step{up, term, term, term}, "drain cut exit", ExitForced},
-		"it does not end":          {[]step{up, term, drained, wait(6)}, "drain cut exit", ExitTimeout},
-		"the port is taken":        {[]step{{0, func(p *process) { p.l.Failed(ExitAddressUnavailable, "taken") }}}, "exit", ExitAddressUnavailable},
-		"stopped while it starts":  {[]step{term}, "exit", ExitClean},
-		"a listener breaks":        {[]step{up, {1, func(p *process) { p.l.Failed(ExitFailed, "closed") }}, drained, ended}, "drain cut exit", ExitFailed},
-		"taken over":               {[]step{up, {1, func(p *process) { p.l.TakenOver() }}, drained, ended}, "drain cut exit", ExitClean},
-		"reloads one at a time":    {[]step{up, hup, hup, hup, loaded, wait(0.1), wait(1)}, "reload reload", 0},
-		"a reload before it is up": {[]step{hup, up}, "reload", 0},
-		"none while it drains":     {[]step{up, term, hup, drained, ended}, "drain cut exit", ExitClean},
+		"drain":                        {[]step{started, term, drained, ended}, "drain end exit", ExitClean},
+		"session starts while drained": {[]step{started, term, {0.1, func(p *process) { p.m.Drained() }}, {0.1, func(p *process) { p.m.Resumed() }}, wait(5)}, "drain", 0},
+		"drain times out":              {[]step{started, term, wait(30), ended}, "drain end exit", ExitClean},
+		"second signal":                {[]step{started, term, term, ended}, "drain end exit", ExitForced},
+		"duplicate signal":             {[]step{started, term, duplicate, drained, ended}, "drain end exit", ExitClean},
+		"third signal":                 {[]step{started, term, term, term}, "drain end exit", ExitForced},
+		"front does not end":           {[]step{started, term, drained, wait(6)}, "drain end exit", ExitTimeout},
+		"port in use":                  {[]step{{0, func(p *process) { p.m.Failed(ExitAddressUnavailable, "taken") }}}, "exit", ExitAddressUnavailable},
+		"signal while starting":        {[]step{term}, "exit", ExitClean},
+		"listener fails":               {[]step{started, {1, func(p *process) { p.m.Failed(ExitFailed, "closed") }}, drained, ended}, "drain end exit", ExitFailed},
+		"taken over":                   {[]step{started, {1, func(p *process) { p.m.TakenOver() }}, drained, ended}, "drain end exit", ExitClean},
+		"one reload at a time":         {[]step{started, reload, reload, reload, reloaded, wait(0.1), wait(1)}, "reload reload", 0},
+		"reload before serving":        {[]step{reload, started}, "reload", 0},
+		"no reload while draining":     {[]step{started, term, reload, drained, ended}, "drain end exit", ExitClean},
 	} {
-		p := begin(t)
+		p := newProcess(t)
 		for _, s := range c.steps {
 			p.do(s.after, func() { s.do(p) })
 		}
-		if got := strings.Join(p.log, " "); got != c.log || p.code != c.code {
-			t.Errorf("%s: %s with %d, want %s with %d", name, got, p.code, c.log, c.code)
+		if got := strings.Join(p.actions, " "); got != c.actions || p.code != c.code {
+			t.Errorf("%s: %s with code %d, want %s with %d", name, got, p.code, c.actions, c.code)
 		}
 	}
 }
 
-// Whatever comes in any order, orders come in theirs, and a process that is told to end ends.
-func TestAnyLife(t *testing.T) {
+// For any order of events, actions come in order and a process that is told to stop exits.
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := begin(t)
+		p := newProcess(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"up":      func(*rapid.T) { p.do(0, p.l.Started) },
-			"hangup":  func(*rapid.T) { p.do(0, p.l.RequestReload) },
-			"end":     func(t *rapid.T) { p.do(rapid.Float64Range(0, 2).Draw(t, "after"), func() { p.l.Terminate("x") }) },
-			"fail":    func(*rapid.T) { p.do(0, func() { p.l.Failed(ExitFailed, "broken") }) },
-			"drained": func(*rapid.T) { p.do(0, p.l.Drained) },
-			"ended":   func(*rapid.T) { p.do(0, p.l.SessionsEnded) },
+			"started":        func(*rapid.T) { p.do(0, p.m.Started) },
+			"request reload": func(*rapid.T) { p.do(0, p.m.RequestReload) },
+			"terminate":      func(t *rapid.T) { p.do(rapid.Float64Range(0, 2).Draw(t, "after"), func() { p.m.Terminate("x") }) },
+			"fail":           func(*rapid.T) { p.do(0, func() { p.m.Failed(ExitFailed, "broken") }) },
+			"drained":        func(*rapid.T) { p.do(0, p.m.Drained) },
+			"ended":          func(*rapid.T) { p.do(0, p.m.SessionsEnded) },
 			"reloaded": func(t *rapid.T) {
-				if !p.loading {
-					t.Skip("none")
+				if !p.reloading {
+					t.Skip("no reload in progress")
 				}
-				p.loading = false
-				p.do(0, func() { p.l.Reloaded(rapid.SampledFrom([]string{"", "wrong"}).Draw(t, "refused")) })
+				p.reloading = false
+				p.do(0, func() { p.m.Reloaded(rapid.SampledFrom([]string{"", "wrong"}).Draw(t, "rejection")) })
 			},
 			"time": func(t *rapid.T) { p.do(rapid.Float64Range(0, 40).Draw(t, "seconds"), func() {}) },
 		})
-		p.do(1, func() { p.l.Failed(ExitFailed, "the end") })
+		p.do(1, func() { p.m.Failed(ExitFailed, "the end") })
 		for range 4 {
-			p.do(1, func() { p.l.Terminate("x") })
+			p.do(1, func() { p.m.Terminate("x") })
 		}
 		if !p.exited {
-			t.Fatalf("it does not end: %v", p.log)
+			t.Fatalf("the process did not exit: %v", p.actions)
 		}
 	})
 }
