--- a/choice/fleet/fleet.go
+++ b/choice/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet decides how many fronts on one machine are kept running: which is started, stopped or killed next, how fast
-// after a fall, and how a rolling restart goes from one to the next. It does no I/O.
+// Package fleet decides how the fronts of one machine are kept running: which to start, stop or kill next, how long to wait
+// before restarting a front that failed, and how a rolling restart proceeds. It does no I/O.
 //
-// How it is called: New once, then At with the clock and one method an event; Settle works out the difference between what
-// is wanted of each instance and what it is, and gives it as Orders. Next tells when Settle is wanted by the clock.
+// Call New once. For each event, set the clock with SetTime and call the method for that event, then Reconcile, which
+// compares the wanted and the actual state of each instance and calls the Actions that are due. NextWakeup returns when
+// Reconcile must run even if no event arrives.
 package fleet
 
 import (
@@ -11,10 +12,10 @@
 	"strings"
 )
 
-// Phase is where an instance stands.
+// Phase is the state of an instance.
 type Phase int
 
-// The phases. Up is a process whose health was ready once; it may be unready since.
+// The phases. An instance is Up once its health check has reported ready; it may have become unready since.
 const (
 	Down Phase = iota
 	Starting
@@ -24,150 +25,155 @@
 
 func (p Phase) String() string { return [...]string{"down", "starting", "up", "stopping"}[p] }
 
-// Actions is what the fleet has done. Exited follows each Start once, whatever ended it.
+// Actions carries out the decisions of a Fleet. Each Start is followed by one call to Exited, for whatever reason the process
+// ended.
 type Actions interface {
 	Start(n int)
-	Stop(n int) // told to drain and end
+	Stop(n int) // tell the front to drain and exit
 	Kill(n int)
 }
 
-// Config are how a fleet is run.
+// Config holds the settings of a fleet.
 type Config struct {
 	Fronts              int
-	MaxUnavailableShare float64 // of the fronts that may be away or starting at a time, by a rolling restart or a start of all
-	DrainSeconds        float64 // seconds that a front's sessions may play on
+	MaxUnavailableShare float64 // share of the fronts that a rolling restart or the initial start may have down or starting
+	DrainSeconds        float64 // how long the sessions of a front may continue when it is stopped
 }
 
 const (
-	// A front that was just started serves within a tenth of a second; with a hundred starting on four cores it takes
-	// some seconds. One that is not ready by then is not going to be.
-	readyTime = 30.0
-	// A process that does not end after its drain, and the time its own life-cycle has for cutting, is killed.
-	endTime = 10.0
-	// Without a live word for so long a process stands still: health answers within half a second, and is asked each
-	// second; ten of those missed are no hiccup of a loaded machine.
-	silentTime = 10.0
-	// The first start after a fall comes at once, as viewers wait; the next ones twice as late each, against a front that
-	// falls of its own settings. A minute is what an operator needs to see it.
-	firstPause, longestPause = 0.5, 60.0
-	// A front that stood for so long has not fallen of its start.
-	steadyTime = 60.0
+	// A front normally serves within 0.1 s of its start; with a hundred starting on four cores it takes some seconds. One
+	// that is not ready by this time is not going to be and is killed.
+	readyTimeoutSeconds = 30.0
+	// Time after the drain for a front to end its sessions and exit. One that takes longer is killed.
+	exitTimeoutSeconds = 10.0
+	// A front that has not reported itself live for this long hangs and is killed. Health is polled each second and answers
+	// within 0.5 s, so ten missed answers are more than a brief delay on a loaded machine.
+	healthTimeoutSeconds = 10.0
+	// Backoff between restarts. The restart after the first failure is immediate, because viewers are waiting. The delay then
+	// doubles with each failure, so that a front that fails because of its settings doesn't restart in a loop; the maximum
+	// leaves an operator time to notice.
+	initialBackoffSeconds, maxBackoffSeconds = 0.5, 60.0
+	// A front that was up for this long did not fail because of its start: its failures are counted from zero again.
+	stableSeconds = 60.0
 )
 
-// usage is the exit code of a command line that can't be right: starting it again brings nothing.
-const usage = 2
+// exitUsage is the exit code for an invalid command line, which a restart can't fix.
+const exitUsage = 2
 
 type instance struct {
-	phase   Phase
-	wanted  bool
-	age     int // generation of the running process
-	ready   bool
-	since   float64 // of the phase
-	heard   float64 // last live word
-	killed  bool    // was ordered
-	fails   int     // falls in a row
-	startAt float64 // not before
-	last    string  // what its last end was
+	phase      Phase
+	wanted     bool
+	generation int // of the running process
+	ready      bool
+	phaseSince float64
+	lastLiveAt float64 // last health report that said live
+	killed     bool    // Kill was called for the running process
+	failures   int     // consecutive
+	startAt    float64 // earliest next start
+	lastExit   string  // how the last process ended
 }
 
-// Fleet is one machine's.
+// Fleet manages the fronts of one machine.
 type Fleet struct {
-	terms Config
-	out   Actions
-	now   float64
-	list  []instance
-	age   int    // generation wanted; a rolling restart raises it
-	held  string // why the rolling restart stands still; empty where it goes on or is over
-	over  bool   // all are to end
+	config     Config
+	actions    Actions
+	now        float64
+	instances  []instance
+	generation int    // wanted; a rolling restart increments it
+	heldReason string // why the rolling restart is held; empty if it is not
+	shutdown   bool   // all instances are to end
 }
 
-// New makes a fleet of which nothing runs yet and all is wanted.
-func New(now float64, t Config, out Actions) *Fleet {
-	f := &Fleet{terms: t, out: out, now: now, list: make([]instance, t.Fronts)}
-	for i := range f.list {
-		f.list[i].wanted = true
+// New returns a fleet with no instance running and all instances wanted.
+func New(now float64, c Config, actions Actions) *Fleet {
+	f := &Fleet{config: c, actions: actions, now: now, instances: make([]instance, c.Fronts)}
+	for i := range f.instances {
+		f.instances[i].wanted = true
 	}
 	return f
 }
 
-// SetTime sets the clock; it never runs back.
+// SetTime sets the clock. Earlier times are ignored.
 func (f *Fleet) SetTime(now float64) { f.now = max(f.now, now) }
 
-// together is how many may be away at a time: one at least.
-func (f *Fleet) together() int {
-	return max(int(f.terms.MaxUnavailableShare*float64(f.terms.Fronts)), 1)
+// maxUnavailable is how many fronts may be unavailable at a time, at least one.
+func (f *Fleet) maxUnavailable() int {
+	return max(int(f.config.MaxUnavailableShare*float64(f.config.Fronts)), 1)
 }
 
-func (f *Fleet) to(n int, p Phase) { f.list[n].phase, f.list[n].since = p, f.now }
+func (f *Fleet) setPhase(n int, p Phase) {
+	f.instances[n].phase, f.instances[n].phaseSince = p, f.now
+}
 
-// Exited tells that an instance's process has ended, or could not be started.
-func (f *Fleet) Exited(n, code int, why string) {
-	i := &f.list[n]
-	asked := i.phase == Stopping
-	steady := i.phase == Up && f.now-i.since >= steadyTime
-	i.last = fmt.Sprintf("exit %d %s", code, why)
+// Exited records that the process of an instance has ended or could not be started.
+func (f *Fleet) Exited(n, code int, reason string) {
+	i := &f.instances[n]
+	requested := i.phase == Stopping
+	stable := i.phase == Up && f.now-i.phaseSince >= stableSeconds
+	i.lastExit = fmt.Sprintf("exit %d %s", code, reason)
 	i.ready, i.killed = false, false
-	f.to(n, Down)
+	f.setPhase(n, Down)
 	switch {
-	case asked:
-		i.fails, i.startAt = 0, f.now
+	case requested:
+		i.failures, i.startAt = 0, f.now
 		return
-	case code == usage:
+	case code == exitUsage:
 		i.wanted = false
-		i.last += "; it is not started again"
+		i.lastExit += "; not restarted"
 		return
-	case steady:
-		i.fails = 0
+	case stable:
+		i.failures = 0
 	}
-	i.fails++
-	i.startAt = f.now + min(firstPause*math.Pow(2, float64(i.fails-1)), longestPause)
-	if i.fails == 1 {
+	i.failures++
+	i.startAt = f.now + min(initialBackoffSeconds*math.Pow(2, float64(i.failures-1)), maxBackoffSeconds)
+	if i.failures == 1 {
 		i.startAt = f.now
 	}
-	if i.age == f.age && f.rolling() && f.held == "" {
-		f.held = fmt.Sprintf("front %d fell after its restart (%s)", n, i.last)
+	if i.generation == f.generation && f.restarting() && f.heldReason == "" {
+		f.heldReason = fmt.Sprintf("front %d failed after its restart (%s)", n, i.lastExit)
 	}
 }
 
-// ReportHealth tells what a process says of itself.
+// ReportHealth records an instance's answer to a health check.
 func (f *Fleet) ReportHealth(n int, live, ready bool) {
-	i := &f.list[n]
+	i := &f.instances[n]
 	if i.phase == Down {
 		return
 	}
 	if live {
-		i.heard = f.now
+		i.lastLiveAt = f.now
 	}
 	i.ready = ready
 	if ready && i.phase == Starting {
-		f.to(n, Up)
+		f.setPhase(n, Up)
 	}
 }
 
-// SetWanted has one instance run, or end and stay away.
+// SetWanted sets whether an instance is to run. One that is not wanted is stopped and stays down.
 func (f *Fleet) SetWanted(n int, run bool) {
-	if i := &f.list[n]; !f.over && i.wanted != run {
-		i.wanted, i.fails, i.startAt = run, 0, f.now
+	if i := &f.instances[n]; !f.shutdown && i.wanted != run {
+		i.wanted, i.failures, i.startAt = run, 0, f.now
 	}
 }
 
-// StartRollingRestart begins a rolling restart of all that run; one that was held begins anew.
+// StartRollingRestart starts a rolling restart of all running instances. A restart that was held starts again from the
+// beginning.
 func (f *Fleet) StartRollingRestart() {
-	f.age++
-	f.held = ""
+	f.generation++
+	f.heldReason = ""
 }
 
-// Shutdown has all instances end; nothing is started after it.
+// Shutdown stops all instances. None is started again.
 func (f *Fleet) Shutdown() {
-	f.over = true
-	for i := range f.list {
-		f.list[i].wanted = false
+	f.shutdown = true
+	for i := range f.instances {
+		f.instances[i].wanted = false
 	}
 }
 
-// Finished tells that nothing runs and nothing is wanted.
+// Finished reports whether no instance is running or wanted.
 func (f *Fleet) Finished() bool {
-	for _, i := range f.list {
+	for _, i := range f.instances {
 		if i.wanted || i.phase != Down {
 			return false
 		}
@@ -175,106 +181,106 @@
 	return true
 }
 
-// rolling tells whether some instance still runs what it ran before the restart.
-func (f *Fleet) rolling() bool {
-	for _, i := range f.list {
-		if i.wanted && i.age < f.age {
+// restarting reports whether some instance has yet to be restarted by the rolling restart.
+func (f *Fleet) restarting() bool {
+	for _, i := range f.instances {
+		if i.wanted && i.generation < f.generation {
 			return true
 		}
 	}
 	return false
 }
 
-// Status is an instance's, for people.
+// Status is the state of an instance as shown to operators. The JSON names are read by operators' tools.
 type Status struct {
 	Index               int     `json:"N"`
 	Phase               string  `json:"Phase"`
 	Ready               bool    `json:"Ready"`
-	PhaseSeconds        float64 `json:"Age"` // seconds in this phase
+	PhaseSeconds        float64 `json:"Age"` // time in this phase
 	ConsecutiveFailures int     `json:"Fails"`
-	LastExit            string  `json:"Last"` // how its last process ended
-	RestartPending      bool    `json:"Old"`  // a rolling restart has not come to it yet
+	LastExit            string  `json:"Last"` // how the last process ended
+	RestartPending      bool    `json:"Old"`  // not yet restarted by the rolling restart
 }
 
-// Status gives all instances', and why a rolling restart is held.
-func (f *Fleet) Status() (list []Status, held string) {
-	for n, i := range f.list {
-		list = append(list, Status{n, i.phase.String(), i.ready, f.now - i.since, i.fails, i.last, i.phase != Down && i.age < f.age})
+// Status returns the state of all instances and why the rolling restart is held, or "" if it is not.
+func (f *Fleet) Status() (list []Status, heldReason string) {
+	for n, i := range f.instances {
+		list = append(list, Status{n, i.phase.String(), i.ready, f.now - i.phaseSince, i.failures, i.lastExit, i.phase != Down && i.generation < f.generation})
 	}
-	return list, f.held
+	return list, f.heldReason
 }
 
-// NextWakeup is the instant at which Settle is wanted by the clock, 0 where none is.
+// NextWakeup returns the time at which Reconcile must run, or 0 if it only has to run after events.
 func (f *Fleet) NextWakeup() float64 {
 	next := 0.0
-	at := func(x float64) {
-		if next == 0 || x < next {
-			next = x
+	at := func(t float64) {
+		if next == 0 || t < next {
+			next = t
 		}
 	}
-	for _, i := range f.list {
+	for _, i := range f.instances {
 		switch {
 		case i.phase == Down && i.wanted:
-			at(max(i.startAt, f.now+0.05)) // others may have to get ready first; their health comes as an event
+			at(max(i.startAt, f.now+0.05)) // it may have to wait for others to get ready, which arrives as an event
 		case i.killed:
 		case i.phase == Stopping:
-			at(i.since + f.terms.DrainSeconds + endTime)
+			at(i.phaseSince + f.config.DrainSeconds + exitTimeoutSeconds)
 		case i.phase == Starting:
-			at(i.since + readyTime)
+			at(i.phaseSince + readyTimeoutSeconds)
 		case i.phase == Up:
-			at(i.heard + silentTime)
+			at(i.lastLiveAt + healthTimeoutSeconds)
 		}
 	}
 	return next
 }
 
-// Reconcile gives the orders that lead from what runs to what is wanted.
+// Reconcile calls the actions that lead from the actual state of the instances to the wanted one.
 func (f *Fleet) Reconcile() {
-	away := 0 // wanted, and not serving for a reason that a restart or a start has part in
-	for _, i := range f.list {
+	unavailable := 0 // wanted, and not serving
+	for _, i := range f.instances {
 		if i.wanted && !(i.phase == Up && i.ready) {
-			away++
+			unavailable++
 		}
 	}
 	starting := 0
-	for _, i := range f.list {
+	for _, i := range f.instances {
 		if i.phase == Starting {
 			starting++
 		}
 	}
-	for n := range f.list {
-		i := &f.list[n]
+	for n := range f.instances {
+		i := &f.instances[n]
 		switch {
 		case i.killed:
-		case i.phase == Stopping && f.now >= i.since+f.terms.DrainSeconds+endTime:
-			f.kill(n, "it did not end")
-		case i.phase == Starting && f.now >= i.since+readyTime:
-			f.kill(n, "it was not ready in time")
-		case i.phase == Up && f.now >= i.heard+silentTime:
-			f.kill(n, "its health was silent")
+		case i.phase == Stopping && f.now >= i.phaseSince+f.config.DrainSeconds+exitTimeoutSeconds:
+			f.kill(n, "killed: did not exit in time")
+		case i.phase == Starting && f.now >= i.phaseSince+readyTimeoutSeconds:
+			f.kill(n, "killed: not ready in time")
+		case i.phase == Up && f.now >= i.lastLiveAt+healthTimeoutSeconds:
+			f.kill(n, "killed: health check timed out")
 		case (i.phase == Up || i.phase == Starting) && !i.wanted:
 			f.stop(n)
-		case i.phase == Down && i.wanted && f.now >= i.startAt && starting < f.together():
+		case i.phase == Down && i.wanted && f.now >= i.startAt && starting < f.maxUnavailable():
 			starting++
-			i.age, i.ready, i.heard = f.age, false, f.now
-			f.to(n, Starting)
-			f.out.Start(n)
+			i.generation, i.ready, i.lastLiveAt = f.generation, false, f.now
+			f.setPhase(n, Starting)
+			f.actions.Start(n)
 		}
 	}
-	// A rolling restart takes the next one where no more than the share is away with it, by whatever cause: fronts that
-	// fell by themselves count, so that a restart never adds to an outage. One that is not ready is taken first: it
-	// serves nobody.
+	// A rolling restart stops another front only if that keeps the unavailable ones within the limit. Fronts that failed by
+	// themselves count too, so that a restart never adds to an outage. A front that is not ready is restarted first and
+	// regardless of the limit, as it serves nobody.
 	for _, unready := range []bool{true, false} {
-		for n := range f.list {
-			i := &f.list[n]
-			if f.held != "" || i.phase != Up || !i.wanted || i.age == f.age || i.ready == unready {
+		for n := range f.instances {
+			i := &f.instances[n]
+			if f.heldReason != "" || i.phase != Up || !i.wanted || i.generation == f.generation || i.ready == unready {
 				continue
 			}
-			if !unready && away >= f.together() {
+			if !unready && unavailable >= f.maxUnavailable() {
 				return
 			}
 			if !unready {
-				away++
+				unavailable++
 			}
 			f.stop(n)
 		}
@@ -282,35 +288,35 @@
 }
 
 func (f *Fleet) stop(n int) {
-	f.to(n, Stopping)
-	f.out.Stop(n)
+	f.setPhase(n, Stopping)
+	f.actions.Stop(n)
 }
 
-func (f *Fleet) kill(n int, why string) {
-	i := &f.list[n]
-	i.killed, i.last = true, why
-	f.out.Kill(n)
+func (f *Fleet) kill(n int, reason string) {
+	i := &f.instances[n]
+	i.killed, i.lastExit = true, reason
+	f.actions.Kill(n)
 }
 
-// Claim is what one instance takes of the machine by its settings.
+// Claim lists what the settings of one instance reserve on the machine.
 type Claim struct {
 	Index     int
 	Name      string
-	Addresses []string // that it listens on; those that leave the port to the system are nobody's
+	Addresses []string // listen addresses; those with port 0 can't conflict
 }
 
-// Conflicts tells which instances would step on each other, in words; at most some.
-func Conflicts(list []Claim) (words []string) {
-	const most = 10
-	taken := map[string]int{}
+// Conflicts describes names and addresses that two instances have in common, up to a limit.
+func Conflicts(list []Claim) (conflicts []string) {
+	const maxConflicts = 10
+	owner := map[string]int{}
 	claim := func(n int, what, key string) {
-		if first, ok := taken[key]; ok {
-			if words = append(words, fmt.Sprintf("%s is that of instance %d and of instance %d", what, first, n)); len(words) > most {
-				words = words[:most]
+		if first, ok := owner[key]; ok {
+			if conflicts = append(conflicts, fmt.Sprintf("%s is used by instance %d and instance %d", what, first, n)); len(conflicts) > maxConflicts {
+				conflicts = conflicts[:maxConflicts]
 			}
 			return
 		}
-		taken[key] = n
+		owner[key] = n
 	}
 	for _, c := range list {
 		claim(c.Index, "the name "+c.Name, "name "+c.Name)
@@ -320,5 +326,5 @@
 			}
 		}
 	}
-	return words
+	return conflicts
 }
