--- a/choice/reload/reload.go
+++ b/choice/reload/reload.go
@@ -1,5 +1,4 @@
-// Package renewal decides what of new settings takes hold in service, by what steps, and what of them has to wait for a
-// restart. It does no I/O.
+// Package reload decides which changed settings a running front applies, how, and which need a restart. It does no I/O.
 package reload
 
 import (
@@ -10,45 +9,44 @@
 	"rainhaven/choice"
 )
 
-// Section is a part of a front's settings that may change.
+// Section is a part of a front's settings that is compared and applied as a whole.
 type Section string
 
-// Action is what a change of a part takes.
+// Action is a set of flags: what a front does to apply a changed section.
 type Action int
 
-// The steps. A ReadOnUse value is read whenever it is wanted, so that nothing has to be done. RebuildChoice stands for a module made
-// anew with what the last one had learned (session.Table.Renew); the list of boxes goes with it.
+// The actions.
 const (
-	ReadOnUse Action = 1 << iota
-	UpdateBoxes
-	UpdateUsers
-	UpdateLimits
-	ResetReporting // shares and notes are listened to anew
-	RebuildChoice
-	NeedsRestart
+	ReadOnUse      Action = 1 << iota // nothing: the value is read each time it is used
+	UpdateBoxes                       // pass the new list of boxes on
+	UpdateUsers                       // replace the users and the realm
+	UpdateLimits                      // apply the new limits
+	ResetReporting                    // restart the evaluation of delivered shares and load notes
+	RebuildChoice                     // rebuild the choice of boxes, with its list of boxes, from its saved state (session.Table.Renew)
+	NeedsRestart                      // can't be applied while the front runs
 )
 
-// Rule is one row of the table: what a part's change takes and why, for those of Restart.
+// Rule states which actions a change of a section needs, and for NeedsRestart the reason.
 type Rule struct {
 	Section Section
 	Action  Action
 	Reason  string
 }
 
-// Rules has a row for each part. Rows of Restart are refused, and with them the whole of the new settings: half of a
-// change would be a state that nobody wrote down.
+// Rules has one rule for each section. A change that needs a restart rejects the new settings as a whole: applying the rest
+// would leave the front with settings that no file contains.
 var Rules = []Rule{
-	{"front(name)", NeedsRestart, "logs, metrics, boxes and the state folder know the front by it"},
-	{"front(listen, tls_listen, admin)", NeedsRestart, "viewers hold the old sockets; an upgrade in service moves them"},
-	{"front(cert, key)", NeedsRestart, "other contents of the same files are taken by themselves"},
-	{"front(me, fronts)", NeedsRestart, "fronts own a cold box's slots in turn, and two that count differently would meet there"},
-	{"front(zone)", NeedsRestart, "a front stands where its process runs"},
-	{"front(state)", NeedsRestart, "the folder is locked as long as the process lives"},
+	{"front(name)", NeedsRestart, "logs, metrics, boxes and the state folder identify the front by its name"},
+	{"front(listen, tls_listen, admin)", NeedsRestart, "viewers are connected to the old sockets; an upgrade in service moves them"},
+	{"front(cert, key)", NeedsRestart, "new contents of the same files are loaded without a reload"},
+	{"front(me, fronts)", NeedsRestart, "fronts take turns to use a cold box's slots, and two that count differently would use the same slot"},
+	{"front(zone)", NeedsRestart, "the zone is where the front's process runs"},
+	{"front(state)", NeedsRestart, "the folder is locked for the lifetime of the process"},
 	{"front(seed)", ReadOnUse, ""},
 	{"front(log)", ReadOnUse, ""},
 	{"front(redirect)", ReadOnUse, ""},
 	{"front(realm) and user", UpdateUsers, ""},
-	{"box_tls", NeedsRestart, "other contents of the same file are taken by themselves"},
+	{"box_tls", NeedsRestart, "new contents of the same file are loaded without a reload"},
 	{"ladder", RebuildChoice, ""},
 	{"group", RebuildChoice, ""},
 	{"fleet", RebuildChoice, ""},
@@ -63,56 +61,57 @@
 	{"limits", UpdateLimits, ""},
 }
 
-// Plan is what new settings come to.
+// Plan is how a change of settings is applied, or why it is not.
 type Plan struct {
 	Actions       Action
 	Changed       []Section
-	Rejections    []string // why nothing of them is taken; empty where all is
-	NewGroupIndex []int    // by a service group's number so far: its new one
+	Rejections    []string // why the settings are rejected as a whole; empty if they are accepted
+	NewGroupIndex []int    // new index of a service group, by its old index
 
-	slots bool // cold boxes' slots are as they were
-	racks bool // uplinks are
+	slotsValid   bool // the slots of cold boxes are unchanged
+	uplinksValid bool // the uplinks are unchanged
 }
 
-// Has tells whether a step is to be done.
-func (p Plan) Has(s Action) bool { return p.Actions&s != 0 }
+// Has reports whether the plan includes an action.
+func (p Plan) Has(a Action) bool { return p.Actions&a != 0 }
 
-// Change is what Decide compares: the parts that differ, and the service groups' names in their order.
+// Change is the difference between old and new settings: the sections that differ, and the names of the service groups in
+// order.
 type Change struct {
 	Sections             []Section
 	NewGroups, OldGroups []string
 }
 
-// NewPlan makes a plan.
-func NewPlan(t Change) Plan {
-	p := Plan{Changed: t.Sections, slots: true, racks: true}
-	for _, c := range t.Sections {
-		i := slices.IndexFunc(Rules, func(r Rule) bool { return r.Section == c })
+// NewPlan decides how to apply a change.
+func NewPlan(c Change) Plan {
+	p := Plan{Changed: c.Sections, slotsValid: true, uplinksValid: true}
+	for _, s := range c.Sections {
+		i := slices.IndexFunc(Rules, func(r Rule) bool { return r.Section == s })
 		if i < 0 {
-			p.Rejections = append(p.Rejections, fmt.Sprintf("%s: nobody has said whether it may change in service", c))
+			p.Rejections = append(p.Rejections, fmt.Sprintf("%s: no rule says whether it may change without a restart", s))
 			continue
 		}
 		if p.Actions |= Rules[i].Action; Rules[i].Action == NeedsRestart {
-			p.Rejections = append(p.Rejections, fmt.Sprintf("%s needs a restart: %s", c, Rules[i].Reason))
+			p.Rejections = append(p.Rejections, fmt.Sprintf("%s needs a restart: %s", s, Rules[i].Reason))
 		}
-		switch c {
+		switch s {
 		case "cold":
-			p.slots = false
-		case "kind": // the smallest kind sets the length of a slot
-			p.slots = false
+			p.slotsValid = false
+		case "kind": // the smallest kind determines the length of a slot
+			p.slotsValid = false
 		case "fleet":
-			p.racks = false
+			p.uplinksValid = false
 		}
 	}
-	var lost []string
-	for _, name := range t.OldGroups {
-		i := slices.Index(t.NewGroups, name)
+	var removed []string
+	for _, name := range c.OldGroups {
+		i := slices.Index(c.NewGroups, name)
 		if p.NewGroupIndex = append(p.NewGroupIndex, i); i < 0 {
-			lost = append(lost, name)
+			removed = append(removed, name)
 		}
 	}
-	if len(lost) > 0 {
-		p.Rejections = append(p.Rejections, fmt.Sprintf("group %s is gone, and sessions may still play under its terms; drain first, or keep it with seats", strings.Join(lost, ", ")))
+	if len(removed) > 0 {
+		p.Rejections = append(p.Rejections, fmt.Sprintf("group %s was removed, but sessions may still play in it; drain first, or keep it with seats", strings.Join(removed, ", ")))
 	}
 	if len(p.Rejections) > 0 {
 		p.Actions = 0
@@ -120,27 +119,26 @@
 	return p
 }
 
-// DiscardStale takes out of a module's memory what holds no longer under the new terms. What rules count stays: requests and
-// further SETUPs. A slot that is not known counts as used, which costs a cold box one front's turn.
+// DiscardStale removes from saved state what is not valid under the new settings. The counts that rules depend on, of first
+// SETUPs and retries, are kept. An unknown slot counts as used, which costs a cold box one turn of the front.
 func (p Plan) DiscardStale(m choice.Memory) choice.Memory {
-	if !p.slots {
+	if !p.slotsValid {
 		m.Servers = slices.Clone(m.Servers)
 		for i := range m.Servers {
 			m.Servers[i].Slot = -1
 		}
 	}
-	if !p.racks {
+	if !p.uplinksValid {
 		m.Uplinks = nil
 	}
 	return m
 }
 
-// MinIntervalSeconds is how many seconds lie between two renewals of the module: each gives up the further SETUPs of requests that are
-// under way. Against a script that reloads in a loop; later ones are not lost, the last is carried out when its time has
-// come.
+// MinIntervalSeconds is the minimum time between two reloads. Each one gives up the retries of requests in progress, so a
+// script that reloads in a loop must not trigger one each time. Reloads within the interval are merged into one at its end.
 const MinIntervalSeconds = 1.0
 
-// Delay is how many seconds a reload waits that comes now, the last having come at last; 0 is never.
+// Delay returns how many seconds a reload requested now has to wait, given the time of the last one (0 for none).
 func Delay(now, last float64) float64 {
 	if last == 0 {
 		return 0
--- a/choice/reload/reload_test.go
+++ b/choice/reload/reload_test.go
@@ -9,36 +9,36 @@
 	"rainhaven/choice"
 )
 
-func TestWhatTakesWhat(t *testing.T) {
+func TestNewPlan(t *testing.T) {
 	for name, c := range map[string]struct {
-		in    Change
-		steps Action
-		why   string
+		change    Change
+		actions   Action
+		rejection string
 	}{
-		"nothing":             {Change{}, 0, ""},
-		"a title":             {Change{Sections: []Section{"title"}}, ReadOnUse, ""},
-		"boxes only":          {Change{Sections: []Section{"box"}}, UpdateBoxes, ""},
-		"a ladder and limits": {Change{Sections: []Section{"ladder", "limits"}}, RebuildChoice | UpdateLimits, ""},
-		"a port":              {Change{Sections: []Section{"limits", "front(listen, tls_listen, admin)"}}, 0, "sockets"},
-		"an unknown part":     {Change{Sections: []Section{"weather"}}, 0, "nobody has said"},
-		"a group that is gone": {Change{Sections: []Section{"group"}, NewGroups: []string{"b"}, OldGroups: []string{"a", "b"}}, 0,
-			"group a is gone"},
+		"no change":         {Change{}, 0, ""},
+		"title":             {Change{Sections: []Section{"title"}}, ReadOnUse, ""},
+		"boxes only":        {Change{Sections: []Section{"box"}}, UpdateBoxes, ""},
+		"ladder and limits": {Change{Sections: []Section{"ladder", "limits"}}, RebuildChoice | UpdateLimits, ""},
+		"port":              {Change{Sections: []Section{"limits", "front(listen, tls_listen, admin)"}}, 0, "sockets"},
+		"unknown section":   {Change{Sections: []Section{"weather"}}, 0, "no rule says"},
+		"removed group": {Change{Sections: []Section{"group"}, NewGroups: []string{"b"}, OldGroups: []string{"a", "b"}}, 0,
+			"group a was removed"},
 	} {
-		p := NewPlan(c.in)
-		if p.Actions != c.steps || (c.why == "") != (len(p.Rejections) == 0) || !strings.Contains(strings.Join(p.Rejections, "; "), c.why) {
+		p := NewPlan(c.change)
+		if p.Actions != c.actions || (c.rejection == "") != (len(p.Rejections) == 0) || !strings.Contains(strings.Join(p.Rejections, "; "), c.rejection) {
 			t.Errorf("%s: %+v", name, p)
 		}
 	}
 	if p := NewPlan(Change{Sections: []Section{"group"}, NewGroups: []string{"c", "b", "a"}, OldGroups: []string{"a", "b"}}); !slices.Equal(p.NewGroupIndex, []int{2, 1}) {
-		t.Errorf("groups in another order: %v", p.NewGroupIndex)
+		t.Errorf("group indexes after reordering: %v", p.NewGroupIndex)
 	}
 	if Delay(5, 0) != 0 || Delay(5, 4.5) != 0.5 || Delay(9, 4.5) != 0 {
-		t.Error("waits")
+		t.Error("wrong delay")
 	}
 }
 
-// Whatever changes, what rules count is kept, and a slot is never believed less used than it was.
-func TestKeepsWhatRulesCount(t *testing.T) {
+// Any change keeps the counts that rules depend on, and a slot never counts as less used than it was.
+func TestDiscardStale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var changed []Section
 		for _, r := range Rules {
@@ -57,7 +57,7 @@
 			t.Fatalf("%v: %+v", changed, s)
 		}
 		if len(p.Rejections) > 0 && p.Actions != 0 {
-			t.Fatalf("%v: refused, and steps %b", changed, p.Actions)
+			t.Fatalf("%v: rejected, but with actions %b", changed, p.Actions)
 		}
 	})
 }
