--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,6 @@
-// Package keys keeps what TLS needs of files, for listeners and towards boxes, and follows the files while connections
-// go on. What is taken is decided in choice/keys.
+// Package keys loads the TLS certificates of listeners and the root certificates for connections to boxes from files, and
+// reloads them when the files change. Established connections are not affected. Package choice/keys decides whether a file's
+// new contents are used.
 package keys
 
 import (
@@ -21,73 +22,75 @@
 	"rainhaven/choice/keys"
 )
 
-// following is what was taken last of some files. One goroutine looks; any may use what is in use.
-type following[T any] struct {
-	name  string // in the log
-	read  func() (keys.Pair, *T)
-	log   *zap.Logger
-	using atomic.Pointer[T]
-	pair  *keys.Pair // of using
-	said  string
+// watcher holds the contents last loaded from some files. Only one goroutine may call Reload; any may use current.
+type watcher[T any] struct {
+	name     string // in log entries
+	read     func() (keys.Pair, *T)
+	log      *zap.Logger
+	current  atomic.Pointer[T]
+	pair     *keys.Pair // describes current
+	lastNote string     // note last logged, or ""
 }
 
-// Reload reads the files once and takes what is good. It tells whether it took something, and what there is to say.
-func (f *following[T]) Reload(now time.Time) (took bool, say string) {
-	pair, found := f.read()
-	took, say = keys.Take(seconds(now), f.pair, pair)
-	if took {
-		f.pair = &pair
-		f.using.Store(found)
+// Reload reads the files once and uses their contents if they are good. It reports whether it did, and a note on the
+// certificate's problems or its approaching expiry, or "".
+func (w *watcher[T]) Reload(now time.Time) (loaded bool, note string) {
+	pair, contents := w.read()
+	loaded, note = keys.Take(seconds(now), w.pair, pair)
+	if loaded {
+		w.pair = &pair
+		w.current.Store(contents)
 	}
-	if say != f.said {
-		if f.said = say; say != "" {
-			f.log.Warn("certificate", zap.String("file", f.name), zap.Bool("taken", took), zap.String("what", say))
+	if note != w.lastNote {
+		if w.lastNote = note; note != "" {
+			w.log.Warn("certificate needs attention", zap.String("file", w.name), zap.Bool("taken", loaded), zap.String("what", note))
 		}
 	}
-	if took {
-		f.log.Info("certificate taken", zap.String("file", f.name))
+	if loaded {
+		w.log.Info("certificate loaded", zap.String("file", w.name))
 	}
-	return took, say
+	return loaded, note
 }
 
-// Watch looks at the files at an even pace until the context is done.
-func (f *following[T]) Watch(ctx context.Context, every time.Duration) {
-	t := time.NewTicker(every)
+// Watch calls Reload at each interval until the context is done.
+func (w *watcher[T]) Watch(ctx context.Context, interval time.Duration) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			f.Reload(now)
+			w.Reload(now)
 		}
 	}
 }
 
+// seconds converts a time to Unix time in seconds.
 func seconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
-// KeyPair follows a certificate's file and its key's.
-type KeyPair struct{ following[tls.Certificate] }
+// KeyPair holds a certificate and its key, and reloads them when their files change.
+type KeyPair struct{ watcher[tls.Certificate] }
 
-// OpenKeyPair reads the files. They must be good at the start.
+// OpenKeyPair loads a certificate and its key. It fails if they can't be used.
 func OpenKeyPair(cert, key string, log *zap.Logger) (*KeyPair, error) {
-	f := &KeyPair{following[tls.Certificate]{name: cert, log: log, read: func() (keys.Pair, *tls.Certificate) { return pair(cert, key) }}}
-	if took, say := f.Reload(time.Now()); !took {
-		return nil, fmt.Errorf("certificate %s with key %s: %s", cert, key, say)
+	k := &KeyPair{watcher[tls.Certificate]{name: cert, log: log, read: func() (keys.Pair, *tls.Certificate) { return readKeyPair(cert, key) }}}
+	if loaded, note := k.Reload(time.Now()); !loaded {
+		return nil, fmt.Errorf("certificate %s with key %s: %s", cert, key, note)
 	}
-	return f, nil
+	return k, nil
 }
 
-func pair(certFile, keyFile string) (keys.Pair, *tls.Certificate) {
-	c, err := os.ReadFile(certFile)
+func readKeyPair(certFile, keyFile string) (keys.Pair, *tls.Certificate) {
+	certPEM, err := os.ReadFile(certFile)
 	if err != nil {
 		return keys.Pair{Problem: err.Error()}, nil
 	}
-	k, err := os.ReadFile(keyFile)
+	keyPEM, err := os.ReadFile(keyFile)
 	if err != nil {
 		return keys.Pair{Problem: err.Error()}, nil
 	}
-	cert, err := tls.X509KeyPair(c, k)
+	cert, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
 		return keys.Pair{Problem: err.Error()}, nil
 	}
@@ -99,43 +102,44 @@
 	return keys.Pair{From: seconds(leaf.NotBefore), Until: seconds(leaf.NotAfter), Print: fmt.Sprintf("%x", sha256.Sum256(leaf.Raw))}, &cert
 }
 
-// ServerConfig is a configuration whose new connections get what is in use; those that go on keep what they began with.
-func (f *KeyPair) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return f.using.Load(), nil }}
+// ServerConfig returns a configuration that gives new connections the current certificate. Established connections keep the
+// one they started with.
+func (k *KeyPair) ServerConfig() *tls.Config {
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return k.current.Load(), nil }}
 }
 
-// Roots follows a file of the certificates that boxes are trusted by.
-type Roots struct{ following[x509.CertPool] }
+// Roots holds the root certificates that boxes are verified against, and reloads them when their file changes.
+type Roots struct{ watcher[x509.CertPool] }
 
-// OpenRoots reads the file. It must be good at the start.
+// OpenRoots loads the root certificates of a file. It fails if they can't be used.
 func OpenRoots(file string, log *zap.Logger) (*Roots, error) {
-	r := &Roots{following[x509.CertPool]{name: file, log: log, read: func() (keys.Pair, *x509.CertPool) { return roots(file) }}}
-	if took, say := r.Reload(time.Now()); !took {
-		return nil, fmt.Errorf("certificates of boxes %s: %s", file, say)
+	r := &Roots{watcher[x509.CertPool]{name: file, log: log, read: func() (keys.Pair, *x509.CertPool) { return readRoots(file) }}}
+	if loaded, note := r.Reload(time.Now()); !loaded {
+		return nil, fmt.Errorf("root certificates %s for boxes: %s", file, note)
 	}
 	return r, nil
 }
 
-// roots reads certificates one after the other. They are good as long as any of them is: old and new stand side by side
-// while boxes change over.
-func roots(file string) (keys.Pair, *x509.CertPool) {
-	all, err := os.ReadFile(file)
+// readRoots reads the certificates of a PEM file. The file is valid as long as any of its certificates is, because it holds
+// both the old and the new ones while the boxes' certificates are replaced.
+func readRoots(file string) (keys.Pair, *x509.CertPool) {
+	data, err := os.ReadFile(file)
 	if err != nil {
 		return keys.Pair{Problem: err.Error()}, nil
 	}
-	p, pool := keys.Pair{Print: fmt.Sprintf("%x", sha256.Sum256(all))}, x509.NewCertPool()
-	for rest := all; ; {
-		var b *pem.Block
-		if b, rest = pem.Decode(rest); b == nil {
+	p, pool := keys.Pair{Print: fmt.Sprintf("%x", sha256.Sum256(data))}, x509.NewCertPool()
+	for rest := data; ; {
+		var block *pem.Block
+		if block, rest = pem.Decode(rest); block == nil {
 			switch {
 			case bytes.Contains(rest, []byte("-----BEGIN")):
-				p.Problem = "its last certificate is not whole"
+				p.Problem = "the last certificate is incomplete"
 			case p.Until == 0:
-				p.Problem = "no certificate stands in it"
+				p.Problem = "the file holds no certificate"
 			}
 			return p, pool
 		}
-		c, err := x509.ParseCertificate(b.Bytes)
+		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return keys.Pair{Problem: err.Error()}, nil
 		}
@@ -148,14 +152,15 @@
 	}
 }
 
-// Dialer connects to a box over TLS. name is what its certificate must be for; empty is the host of its address.
+// Dialer returns a function that connects to a box over TLS. The box's certificate must be valid for name, or for the host of
+// the address if name is empty.
 func (r *Roots) Dialer(name string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		d := tls.Dialer{Config: &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: r.using.Load(), ServerName: name}}
+		d := tls.Dialer{Config: &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: r.current.Load(), ServerName: name}}
 		c, err := d.DialContext(ctx, "tcp", address)
-		var bad *tls.CertificateVerificationError
-		if errors.As(err, &bad) {
-			r.log.Warn("a box's certificate is not trusted", zap.String("address", address), zap.Error(err))
+		var untrusted *tls.CertificateVerificationError
+		if errors.As(err, &untrusted) {
+			r.log.Warn("certificate of a box is not trusted", zap.String("address", address), zap.Error(err))
 		}
 		return c, err
 	}
