--- a/choice/reload/reload.go
+++ b/choice/reload/reload.go
@@ -22,7 +22,7 @@
 	UpdateUsers                       // replace the users and the realm
 	UpdateLimits                      // apply the new limits
 	ResetReporting                    // restart the evaluation of delivered shares and load notes
-	RebuildChoice                     // rebuild the choice of boxes, with its list of boxes, from its saved state (session.Table.Renew)
+	RebuildChoice                     // rebuild choice.Front from its saved state, with the list of boxes (session.Table.Renew)
 	NeedsRestart                      // can't be applied while the front runs
 )
 
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,7 +8,9 @@
 // Each violation is refused, counted and reported with its reason. Steps that follow the rules pass.
 func TestGuard(t *testing.T) {
 	type step = func(g *Guard) bool
-	read := func(noRepeat bool) step { return func(g *Guard) bool { g.RequestRead(0, "a", noRepeat, 2); return true } }
+	read := func(noRepeat bool) step {
+		return func(g *Guard) bool { g.RequestRead(0, "a", noRepeat, 2); return true }
+	}
 	attempt := func(g *Guard) bool { return g.StartAttempt(1, "a") }
 	send := func(g *Guard) bool { return g.Send(1, "a", 1, true) }
 	ended := func(noEffect bool) step { return func(g *Guard) bool { g.AttemptEnded("a", noEffect); return true } }
