--- a/choice/reload/reload.go
+++ b/choice/reload/reload.go
@@ -22,7 +22,7 @@
 	UpdateUsers                       // replace the users and the realm
 	UpdateLimits                      // apply the new limits
 	ResetReporting                    // restart the evaluation of delivered shares and load notes
-	RebuildChoice                     // rebuild choice.Front from its saved state, with the list of boxes (session.Table.Renew)
+	RebuildChoice                     // rebuild the box selection (package choice) from its saved state and the list of boxes
 	NeedsRestart                      // can't be applied while the front runs
 )
 
