--- a/choice/state.go
+++ b/choice/state.go
@@ -13,77 +13,77 @@
 	premium int // 1 where its utility is above the lowest, else 0
 }
 
-type seat struct {
+type seatKey struct {
 	title string
 	group int
 }
 
 type server struct {
-	id             ServerID
-	zone, cell     int
-	state          Lifecycle
-	born           float64 // counts as cold from here; 0 is long ago
-	link, uplink   *link
-	life           gaps    // between signs of life
-	heard          float64 // last sign of life
-	aside          bool    // gets no sessions until it answers probes
-	good           int     // probes answered in a row while aside
-	doubt          bool    // it was set aside for SETUPs alone, and a probe went out at once
-	probing, probe bool    // a probe is out, is wanted
-	left, probeAt  float64 // set aside when; next probe while aside
-	full           float64 // full until
-	slot, used     float64 // the slot it last had a SETUP in while cold, and how many
+	id                        ServerID
+	zone, cell                int
+	state                     Lifecycle
+	startedAt                 float64 // counts as cold from here; 0 is long ago
+	link, uplink              *link
+	gaps                      gapStats // between signs of life
+	lastHeardAt               float64  // last sign of life
+	ejected                   bool     // gets no sessions until it answers probes
+	probesAnswered            int      // probes answered in a row while aside
+	ejectedForSetups          bool     // it was set aside for SETUPs alone, and a probe went out at once
+	probePending, probeWanted bool     // a probe is out, is wanted
+	ejectedAt, nextProbeAt    float64  // set aside when; next probe while aside
+	fullUntil                 float64  // full until
+	slot, slotSetups          float64  // the slot it last had a SETUP in while cold, and how many
 }
 
-// sess is a session from its request to its end.
-type sess struct {
-	id                        SessID
-	group                     *group
-	seat                      seat
-	start, span, best         int
-	asked, setupTimeout, ends float64 // ends is expected; 0 is not told
-	switched                  float64
-	holder                    *server
-	tried                     []*server
-	sent                      int  // SETUPs
-	out, plays, mayRan        bool // a SETUP is out; it plays; an earlier SETUP may have run
-	rung                      int  // in force
-	wantRung                  int
-	wantOut                   bool    // a SETUP to holder is wanted
-	part                      float64 // what it adds of its rate at its holder; below 1 where a stream is shared
-	answer                    answer
-	awaits                    *server // its probe is waited for
-	looked                    bool    // it has waited
+// session is a session from its request to its end.
+type session struct {
+	id                                SessID
+	group                             *group
+	seat                              seatKey
+	startCell, cellCount, bestRung    int
+	requestedAt, setupTimeout, endsAt float64 // ends is expected; 0 is not told
+	rungChangedAt                     float64
+	holder                            *server
+	tried                             []*server
+	setupsSent                        int  // SETUPs
+	inFlight, playing, mayHaveRun     bool // a SETUP is out; it plays; an earlier SETUP may have run
+	rung                              int  // in force
+	wantedRung                        int
+	setupWanted                       bool    // a SETUP to holder is wanted
+	rateShare                         float64 // what it adds of its rate at its holder; below 1 where a stream is shared
+	answer                            answer
+	awaitedProbe                      *server // its probe is waited for
+	probeAwaited                      bool    // it has waited
 }
 
 type answer int
 
-const none, busy, tornDown, over answer = 0, 1, 2, 3
+const unanswered, busy, failed, closed answer = 0, 1, 2, 3
 
-func byID(s *server, id ServerID) int { return cmp.Compare(s.id, id) }
+func compareID(s *server, id ServerID) int { return cmp.Compare(s.id, id) }
 
 func (f *Front) server(id ServerID) *server {
-	if i, found := slices.BinarySearchFunc(f.servers, id, byID); found {
+	if i, found := slices.BinarySearchFunc(f.servers, id, compareID); found {
 		return f.servers[i]
 	}
 	return nil
 }
 
-// asks is what this front's sessions ask of a link at their wanted rungs: all, or the premium groups only.
-func (l *link) asks(premium bool) (sum float64) {
-	for _, s := range l.sess {
+// rungDemand is what this front's sessions ask of a link at their wanted rungs: all, or the premium groups only.
+func (l *link) rungDemand(premium bool) (sum float64) {
+	for _, s := range l.sessions {
 		if !premium || s.group.premium == 1 {
-			sum += s.rate(s.wantRung)
+			sum += s.rate(s.wantedRung)
 		}
 	}
 	return sum
 }
 
 // rate is what a session adds to its holder's link at a rung.
-func (s *sess) rate(rung int) float64 { return s.part * s.group.rates[rung] }
+func (s *session) rate(rung int) float64 { return s.rateShare * s.group.rates[rung] }
 
-// hash makes a number of a title and a server (FNV-1a), alike at all fronts.
-func hash(title string, id ServerID) uint32 {
+// titleHash makes a number of a title and a server (FNV-1a), alike at all fronts.
+func titleHash(title string, id ServerID) uint32 {
 	h := uint32(2166136261)
 	for i := range len(title) {
 		h = (h ^ uint32(title[i])) * 16777619
@@ -94,45 +94,45 @@
 	return h ^ h>>15
 }
 
-// pick is the session on a link that weighs most, nil where none weighs more than 0.
-func (l *link) pick(weigh func(s *sess) float64) (best *sess) {
+// heaviest is the session on a link that weighs most, nil where none weighs more than 0.
+func (l *link) heaviest(weigh func(s *session) float64) (best *session) {
 	most := 0.0
-	for _, s := range l.sess {
-		if w := weigh(s); s.plays && s.wantRung == s.rung && w > most {
+	for _, s := range l.sessions {
+		if w := weigh(s); s.playing && s.wantedRung == s.rung && w > most {
 			best, most = s, w
 		}
 	}
 	return best
 }
 
-// chance is a multiply-with-carry generator's next number in [0, 1).
-func (f *Front) chance() float64 {
-	f.mwc = 4294957665*(f.mwc&0xffffffff) + f.mwc>>32
-	return float64(uint32(f.mwc)) / (1 << 32)
+// random is a multiply-with-carry generator's next number in [0, 1).
+func (f *Front) random() float64 {
+	f.rngState = 4294957665*(f.rngState&0xffffffff) + f.rngState>>32
+	return float64(uint32(f.rngState)) / (1 << 32)
 }
 
-// join puts a session on a server's link and uplink and takes its seat.
-func (f *Front) join(s *sess, sv *server) {
-	f.smooth(sv.link)
-	f.smooth(sv.uplink)
+// attach puts a session on a server's link and uplink and takes its seat.
+func (f *Front) attach(s *session, sv *server) {
+	f.smoothDemand(sv.link)
+	f.smoothDemand(sv.uplink)
 	s.holder = sv
-	sv.link.fresh, sv.uplink.fresh = true, true
-	sv.link.sess = append(sv.link.sess, s)
-	sv.uplink.sess = append(sv.uplink.sess, s)
-	f.seats[s.seat]++
+	sv.link.changed, sv.uplink.changed = true, true
+	sv.link.sessions = append(sv.link.sessions, s)
+	sv.uplink.sessions = append(sv.uplink.sessions, s)
+	f.seatsTaken[s.seat]++
 }
 
-func (f *Front) leave(s *sess) {
+func (f *Front) detach(s *session) {
 	if s.holder == nil {
 		return
 	}
 	for _, l := range [2]*link{s.holder.link, s.holder.uplink} {
-		f.smooth(l)
-		l.fresh = true
-		l.sess = slices.DeleteFunc(l.sess, func(o *sess) bool { return o == s })
+		f.smoothDemand(l)
+		l.changed = true
+		l.sessions = slices.DeleteFunc(l.sessions, func(o *session) bool { return o == s })
 	}
-	if f.seats[s.seat]--; f.seats[s.seat] <= 0 {
-		delete(f.seats, s.seat)
+	if f.seatsTaken[s.seat]--; f.seatsTaken[s.seat] <= 0 {
+		delete(f.seatsTaken, s.seat)
 	}
 	s.holder = nil
 }
@@ -175,54 +175,54 @@
 	ShortfallAt     float64 `json:"Lifted"` // what short-delivery notes lift demand to, and when
 }
 
-func (l *link) memory() LinkSnapshot {
-	return LinkSnapshot{l.told, l.size, l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted}
+func (l *link) snapshot() LinkSnapshot {
+	return LinkSnapshot{l.nominal, l.capacity, l.otherDemand, l.readAt, l.ownDemandAtReading, l.reportedLoad, l.reportedAt, l.shortfallDemand, l.shortfallAt}
 }
 
-// recall takes a reading again; the size as a part of what is told now.
-func (l *link) recall(r LinkSnapshot) {
+// restore takes a reading again; the size as a part of what is told now.
+func (l *link) restore(r LinkSnapshot) {
 	if r.NominalCapacity > 0 {
-		l.size = l.told * r.Capacity / r.NominalCapacity
+		l.capacity = l.nominal * r.Capacity / r.NominalCapacity
 	}
-	l.rest, l.read, l.at, l.load, l.seen, l.lift, l.lifted = r.OtherDemand, r.ReadAt, r.OwnDemand, r.ReportedLoad, r.ReportedAt, r.ShortfallDemand, r.ShortfallAt
+	l.otherDemand, l.readAt, l.ownDemandAtReading, l.reportedLoad, l.reportedAt, l.shortfallDemand, l.shortfallAt = r.OtherDemand, r.ReadAt, r.OwnDemand, r.ReportedLoad, r.ReportedAt, r.ShortfallDemand, r.ShortfallAt
 }
 
 // Snapshot gives what the front has learned.
 func (f *Front) Snapshot() Snapshot {
-	m := Snapshot{FirstSetups: slices.Clone(f.taken), Retries: slices.Clone(f.further), MeanLoad: f.usual, MeanLoadDemand: f.usualAt, RefilledAt: f.settled}
+	m := Snapshot{FirstSetups: slices.Clone(f.firstSetups), Retries: slices.Clone(f.retries), MeanLoad: f.meanLoad, MeanLoadDemand: f.meanLoadDemand, RefilledAt: f.refilledAt}
 	for _, s := range f.servers {
-		m.Servers = append(m.Servers, ServerSnapshot{s.id, s.born, s.slot, s.used, s.aside, s.full, s.life.mean, s.life.dev, s.heard,
-			s.link.memory()})
+		m.Servers = append(m.Servers, ServerSnapshot{s.id, s.startedAt, s.slot, s.slotSetups, s.ejected, s.fullUntil, s.gaps.mean, s.gaps.deviation, s.lastHeardAt,
+			s.link.snapshot()})
 	}
 	for _, l := range f.uplinks {
-		m.Uplinks = append(m.Uplinks, l.memory())
+		m.Uplinks = append(m.Uplinks, l.snapshot())
 	}
 	return m
 }
 
 // Restore takes a memory, after the first Directory and before any session. Servers that are not listed are passed over.
 func (f *Front) Restore(m Snapshot) {
-	f.taken, f.further = slices.Clone(m.FirstSetups), slices.Clone(m.Retries)
-	f.usual, f.usualAt, f.settled = m.MeanLoad, m.MeanLoadDemand, cmp.Or(m.RefilledAt, f.settled)
+	f.firstSetups, f.retries = slices.Clone(m.FirstSetups), slices.Clone(m.Retries)
+	f.meanLoad, f.meanLoadDemand, f.refilledAt = m.MeanLoad, m.MeanLoadDemand, cmp.Or(m.RefilledAt, f.refilledAt)
 	for _, r := range m.Servers {
 		s := f.server(r.ID)
 		if s == nil {
 			continue
 		}
 		if r.Slot >= 0 {
-			s.slot, s.used = r.Slot, r.SlotSetups
+			s.slot, s.slotSetups = r.Slot, r.SlotSetups
 		}
-		if s.life = (gaps{r.MeanGap, r.GapDeviation}); s.born > r.StartedAt {
+		if s.gaps = (gapStats{r.MeanGap, r.GapDeviation}); s.startedAt > r.StartedAt {
 			continue // it has started anew
 		}
-		s.born, s.heard, s.full = r.StartedAt, r.LastHeardAt, r.FullUntil
-		s.link.recall(r.Link)
-		if r.Ejected && f.probes { // probes alone bring it back
-			f.setAside(s, false)
+		s.startedAt, s.lastHeardAt, s.fullUntil = r.StartedAt, r.LastHeardAt, r.FullUntil
+		s.link.restore(r.Link)
+		if r.Ejected && f.probesAllowed { // probes alone bring it back
+			f.eject(s, false)
 		}
 	}
 	for i, r := range m.Uplinks[:min(len(m.Uplinks), len(f.uplinks))] {
-		f.uplinks[i].recall(r)
+		f.uplinks[i].restore(r)
 	}
 }
 
@@ -249,18 +249,18 @@
 
 // Explain tells how the front sees a session and the holders of its title now; ok is false where it knows of none.
 func (f *Front) Explain(id SessID) (st SessionState, ok bool) {
-	s := f.sess[id]
+	s := f.sessions[id]
 	if s == nil {
 		return st, false
 	}
-	st = SessionState{SetupsSent: s.sent, SeatsTaken: s.group.Seats > 0 && f.seats[s.seat] >= s.group.Seats, RetriesSpent: !f.ration(), MayHaveRun: s.mayRan}
+	st = SessionState{SetupsSent: s.setupsSent, SeatsTaken: s.group.Seats > 0 && f.seatsTaken[s.seat] >= s.group.Seats, RetriesSpent: !f.retryAllowed(), MayHaveRun: s.mayHaveRun}
 	for _, sv := range f.servers {
-		if (sv.cell-s.start+f.cells)%f.cells >= s.span {
+		if (sv.cell-s.startCell+f.cells)%f.cells >= s.cellCount {
 			continue
 		}
 		_, a := f.pressure(sv.link, sv, s, 0)
 		_, u := f.pressure(sv.uplink, sv, s, 0)
-		st.Holders = append(st.Holders, HolderState{sv.id, sv.state, sv.aside, f.now < sv.full, !f.open(sv), slices.Contains(s.tried, sv), f.room(sv), a, u})
+		st.Holders = append(st.Holders, HolderState{sv.id, sv.state, sv.ejected, f.now < sv.fullUntil, !f.mayReceiveSetup(sv), slices.Contains(s.tried, sv), f.headroom(sv), a, u})
 	}
 	return st, true
 }
@@ -277,8 +277,8 @@
 // ServerEstimates gives what the front counts at each server, by id.
 func (f *Front) ServerEstimates() (list []ServerEstimate) {
 	for _, s := range f.servers {
-		asks := s.link.asks(false)
-		list = append(list, ServerEstimate{s.id, len(s.link.sess), asks, (asks + f.others(s.link)) / max(s.link.size, 1), s.aside})
+		asks := s.link.rungDemand(false)
+		list = append(list, ServerEstimate{s.id, len(s.link.sessions), asks, (asks + f.otherDemand(s.link)) / max(s.link.capacity, 1), s.ejected})
 	}
 	return list
 }
