--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,18 +1,19 @@
-// Package choice decides for one front which server holds a session, at which rung, or turns it away.
-// How it is called: New once, then At with the clock and one method an event, in order; Settle ends a batch.
-// Events change the wanted state; Settle alone works out the difference to the present and emits it as Acts.
-// The interface is in api.go, types and book-keeping in state.go. Instances share nothing, and use no clock
-// or chance but what they are handed.
+// Package choice decides for one front which server holds a session and at which rung, or rejects the session.
 //
-// Mechanisms beside the design (docs/design.md says when each acts):
-//  1. others:  other fronts' demand on a link, by loads told, short notes, full answers, what own sessions do
-//     since, and other fronts' sums where messages are allowed
-//  2. crush:   demand ahead of its smoothed figure counts; premium's lead is bounded; lowest rungs may fit
-//  3. silence: a server unusually silent is probed, set aside, and returns after it answers probes
-//  4. again:   further SETUPs within the start target, the ration and the terms of paid groups
-//  5. warming: a cold server gets SETUPs in this front's slots only, and counts at its warm share
-//  6. look:    the likeliest holder is probed before a session is placed if nothing was heard of it lately
-//     and probes cost little
+// Call New once, then SetTime followed by one method per event, in order; Reconcile ends a batch. Events change the
+// wanted state only. Reconcile compares it with the present state and emits the difference as Actions.
+// The interface is in api.go, types and bookkeeping in state.go. Instances share nothing, and use no clock or
+// randomness other than the time and the seed they are given.
+//
+// Mechanisms beyond the basic design (docs/design.md says when each one acts):
+//  1. Other fronts: their demand on a link is estimated from load reports and notes, short-delivery notes, full
+//     answers, the change in this front's own sessions since, and other fronts' sums where messages are allowed.
+//  2. Overload: demand above its smoothed value counts at once; the lead of premium groups is bounded; a session is
+//     still admitted where its lowest rung fits.
+//  3. Silence: a server that is unusually silent is probed, ejected, and reinstated once it answers probes.
+//  4. Retries: within the start target, the retry budget and the terms of paid groups.
+//  5. Warm-up: a cold server gets SETUPs in this front's slots only, and counts at its warm share.
+//  6. Probe before placing: the best holder is probed first if nothing was heard of it lately and probes cost little.
 package choice
 
 import (
@@ -23,68 +24,129 @@
 	"rainhaven/choice/slowstart"
 )
 
+// Front decides for one front. Its methods must not be called concurrently.
 type Front struct {
-	actions    Actions
-	now        float64
-	rngState   uint64
-	groups     []group
-	maxStreams []float64 // streams at most, by kind of server
-
-	cells, racks, fronts, index, zone, maxSetups int
-
-	fleetLinkCapacity, uplinkCapacity, capacityPerStream float64 // all links, all uplinks; a place of a link, 0 before the first list
-	noteLag, noteInterval, maxRetryAfter                 float64 // of notes, between load notes, on coming back
-	slotSeconds, warmUpSeconds, coldShare                float64 // a cold server's slot; its warm-up and first share
-	unsyncedClock                                        bool    // fronts' clocks have nothing in common, so turns can't be taken
-	coldBudget, slotCount                                float64 // with an own clock: what a cold server can take in a fall time; its slots
-	seed                                                 uint64
-	sameZoneBonus                                        float64 // what a holder in the own zone is ahead by
-	baseRetries, retriesPerSession, retryWindow          float64 // the ration of further SETUPs
-	fullThreshold, targetShare                           float64 // load at which servers answer full, -1 is never; target over size
-	probesAllowed, halfSlots                             bool    // probes are allowed; half of each slot stays shut
-	probeFirst                                           bool    // a probe before placing is worth its price
-	messagesAllowed, messageDue                          bool    // messages between fronts are allowed; one is wanted
-	stopped                                              bool    // nothing is placed any more
-
-	servers                   []*server           // by id; emptied of those gone once no session is left there
-	uplinks                   []*link             // by rack
-	sessions                  map[SessID]*session // emptied as sessions end
-	seatsTaken                map[seatKey]int     // SETUPs out and sessions held; emptied as outcomes come in
-	awaitingProbe             []*session          // for probes; emptied by answers and by time
-	changed                   []*session          // wanted state may differ from the present; emptied by Settle
-	firstSetups, retries      []float64           // first and further SETUPs, when; emptied past the ration's window
-	nextTimer                 float64             // the wake-up that is set
-	refilledAt                float64             // started so long ago that its own sessions have come back, some 20 s
-	meanLoad                  [2]float64          // mean load of links and of uplinks as last heard; 0 is none yet
-	meanLoadDemand, ownDemand float64             // what all own sessions asked meanwhile, and ask now, with eight for chance
-	summedAt                  float64             // when tops and asks were summed
-	topRates, rungRates       [2]float64          // of all own sessions: top rates and rung rates; others, premium
-	topRateSum, floorRateSum  float64             // their top rates, their lowest rungs' rates
-	premiumShare              [2]float64          // premium's part of top rates and of rung rates
-	peerSums                  frontSums           // sums of other fronts' sessions and words of links; emptied by time
-	peerSumsAt                float64             // when they had faded so far
-	ownLoads                  [2]float64          // own words of links: sum of loads, and how many
-	rungFraction              float64             // what sessions play at over their top rates
-}
-
-// link is a server's link or a rack's uplink, as this front sees it.
+	actions  Actions
+	now      float64
+	rngState uint64 // see random
+	seed     uint64
+
+	// Terms, from Config.
+	groups            []group
+	maxStreams        []float64 // by kind of server
+	cells             int
+	racks             int
+	fronts            int
+	index             int // this front among all
+	zone              int
+	maxSetups         int     // for one request
+	fleetLinkCapacity float64 // of all links
+	uplinkCapacity    float64 // of all uplinks
+	capacityPerStream float64 // a link's capacity for each stream its server may run; 0 before the first list
+	noteLag           float64 // seconds
+	noteInterval      float64 // seconds between load notes; 0 is none
+	maxRetryAfter     float64 // seconds
+	warmUpSeconds     float64
+	coldShare         float64 // share of its capacity that a server starts with
+	sameZoneBonus     float64 // headroom added to holders in this front's zone, in top rates of the session
+	targetShare       float64 // target over capacity
+	fullThreshold     float64 // load at which servers answer full; -1 is never
+	probesAllowed     bool
+	probeFirst        bool // a probe before placing is worth its price
+	messagesAllowed   bool
+
+	// Retry budget.
+	baseRetries       float64
+	retriesPerSession float64
+	retryWindow       float64 // seconds; 0 is no budget
+
+	// Slots in which cold servers get SETUPs.
+	unsyncedClock bool // fronts' clocks are unrelated, so they can't take turns
+	slotSeconds   float64
+	halfSlots     bool    // the second half of each slot is unused
+	coldBudget    float64 // with an unsynced clock: SETUPs that a cold server can take within the overload time
+	slotCount     float64 // with an unsynced clock: slots in the overload time
+
+	servers       []*server           // by id; a server that has gone is removed once no session is left there
+	uplinks       []*link             // by rack
+	sessions      map[SessID]*session // until they end
+	seatsTaken    map[seatKey]int     // SETUPs in flight and sessions held
+	awaitingProbe []*session          // until the probe ends or maxProbeWait has passed
+	changed       []*session          // wanted state may differ from the present; emptied by Reconcile
+	firstSetups   []float64           // instants of first SETUPs within the retry window
+	retries       []float64           // instants of retries within the retry window
+	nextTimer     float64             // when the timer that is set expires; 0 is none
+	messageDue    bool                // Reconcile sends a message
+	stopped       bool                // nothing is placed any more
+
+	refilledAt     float64    // when the sessions that a restart ended have come back
+	meanLoad       [2]float64 // of links and of uplinks as last reported; 0 is none yet
+	meanLoadDemand float64    // ownDemand, averaged over the reports behind meanLoad
+	ownLoads       [2]float64 // reported loads of links: weighted sum, sum of weights
+	peerSums       frontSums  // sums that other fronts sent; they decay with time
+	peerSumsAt     float64    // when peerSums last decayed
+
+	// Set by sumOwnSessions. Pairs are of the other groups and of the premium ones.
+	summedAt     float64    // when; 0 forces a new sum
+	topRates     [2]float64 // of all own sessions
+	rungRates    [2]float64 // of all own sessions, at the wanted rungs
+	topRateSum   float64
+	floorRateSum float64    // rates at the lowest rungs
+	rungFraction float64    // rung rates over top rates, other fronts' sums included
+	premiumShare [2]float64 // premium groups' share of top rates and of rung rates
+	ownDemand    float64    // top rates of own sessions and of smoothingSessions more, times rungFraction
+}
+
+// link is a server's link or a rack's uplink, as this front sees it. Rates are kB a second.
 type link struct {
-	nominal                      float64
-	sessions                     []*session // SETUPs out and playing there; emptied as outcomes come in
-	demand                       [2]float64 // smoothed top rates: the other groups, the premium ones
-	smoothedAt                   float64    // when
-	shortfallDemand, shortfallAt float64    // what short-delivery notes lift demand to, and when
-	raiseCheckedAt               float64    // when a step up was last looked for
-	otherDemand, readAt          float64    // what other fronts asked at the last reading, and when; 0 is never
-	ownDemandAtReading           float64    // what all own sessions asked at that reading
-	pastDemand                   [8]float64 // rung rates asked at the last ticks, newest first
-	reportedLoad, reportedAt     float64    // what a server last said, and when
-	nextStepDown, nextStepUp     float64    // no step before
-	capacity                     float64    // capacity: told, or more where the own sessions show it
-	changed                      bool       // read, joined or left since it was last looked at
-	kind                         int        // 0 a server's link, 1 a rack's uplink
-}
+	kind               int        // 0 a server's link, 1 a rack's uplink
+	nominal            float64    // capacity by the terms
+	capacity           float64    // nominal, or more where own sessions show it
+	sessions           []*session // SETUPs in flight and sessions there
+	demand             [2]float64 // smoothed top rates of own sessions: the other groups, the premium ones
+	smoothedAt         float64    // when demand was brought up to date
+	shortfallDemand    float64    // demand is at least this after a short-delivery note
+	shortfallAt        float64    // when that note came
+	otherDemand        float64    // rates of other fronts' sessions at the last reading
+	readAt             float64    // when; 0 is never
+	ownDemandAtReading float64    // Front.ownDemand at that reading
+	pastDemand         [8]float64 // rung rates of own sessions at the last timers, newest first
+	reportedLoad       float64    // as a server last reported it
+	reportedAt         float64
+	raiseCheckedAt     float64 // when a step up was last considered
+	nextStepDown       float64 // no step before
+	nextStepUp         float64
+	changed            bool // read, joined or left since the last timer
+}
+
+const (
+	timerInterval        = 0.25 // seconds between looks at established sessions
+	reserveShare         = 0.25 // share of a link that new sessions and steps up leave for noise and other fronts' sessions
+	refillSeconds        = 20   // viewers of sessions that a restart ended are back within this
+	demandWindow         = 10   // seconds over which demand is smoothed
+	peerSumsDecay        = 10   // seconds in which other fronts' sums fall by e
+	readingDecay         = 30   // seconds in which a reading falls by e: sessions turn over in about that
+	shortfallDecay       = 5    // seconds, half the smoothing window: a few notes missed mean that the shortage is over
+	reportedLoadDecay    = 8    // seconds in which the weight of a reported load falls by e
+	maxProbeWait         = 0.1  // seconds that a session waits for a probe before it is placed
+	maxProbePrice        = 0.04 // in sessions; a probe before placing pays at 0.01 and doesn't at 0.08 among 300 fronts
+	recentReport         = 5    // seconds, about the interval and lag of load notes
+	smoothingSessions    = 8    // added to own demand, so that the few own sessions don't make it jump
+	assumedLoad          = 0.5  // of a link that nothing is known of
+	assumedWeight        = 0.3  // of assumedLoad beside reported loads
+	assumedFraction      = 0.4  // of top rates that one assumed session of each group plays at
+	fullSeconds          = 1    // how long a server counts as full after it says so; a report takes that long to change
+	messagesPerRequest   = 6    // further ones cost what they gain
+	probesToReinstate    = 2    // in a row, so that one lucky answer doesn't reinstate a server
+	slotUsedUp           = 99   // more SETUPs than a slot allows
+	streamHolders        = 8    // one in so many of a title's holders is preferred for its shared stream
+	premiumLead          = 1.3  // most that the premium groups' cut is better than an equal one
+	stepDownInterval     = 3    // seconds between steps down on a link
+	stepUpAfterDown      = 6    // seconds without a step up after one down
+	minSecondsBeforeStep = 8    // seconds a session stays on a rung before it steps up
+)
 
+// gapStats are the mean and mean deviation of the seconds between a server's signs of life.
 type gapStats struct{ mean, deviation float64 }
 
 func (g *gapStats) add(x float64) {
@@ -92,30 +154,36 @@
 		g.mean, g.deviation = x, x/2
 		return
 	}
-	// An eighth, as for round trips in TCP: some ten gaps are remembered.
+	// A gain of an eighth, as for round trips in TCP, remembers about ten gaps.
 	g.deviation += (math.Abs(x-g.mean) - g.deviation) / 8
 	g.mean += (x - g.mean) / 8
 }
 
-func New(now float64, s Config, acts Actions) *Front {
-	f := &Front{actions: acts, now: now, rngState: s.Seed%0xfffffffe + 1, maxStreams: s.MaxStreams, fleetLinkCapacity: s.FleetLinkCapacity,
-		cells: max(s.Cells, 1), racks: max(s.Racks, 1), fronts: max(s.Fronts, 1), index: s.FrontIndex, zone: s.Zone,
-		maxSetups: max(s.MaxSetups, 1), noteLag: s.NoteLag, noteInterval: s.NoteInterval, maxRetryAfter: s.MaxRetryAfter, warmUpSeconds: s.WarmUp,
-		coldShare: s.ColdShare, probesAllowed: s.Probes, messagesAllowed: s.PeerMessages && s.Fronts > 1,
-		baseRetries: s.BaseRetries, retriesPerSession: s.RetriesPerSession,
-		fullThreshold: cmp.Or(s.FullThreshold, -1), retryWindow: s.RetryWindow, refilledAt: now + 20,
-		sessions: map[SessID]*session{}, seatsTaken: map[seatKey]int{}}
-	f.uplinkCapacity = max(s.MeanUplinkCapacity*float64(f.racks), 1)
+// New makes a front that knows no servers and no sessions.
+func New(now float64, c Config, actions Actions) *Front {
+	f := &Front{
+		actions: actions, now: now, rngState: c.Seed%0xfffffffe + 1, seed: c.Seed,
+		cells: max(c.Cells, 1), racks: max(c.Racks, 1), fronts: max(c.Fronts, 1), index: c.FrontIndex, zone: c.Zone,
+		maxStreams: c.MaxStreams, fleetLinkCapacity: c.FleetLinkCapacity,
+		noteLag: c.NoteLag, noteInterval: c.NoteInterval,
+		maxSetups: max(c.MaxSetups, 1), maxRetryAfter: c.MaxRetryAfter,
+		baseRetries: c.BaseRetries, retriesPerSession: c.RetriesPerSession, retryWindow: c.RetryWindow,
+		warmUpSeconds: c.WarmUp, coldShare: c.ColdShare, unsyncedClock: c.UnsyncedClock,
+		fullThreshold: cmp.Or(c.FullThreshold, -1), refilledAt: now + refillSeconds,
+		probesAllowed: c.Probes, messagesAllowed: c.PeerMessages && c.Fronts > 1,
+		sessions: map[SessID]*session{}, seatsTaken: map[seatKey]int{},
+	}
+	f.uplinkCapacity = max(c.MeanUplinkCapacity*float64(f.racks), 1)
 	if len(f.maxStreams) == 0 {
 		f.maxStreams = []float64{1}
 	}
 	lowest := math.Inf(1)
-	for _, g := range s.Groups {
+	for _, g := range c.Groups {
 		lowest = min(lowest, g.Utility)
 	}
-	for _, g := range s.Groups {
-		rates := make([]float64, len(s.Ladder))
-		for i, r := range s.Ladder {
+	for _, g := range c.Groups {
+		rates := make([]float64, len(c.Ladder))
+		for i, r := range c.Ladder {
 			rates[i] = r * g.Scale
 		}
 		g.AddedRateShare = cmp.Or(g.AddedRateShare, 1)
@@ -125,45 +193,44 @@
 		}
 	}
 	for range f.racks {
-		f.uplinks = append(f.uplinks, &link{nominal: s.MeanUplinkCapacity, capacity: s.MeanUplinkCapacity, kind: 1})
+		f.uplinks = append(f.uplinks, &link{nominal: c.MeanUplinkCapacity, capacity: c.MeanUplinkCapacity, kind: 1})
 	}
-	// Coarse rungs come to rest below the target by themselves, so it is near the size; of 0.78 to 1.05
-	// tried. What others send is known late, the more of them the later, unless servers turn the excess away;
-	// 0.08 of 0 to 0.16 tried.
+	// Rungs are coarse, so rates settle below the target by themselves: the target is close to the capacity. What
+	// other fronts send is known late, the more of them the later, unless servers turn the excess away.
 	f.targetShare = 0.97
-	if s.FullThreshold == 0 {
+	if c.FullThreshold == 0 {
 		f.targetShare -= 0.08 * math.Pow(1-1/float64(f.fronts), 3)
 	}
-	// Where crossing zones has a price, a tenth of a session settles near ties; more costs room than it saves.
-	if s.CrossZonePrice > 0 {
+	// Where crossing zones has a price, a tenth of a session settles near ties; more loses headroom than it saves.
+	if c.CrossZonePrice > 0 {
 		f.sameZoneBonus = 0.1
 	}
-	// A look must earn what a probe costs: at 0.01 of a session it does; at 0.08, among 300 fronts, it earned
-	// nothing; in between nothing was tried. Harm: what is known of a link comes later.
-	f.probeFirst = s.Probes && s.ProbePrice < 0.04
-	f.unsyncedClock, f.seed = s.UnsyncedClock, s.Seed
-	// The least that any kind may be sent within the fall time, a quarter kept for set-ups of more work.
-	budget := s.OverloadFactor * slices.Min(f.maxStreams) / max(s.WarmUp, 1e-3) * s.ColdShare * s.OverloadTime
+	// Drawback of the limit: where probes are dear, what is known of a link comes later.
+	f.probeFirst = c.Probes && c.ProbePrice < maxProbePrice
+	// The budget of the smallest kind of server, of which a quarter is kept for requests of more than the mean work.
+	budget := c.OverloadFactor * slices.Min(f.maxStreams) / max(c.WarmUp, 1e-3) * c.ColdShare * c.OverloadTime
 	if budget > 0 {
-		// A window touches one slot more than fit in it; where that leaves none, half of each slot stays shut.
-		f.slotSeconds = s.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
+		// A window of the overload time touches one slot more than fit in it. Where that leaves no slot, half of
+		// each slot is unused.
+		f.slotSeconds = c.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
 		f.halfSlots = budget*0.75 < 2
 		if f.unsyncedClock {
 			f.coldBudget, f.slotCount = budget, slowstart.Slots(budget)
-			f.slotSeconds = s.OverloadTime / f.slotCount
+			f.slotSeconds = c.OverloadTime / f.slotCount
 		}
 	}
 	return f
 }
 
-// SetTime sets the clock; it comes before each batch of events.
+// SetTime sets the clock. It comes before each batch of events; all instants are of this clock, in seconds.
 func (f *Front) SetTime(now float64) { f.now = now }
 
-// UpdateDirectory takes the list of servers, whole or changed entries only.
+// UpdateDirectory takes the whole list of servers, or only the entries that changed.
 func (f *Front) UpdateDirectory(whole bool, list []Listing) {
 	first := f.capacityPerStream == 0
 	if first {
-		// Heft is flat, so the fleet's links are split by the streams that each kind may run.
+		// All servers have about the same weight, so the capacity of all links is divided by the streams that each kind of
+		// server may run.
 		sum := 0.0
 		for _, e := range list {
 			sum += f.maxStreams[min(e.Kind, len(f.maxStreams)-1)]
@@ -175,13 +242,13 @@
 		named[e.ID] = true
 		i, found := slices.BinarySearchFunc(f.servers, e.ID, compareID)
 		if !found {
-			// A front that was restarted may have used this slot before.
-			s := &server{id: e.ID, link: &link{}, slot: math.Floor(f.now / max(f.slotSeconds, 1e-3)), slotSetups: 99}
+			// A front that was restarted may have used the present slot before, so the slot counts as used up.
+			s := &server{id: e.ID, link: &link{}, slot: math.Floor(f.now / max(f.slotSeconds, 1e-3)), slotSetups: slotUsedUp}
 			f.servers = slices.Insert(f.servers, i, s)
 		}
 		s := f.servers[i]
-		// Against a start told without its instant: a server first named later than the first list is cold from
-		// now. It could keep a warm server slow for one warm-up.
+		// Guards against a start listed without its instant: a server that the first list didn't have is cold from
+		// now on. Drawback: a warm server may be treated as cold for one warm-up.
 		if !found && !first && e.StartedAt == 0 {
 			s.startedAt = f.now
 		}
@@ -203,16 +270,19 @@
 	})
 }
 
+// RequestSession places a new session. Reconcile emits its SETUP or its answer, unless it waits for a probe.
 func (f *Front) RequestSession(r Request) {
 	f.messageDue = f.messagesAllowed
 	f.place(f.newSession(r))
 }
 
-// ReceiveMessage takes another front's sums of its sessions and of its words of links: against chance in the few own
-// ones. A lying front could make this one play too high or low; no rule depends on it. Lost ones leave the
-// own sums. Words of single links are not told: fronts would all go to the same ones.
-func (f *Front) ReceiveMessage(words []byte) {
-	if m, ok := decodeMessage(words); ok && f.messagesAllowed && m[2] <= m[0] && m[3] <= m[1] {
+// ReceiveMessage adds another front's sums of its sessions and of reported loads of links, which smooth out chance in
+// this front's few. A front that sends false sums could raise or lower the rungs here; no rule depends on them. Where
+// messages are lost, the own sums are used alone. Loads of single links are not exchanged: all fronts would prefer the
+// same ones.
+func (f *Front) ReceiveMessage(message []byte) {
+	if m, ok := decodeMessage(message); ok && f.messagesAllowed &&
+		m[otherRungRates] <= m[otherTopRates] && m[premiumRungRates] <= m[premiumTopRates] {
 		f.decayPeerSums()
 		for i := range m {
 			f.peerSums[i] += m[i]
@@ -221,20 +291,20 @@
 	}
 }
 
-// decayPeerSums lets what others told lose a part of e in 10 s; tried 5 to 20.
+// decayPeerSums lets other fronts' sums fall with the time since the last call.
 func (f *Front) decayPeerSums() {
-	k := math.Exp((f.peerSumsAt - f.now) / 10)
+	k := math.Exp((f.peerSumsAt - f.now) / peerSumsDecay)
 	for i := range f.peerSums {
 		f.peerSums[i] *= k
 	}
 	f.peerSumsAt = f.now
 }
 
-// placeAwaitingProbe places the sessions that waited for a server's probe, or for longer than a moment.
+// placeAwaitingProbe places the sessions whose awaited probe has ended, or that have waited for maxProbeWait.
 func (f *Front) placeAwaitingProbe() {
 	var ready []*session
 	f.awaitingProbe = slices.DeleteFunc(f.awaitingProbe, func(s *session) bool {
-		if !f.stopped && (s.awaitedProbe.probeWanted || s.awaitedProbe.probePending) && f.now-s.requestedAt < 0.1 {
+		if !f.stopped && (s.awaitedProbe.probeWanted || s.awaitedProbe.probePending) && f.now-s.requestedAt < maxProbeWait {
 			return false
 		}
 		ready = append(ready, s)
@@ -247,17 +317,18 @@
 	}
 }
 
-// Stop has nothing placed any more, as the process ends: who waits is given up, the others as their SETUPs
-// end.
+// Stop ends placing, before the process ends: sessions that wait for a probe are rejected now, those with a SETUP in
+// flight when it fails.
 func (f *Front) Stop() {
 	f.stopped = true
 	f.placeAwaitingProbe()
 }
 
+// AddHandedOver adds an established session, handed over by an earlier process or module, that server id holds.
 func (f *Front) AddHandedOver(r Request, id ServerID) {
 	s := f.newSession(r)
 	s.playing, s.setupsSent = true, 1
-	f.refilledAt = f.now // its own sessions are here already
+	f.refilledAt = f.now // own sessions are handed over, so none have to come back
 	if sv := f.server(id); sv != nil {
 		s.rateShare = f.rateShareAt(s, sv)
 		f.attach(s, sv)
@@ -276,23 +347,23 @@
 	return s
 }
 
-// smoothDemand brings a link's demand up to now: top rates of the front's own sessions there, over ten seconds.
+// smoothDemand brings a link's demand up to date: the top rates of own sessions there, smoothed over demandWindow.
 func (f *Front) smoothDemand(l *link) {
-	const window = 10 // the design's
 	var top [2]float64
 	for _, s := range l.sessions {
 		top[s.group.premium] += s.rate(s.bestRung)
 	}
-	k := 1 - math.Exp((l.smoothedAt-f.now)/window)
+	k := 1 - math.Exp((l.smoothedAt-f.now)/demandWindow)
 	for i := range top {
 		l.demand[i] += (top[i] - l.demand[i]) * k
-		// surge: a lost server's sessions land on few holders faster than smoothing follows.
+		// Load surge: a lost server's sessions arrive at few holders faster than smoothing follows.
 		l.demand[i] = max(l.demand[i], top[i])
 	}
 	l.smoothedAt = f.now
 }
 
-// target is a mark below a link's size, times its warm share where it was not read since its server started.
+// target is the rate that a link is to carry: targetShare of its capacity, times the server's warm share where no load
+// was reported since the server started.
 func (f *Front) target(l *link, sv *server) float64 {
 	if sv != nil && l == sv.link && l.readAt <= sv.startedAt {
 		return f.targetShare * l.capacity * f.warmShare(sv)
@@ -300,7 +371,7 @@
 	return f.targetShare * l.capacity
 }
 
-// sumOwnSessions sums what all own sessions ask, at their top rates and at their rungs, once an instant.
+// sumOwnSessions sums the rates of all own sessions, at most once per instant.
 func (f *Front) sumOwnSessions() {
 	if f.summedAt == f.now {
 		return
@@ -314,23 +385,24 @@
 		}
 	}
 	f.topRateSum = f.topRates[0] + f.topRates[1]
-	// A session of each group at four tenths, for a front of few: its own mix says little of the others'.
+	// One assumed session of each group is added: the mix of a front with few sessions says little of the others'.
 	f.decayPeerSums()
-	tops := [2]float64{f.topRates[0] + f.peerSums[0], f.topRates[1] + f.peerSums[1]}
-	rungs := [2]float64{f.rungRates[0] + f.peerSums[2], f.rungRates[1] + f.peerSums[3]}
+	tops := [2]float64{f.topRates[0] + f.peerSums[otherTopRates], f.topRates[1] + f.peerSums[premiumTopRates]}
+	rungs := [2]float64{f.rungRates[0] + f.peerSums[otherRungRates], f.rungRates[1] + f.peerSums[premiumRungRates]}
 	for _, g := range f.groups {
 		tops[g.premium] += g.rates[g.Top]
-		rungs[g.premium] += 0.4 * g.rates[g.Top]
+		rungs[g.premium] += assumedFraction * g.rates[g.Top]
 	}
 	f.rungFraction = (rungs[0] + rungs[1]) / (tops[0] + tops[1])
-	f.ownDemand = f.rungFraction * (f.topRateSum + 8*f.groups[0].rates[f.groups[0].Top])
+	f.ownDemand = f.rungFraction * (f.topRateSum + smoothingSessions*f.groups[0].rates[f.groups[0].Top])
 	f.premiumShare[0], f.premiumShare[1] = tops[1]/(tops[0]+tops[1]), rungs[1]/(rungs[0]+rungs[1])
 }
 
-// surgeFactor is what others ask now over what they did when readings were taken, as the own sessions show it:
-// viewers come and go, and sessions step, at all fronts alike. Against crowds that come faster than readings
-// tell, and old words of a crush, which hold all on low rungs. Eight sessions are added on both sides for
-// chance. Viewers who only lean to this front pass for a crowd. A front just started fills of itself.
+// surgeFactor estimates other fronts' present demand over that at a past instant by the change of own demand since
+// (then, as ownDemand was): viewers come and go, and sessions change rungs, at all fronts alike. It guards against load
+// surges that come faster than readings, and against old readings of an overload that would keep all sessions on low
+// rungs. Drawback: viewers who move to this front alone look like a load surge. A front that has just started fills
+// up anyway, so its growth shows nothing until refilledAt.
 func (f *Front) surgeFactor(then float64) float64 {
 	f.sumOwnSessions()
 	if then == 0 || f.now < f.refilledAt {
@@ -339,19 +411,20 @@
 	return min(max(f.ownDemand/then, 0.4), 2)
 }
 
-// otherDemand is what other fronts ask of a link: what its last reading leaves beside the own ones, fading into
-// the usual load of such links, as sessions turn over within some 30 s.
+// otherDemand estimates the rates of other fronts' sessions on a link: its last reading less own rates, which decays
+// into the mean load of such links as sessions turn over.
 func (f *Front) otherDemand(l *link) float64 {
-	// Before the first reading half full; uplinks that are not reported go by the links.
-	usual := cmp.Or(f.meanLoad[0], 0.5)
+	// Where uplinks are not reported, their load follows from that of links.
+	mean := cmp.Or(f.meanLoad[0], assumedLoad)
 	if l.kind == 1 {
-		usual = cmp.Or(f.meanLoad[1], usual*f.fleetLinkCapacity/f.uplinkCapacity)
+		mean = cmp.Or(f.meanLoad[1], mean*f.fleetLinkCapacity/f.uplinkCapacity)
 	}
-	w := 0.0
+	weight := 0.0
 	if l.readAt > 0 {
-		w = math.Exp((l.readAt - f.now) / 30)
+		weight = math.Exp((l.readAt - f.now) / readingDecay)
 	}
-	return w*l.otherDemand*f.surgeFactor(l.ownDemandAtReading) + (1-w)*usual*f.surgeFactor(f.meanLoadDemand)*l.capacity*(1-1/float64(f.fronts))
+	return weight*l.otherDemand*f.surgeFactor(l.ownDemandAtReading) +
+		(1-weight)*mean*f.surgeFactor(f.meanLoadDemand)*l.capacity*(1-1/float64(f.fronts))
 }
 
 // warmShare is the share of its capacity that a server has reached.
@@ -362,58 +435,57 @@
 	return f.coldShare + (1-f.coldShare)*max(f.now-sv.startedAt, 0)/f.warmUpSeconds
 }
 
-// pressure is a group's demand, with more to come, over what it is scaled against, and that judged for busy.
+// pressure is the demand on a link over its target, with more added to that of s's group: own is what the group's rungs
+// are scaled by, total decides whether new sessions get a busy reply.
 func (f *Front) pressure(l *link, sv *server, s *session, more float64) (own, total float64) {
 	f.smoothDemand(l)
 	t := max(f.target(l, sv), 1)
 	d := l.demand
 	d[s.group.premium] += more
-	// Other fronts' demand: what they ask, over the fraction of their top rates that sessions play at.
+	// Other fronts' demand, like the own one, is in top rates: their rates over the fraction that sessions play at.
 	f.sumOwnSessions()
-	o := f.otherDemand(l)
-	p, q := f.premiumShare[0], f.premiumShare[1]
-	d[0] += o / f.rungFraction * (1 - p)
-	d[1] += o / f.rungFraction * p
-	// Lifts fade by e in 5 s once notes stop, half the window: a few notes missed mean that it is over.
-	if lift := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/5); lift > d[0]+d[1] && d[0]+d[1] > 0 {
-		k := lift / (d[0] + d[1])
-		d[0], d[1] = d[0]*k, d[1]*k
-	}
-	// In a crush premium leads an equal cut by so much: a few top rungs cost many their lowest. Tried 1 to 3.
-	const lead = 1.3
+	others := f.otherDemand(l)
+	premiumOfTop, premiumOfRungs := f.premiumShare[0], f.premiumShare[1]
+	d[0] += others / f.rungFraction * (1 - premiumOfTop)
+	d[1] += others / f.rungFraction * premiumOfTop
+	// A short-delivery note raises all demand to what shows the shortage, and less as time goes on without notes.
+	if least := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/shortfallDecay); least > d[0]+d[1] && d[0]+d[1] > 0 {
+		factor := least / (d[0] + d[1])
+		d[0], d[1] = d[0]*factor, d[1]*factor
+	}
+	// In an overload the lead of the premium groups is bounded: a few top rungs cost many others their lowest.
 	if s.group.premium == 1 {
-		return max(d[1], (d[0]+d[1])/lead) / t, d[1] / t
+		return max(d[1], (d[0]+d[1])/premiumLead) / t, d[1] / t
 	}
-	return d[0] / max(t-l.rungDemand(true)-o*q, 1), (d[0] + d[1]) / t
+	return d[0] / max(t-l.rungDemand(true)-others*premiumOfRungs, 1), (d[0] + d[1]) / t
 }
 
-// rungFor is the design's rung: top rate by target over demand, smaller factor of link and uplink, nearest.
+// rungFor is the rung nearest to the session's top rate times target over demand, by the tighter of link and uplink.
 func (f *Front) rungFor(s *session, sv *server, more float64) int {
-	a, _ := f.pressure(sv.link, sv, s, more)
-	u, _ := f.pressure(sv.uplink, sv, s, more)
-	want := s.group.rates[s.bestRung] / max(a, u, 1)
-	r := s.bestRung
+	onLink, _ := f.pressure(sv.link, sv, s, more)
+	onUplink, _ := f.pressure(sv.uplink, sv, s, more)
+	wanted := s.group.rates[s.bestRung] / max(onLink, onUplink, 1)
+	rung := s.bestRung
 	for i := s.bestRung - 1; i >= s.group.Floor; i-- {
-		if math.Abs(s.group.rates[i]-want) < math.Abs(s.group.rates[r]-want) {
-			r = i
+		if math.Abs(s.group.rates[i]-wanted) < math.Abs(s.group.rates[rung]-wanted) {
+			rung = i
 		}
 	}
-	return r
+	return rung
 }
 
-// rateShareAt is what a session adds of its rate at a server: less than all where a stream of its live title runs
-// there, by the own sessions, or likely, as all fronts prefer the same of its holders, one in so many (4 to
-// 16 alike; without any preference 0.02 less). Viewers crowd on these; room and reports send them on.
+// rateShareAt is the share of its rate that a session adds at a server: less than 1 where a stream of its live title
+// runs there, which own sessions show, or probably does, because all fronts prefer the same of the title's holders,
+// one in streamHolders. Viewers gather on these; headroom and load reports move further ones to other holders.
 func (f *Front) rateShareAt(s *session, sv *server) float64 {
-	const among = 8
-	if s.group.AddedRateShare < 1 && (titleHash(s.seat.title, sv.id)%among == 0 ||
+	if s.group.AddedRateShare < 1 && (titleHash(s.seat.title, sv.id)%streamHolders == 0 ||
 		slices.ContainsFunc(sv.link.sessions, func(o *session) bool { return o.seat == s.seat })) {
 		return s.group.AddedRateShare
 	}
 	return 1
 }
 
-// place chooses holder and rung, or turns the session away.
+// place chooses holder and rung, or rejects the session.
 func (f *Front) place(s *session) {
 	f.changed = append(f.changed, s)
 	s.setupWanted = false
@@ -423,9 +495,9 @@
 		return
 	}
 	type holder struct {
-		sv   *server
-		room float64
-		shut bool
+		sv       *server
+		headroom float64
+		full     bool
 	}
 	var list []holder
 	top, floor := s.group.rates[s.bestRung], s.group.rates[s.group.Floor]
@@ -433,43 +505,44 @@
 		if (sv.cell-s.startCell+f.cells)%f.cells >= s.cellCount || sv.state != Ready {
 			continue
 		}
-		// One set aside is probed as requests want it, sparser the longer it lasts: among many fronts a pace of
-		// their own would cost more probes than there are requests; 4 s is what a return may be missed by.
+		// An ejected server is probed when requests want it, more rarely the longer it is ejected: among many fronts
+		// probes by a timer would outnumber the requests. A server that is back may be missed for 4 s.
 		if sv.ejected && f.now >= sv.nextProbeAt {
 			sv.probeWanted, sv.nextProbeAt = true, f.now+max(1, min(4, (f.now-sv.ejectedAt)/3))
 		}
 		if sv.ejected || f.now < sv.fullUntil || !f.mayReceiveSetup(sv) || slices.Contains(s.tried, sv) {
 			continue
 		}
-		_, a := f.pressure(sv.link, sv, s, 0)
-		_, u := f.pressure(sv.uplink, sv, s, 0)
-		room := f.headroom(sv)
+		_, onLink := f.pressure(sv.link, sv, s, 0)
+		_, onUplink := f.pressure(sv.uplink, sv, s, 0)
+		headroom := f.headroom(sv)
 		s.rateShare = f.rateShareAt(s, sv)
 		if s.rateShare < 1 {
-			room += (1 - s.rateShare) * s.group.rates[f.rungFor(s, sv, top*s.rateShare)]
-		}
-		// Past double new sessions are turned away, but for one whose lowest rung still fits under the target, or
-		// would with all others at theirs: viewers don't wait, and a tenth of the rate earns a quarter of the
-		// utility. The others step down as notes tell them; of 0.5 to 0.9 tried, 0.7 keeps what they lose small.
-		shut := max(a, u) > 2 && room < floor && max(f.floorPressure(sv.link, sv, s), f.floorPressure(sv.uplink, sv, s)) > 0.7
-		// Near ties fall by chance, so that fronts that see alike don't all choose alike.
-		room += top * 0.02 * f.random()
+			headroom += (1 - s.rateShare) * s.group.rates[f.rungFor(s, sv, top*s.rateShare)]
+		}
+		// Where demand is over twice the target, a session is rejected unless its lowest rung fits under the target,
+		// or would if all others were at theirs: viewers don't wait, and a tenth of the rate gives a quarter of the
+		// utility. The others step down as load notes show the excess; the limit of 0.7 keeps their loss small.
+		full := max(onLink, onUplink) > 2 && headroom < floor &&
+			max(f.floorPressure(sv.link, sv, s), f.floorPressure(sv.uplink, sv, s)) > 0.7
+		// Near ties are decided at random, so that fronts that know the same don't all choose the same server.
+		headroom += top * 0.02 * f.random()
 		if sv.zone == f.zone {
-			room += top * f.sameZoneBonus
+			headroom += top * f.sameZoneBonus
 		}
-		list = append(list, holder{sv, room, shut})
+		list = append(list, holder{sv, headroom, full})
 	}
-	slices.SortStableFunc(list, func(a, b holder) int { return cmp.Compare(b.room, a.room) })
-	// The likeliest is probed first where nothing was heard of it lately: many fronts know few links each.
-	// A second and third probe cost what they gained; tried 2 to 20 s, of which 5 is a load note's time and lag.
+	slices.SortStableFunc(list, func(a, b holder) int { return cmp.Compare(b.headroom, a.headroom) })
+	// The best holder is probed first where its load was not reported lately: where fronts are many, each knows few
+	// links. Probing a second and third holder costs as much as it gains.
 	if f.probeFirst && s.setupsSent == 0 && !s.probeAwaited && len(list) > 1 && s.setupTimeout-f.now > 1 {
-		if sv := list[0].sv; f.now-sv.link.reportedAt > 5 {
+		if sv := list[0].sv; f.now-sv.link.reportedAt > recentReport {
 			sv.probeWanted, s.probeAwaited, s.awaitedProbe = true, true, sv
 			f.awaitingProbe = append(f.awaitingProbe, s)
 			return
 		}
 	}
-	i := slices.IndexFunc(list, func(h holder) bool { return !h.shut })
+	i := slices.IndexFunc(list, func(h holder) bool { return !h.full })
 	if i < 0 {
 		f.reject(s)
 		return
@@ -491,23 +564,23 @@
 	}
 }
 
-// retryAllowed tells whether a further SETUP stays within the sliding budget. First SETUPs count for a little less
-// than the window and further ones for a little more, so that no rounding of instants breaks it. A request
-// for which no SETUP leaves earns none: against viewers that ask by the hundred and withdraw. It is a little
-// tight where many are busy-replied without one.
+// retryAllowed tells whether one more retry stays within the retry budget, a sliding window. First SETUPs count for a
+// little less than the window and retries for a little more, so that rounded instants can't exceed it. A request
+// without a SETUP adds nothing, which guards against viewers that send requests by the hundred and withdraw them.
+// Drawback: the budget is tighter than allowed where many requests get a busy reply without a SETUP.
 func (f *Front) retryAllowed() bool {
 	f.firstSetups = slices.DeleteFunc(f.firstSetups, func(t float64) bool { return f.now-t >= f.retryWindow*0.98 })
 	f.retries = slices.DeleteFunc(f.retries, func(t float64) bool { return f.now-t > f.retryWindow*1.02 })
 	return f.retryWindow <= 0 || float64(len(f.retries)+1) <= f.baseRetries+f.retriesPerSession*float64(len(f.firstSetups))
 }
 
-// mayReceiveSetup tells whether a server may have a SETUP now as far as its warming goes. Against all fronts, some just
-// restarted, meeting on a cold server: time is cut in slots that fronts own in turn, one SETUP a slot, more
-// as it warms. It would fail if fronts' clocks differed by more than a slot; where they are each front's own, chance
-// takes the place of turns (choice/slowstart).
+// mayReceiveSetup tells whether a server's warm-up allows this front a SETUP now. To keep fronts, some of them just
+// restarted, from overloading a cold server together, time is divided into slots that fronts own in turn, with one SETUP
+// per slot, and more as the server warms up. This fails if fronts' clocks differ by more than a slot; where clocks are
+// unrelated, random slots replace the turns (choice/slowstart).
 func (f *Front) mayReceiveSetup(sv *server) bool {
-	w := f.warmShare(sv)
-	if w == 1 || f.slotSeconds == 0 {
+	warm := f.warmShare(sv)
+	if warm == 1 || f.slotSeconds == 0 {
 		return true
 	}
 	slot := math.Floor(f.now / f.slotSeconds)
@@ -516,15 +589,16 @@
 		if sv.slot == slot {
 			used = sv.slotSetups
 		}
-		return used < float64(slowstart.Allowed(f.coldBudget*w/f.coldShare, f.slotCount, f.fronts, f.seed, uint32(sv.id), int64(slot)))
+		return used < float64(slowstart.Allowed(f.coldBudget*warm/f.coldShare, f.slotCount, f.fronts, f.seed,
+			uint32(sv.id), int64(slot)))
 	}
 	if int(math.Mod(slot, float64(f.fronts))) != f.index%f.fronts || f.halfSlots && f.now/f.slotSeconds-slot > 0.5 {
 		return false
 	}
-	return sv.slot != slot || sv.slotSetups < math.Floor(0.9*w/f.coldShare)
+	return sv.slot != slot || sv.slotSetups < math.Floor(0.9*warm/f.coldShare)
 }
 
-// reject answers at once: busy where each SETUP provably never ran or may be repeated, else torn down.
+// reject answers a session: busy where its SETUPs provably never ran or may be repeated, failed otherwise.
 func (f *Front) reject(s *session) {
 	s.answer = busy
 	if s.group.Paid && s.mayHaveRun {
@@ -532,7 +606,7 @@
 	}
 }
 
-// SetupDone tells that a session's set-up is done.
+// SetupDone reports that a session is established.
 func (f *Front) SetupDone(id SessID) {
 	if s := f.sessions[id]; s != nil && s.holder != nil {
 		s.playing, s.rungChangedAt = true, f.now
@@ -540,7 +614,7 @@
 	}
 }
 
-// SetupEnded tells how a SETUP ended; final means that no answer is owed.
+// SetupEnded reports how a SETUP, or the session it established, ended; final means that no answer is due.
 func (f *Front) SetupEnded(id SessID, on ServerID, o Outcome, final bool, rep LoadReport) {
 	sv := f.server(on)
 	if sv != nil {
@@ -552,7 +626,7 @@
 			f.eject(sv, o != NoConnection)
 		}
 		if o == Full {
-			sv.fullUntil = f.now + 1 // a second is about how long a report takes to change
+			sv.fullUntil = f.now + fullSeconds
 			f.recordReport(sv, LoadReport{Link: f.fullThreshold, Uplink: -1}, 0)
 		}
 	}
@@ -571,7 +645,7 @@
 		s.mayHaveRun = true
 	}
 	s.tried = append(s.tried, sv)
-	if o == EndedUnanswered { // its viewer has had its session: another one would be forwarded after its end
+	if o == EndedUnanswered { // the viewer has had its session; a retry would start another one after its end
 		f.changed = append(f.changed, s)
 		f.reject(s)
 		return
@@ -579,7 +653,7 @@
 	f.place(s)
 }
 
-// RequestClosed tells that the viewer gave up or that the request is over.
+// RequestClosed reports that the viewer gave up or that the request has ended.
 func (f *Front) RequestClosed(id SessID) {
 	if s := f.sessions[id]; s != nil {
 		if s.answer, s.setupWanted = closed, false; !s.inFlight {
@@ -589,15 +663,15 @@
 	}
 }
 
-// SetCurrentRung tells the rung of a session handed over.
+// SetCurrentRung reports the rung of a session that was handed over.
 func (f *Front) SetCurrentRung(id SessID, rung int) {
 	if s := f.sessions[id]; s != nil {
 		s.rung, s.wantedRung = rung, rung
 	}
 }
 
-// LoadNote takes a note of what is asked of a server's link, or its rack's uplink, over what that gives.
-func (f *Front) LoadNote(id SessID, on ServerID, x float64, uplink bool) {
+// LoadNote takes a load note: what is asked of a server's link, or of its rack's uplink, over the capacity.
+func (f *Front) LoadNote(id SessID, on ServerID, load float64, uplink bool) {
 	sv := f.server(on)
 	if sv == nil {
 		return
@@ -605,17 +679,18 @@
 	f.markAlive(sv)
 	lag := f.noteLag
 	if s := f.sessions[id]; s != nil && s.rungChangedAt == f.now {
-		lag = 0 // a note that comes with a set-up tells the present
+		lag = 0 // a note that comes with a SETUP's answer is current
 	}
 	if uplink {
-		f.recordLoad(sv.uplink, x, lag)
+		f.recordLoad(sv.uplink, load, lag)
 	} else {
-		f.recordLoad(sv.link, x, lag)
+		f.recordLoad(sv.link, load, lag)
 	}
 }
 
+// recordReport takes a load report that is lag seconds old.
 func (f *Front) recordReport(sv *server, r LoadReport, lag float64) {
-	// A capped figure near its cap may, with its noise, stand for any excess: it counts where it tells of more.
+	// A capped load near its cap may, with its noise, stand for any excess: it counts where it raises what is known.
 	known := sv.link.rungDemand(false) + f.otherDemand(sv.link)
 	if r.Link >= 0 && (!r.Capped || r.Link < 0.9 || r.Link*sv.link.capacity > known) {
 		f.recordLoad(sv.link, r.Link, lag)
@@ -625,53 +700,56 @@
 	}
 }
 
-// recordLoad takes a server's word on a link's load.
-func (f *Front) recordLoad(l *link, x, lag float64) {
-	l.reportedLoad, l.reportedAt = x, f.now
+// recordLoad takes a link's load as a server reported it.
+func (f *Front) recordLoad(l *link, load, lag float64) {
+	l.reportedLoad, l.reportedAt = load, f.now
 	f.sumOwnSessions()
 	f.meanLoadDemand = cmp.Or(f.meanLoadDemand, f.ownDemand)
 	f.meanLoadDemand += (f.ownDemand - f.meanLoadDemand) / 10
-	f.estimateOtherDemand(l, x, lag)
+	f.estimateOtherDemand(l, load, lag)
 }
 
-// estimateOtherDemand tells what other fronts ask of a link by its load some seconds ago.
-func (f *Front) estimateOtherDemand(l *link, x, lag float64) {
+// estimateOtherDemand estimates the rates of other fronts' sessions on a link from its load lag seconds ago.
+func (f *Front) estimateOtherDemand(l *link, load, lag float64) {
 	own := l.rungDemand(false)
 	if i := int(lag / timerInterval); i > 0 {
 		own = l.pastDemand[min(i, len(l.pastDemand))-1]
 	}
-	// Where the own sessions alone ask more than the load makes of the told size, the link is larger.
-	l.capacity += (max(l.nominal, own/max(x, 0.1)) - l.capacity) * 0.6
-	if r := max(x*l.capacity-own, 0); l.readAt == 0 {
+	// Where own sessions alone ask more than the load times the nominal capacity, the capacity is larger than that.
+	l.capacity += (max(l.nominal, own/max(load, 0.1)) - l.capacity) * 0.6
+	if r := max(load*l.capacity-own, 0); l.readAt == 0 {
 		l.otherDemand = r
 	} else {
-		l.otherDemand += (r - l.otherDemand) * 0.8 // reports are noisy, but each is of its own time; tried 0.6 to 1
+		l.otherDemand += (r - l.otherDemand) * 0.8 // reports are noisy, but each is of another time
 	}
 	f.sumOwnSessions()
 	l.readAt, l.changed, l.ownDemandAtReading = f.now, true, f.ownDemand
 }
 
-// ShortDelivery takes a note of the share of the rate delivered at a server; 0.98 and more means that it is over.
+// ShortDelivery takes a short-delivery note: the share of the rate that a server delivers; 0.98 or more means that the
+// shortage is over.
 func (f *Front) ShortDelivery(on ServerID, share float64) {
 	sv := f.server(on)
 	if sv == nil || share >= 0.98 {
 		return
 	}
 	f.markAlive(sv)
-	// Sessions that get next to nothing are on a server that hangs, not on a crowded link.
+	// Sessions that get next to nothing are on a server that hangs, not on an overloaded link.
 	if share < 0.3 {
 		f.eject(sv, false)
 		return
 	}
-	// Which of the two is short, notes don't say: the link, unless the uplink's newest report says otherwise.
+	// Notes don't say whether link or uplink is short: it is the link, unless a recent report shows the uplink full.
 	l := sv.link
-	if f.now-sv.uplink.reportedAt < 5 && sv.uplink.reportedLoad > 1 {
+	if f.now-sv.uplink.reportedAt < recentReport && sv.uplink.reportedLoad > 1 {
 		l = sv.uplink
 	}
-	l.shortfallDemand, l.shortfallAt = max(l.capacity/max(share, 0.1), l.shortfallDemand*math.Exp((l.shortfallAt-f.now)/5)), f.now
+	l.shortfallDemand, l.shortfallAt =
+		max(l.capacity/max(share, 0.1), l.shortfallDemand*math.Exp((l.shortfallAt-f.now)/shortfallDecay)), f.now
 	f.estimateOtherDemand(l, 1/max(share, 0.1), f.noteLag)
 }
 
+// ProbeEnded reports how a probe ended.
 func (f *Front) ProbeEnded(on ServerID, o Outcome, rep LoadReport) {
 	sv := f.server(on)
 	if sv == nil {
@@ -679,7 +757,7 @@
 	}
 	sv.probePending = false
 	defer f.placeAwaitingProbe()
-	if o == Unsent { // the probe never left: nothing is known of the server
+	if o == Unsent { // it says nothing of the server
 		return
 	}
 	if o != Served {
@@ -689,20 +767,20 @@
 	f.markAlive(sv)
 	f.recordReport(sv, rep, 0.25)
 	if sv.ejected {
-		// Two in a row, so that one lucky answer doesn't bring it back.
-		// It may have come back cold before the directory says so.
-		if sv.probesAnswered++; sv.probesAnswered >= 2 {
+		// The server may have restarted, and be cold, before the directory says so.
+		if sv.probesAnswered++; sv.probesAnswered >= probesToReinstate {
 			sv.ejected, sv.startedAt = false, max(sv.startedAt, f.now)
 		}
-		// Against one lost answer, slow SETUP or cut connection that passes for a dead server: a probe answered
-		// at once shows that it lives, as no machine starts anew within a probe's time. It would harm where one
-		// did, until the directory tells of the start.
+		// One lost answer, slow SETUP or cut connection looks like a dead server. A probe answered at once shows that
+		// the server lives and is warm, as no machine restarts that fast. Drawback: where one did, it would count as
+		// warm until the directory reports the start.
 		if sv.ejectedForSetups && f.now-sv.ejectedAt < 0.5 {
 			sv.ejected = false
 		}
 	}
 }
 
+// markAlive records a sign of life.
 func (f *Front) markAlive(sv *server) {
 	if sv.lastHeardAt > 0 && f.now > sv.lastHeardAt {
 		sv.gaps.add(f.now - sv.lastHeardAt)
@@ -710,17 +788,16 @@
 	sv.lastHeardAt = f.now
 }
 
-// eject keeps sessions from a server; where only SETUPs went wrong, doubt, it is probed at once.
-func (f *Front) eject(sv *server, doubt bool) {
-	sv.probesAnswered, sv.ejectedForSetups = 0, doubt && (sv.ejectedForSetups || !sv.ejected)
+// eject keeps sessions from a server until it answers probes. Where only SETUPs failed (forSetups), it is probed at once.
+func (f *Front) eject(sv *server, forSetups bool) {
+	sv.probesAnswered, sv.ejectedForSetups = 0, forSetups && (sv.ejectedForSetups || !sv.ejected)
 	if !sv.ejected {
-		sv.ejected, sv.ejectedAt, sv.nextProbeAt, sv.probeWanted = true, f.now, f.now, sv.probeWanted || doubt
+		sv.ejected, sv.ejectedAt, sv.nextProbeAt, sv.probeWanted = true, f.now, f.now, sv.probeWanted || forSetups
 	}
 }
 
-// timerInterval is the pace at which playing sessions are looked at.
-const timerInterval = 0.25
-
+// HandleTimer probes silent servers and moves established sessions to other rungs. It does nothing before the timer that
+// SetTimer asked for expires.
 func (f *Front) HandleTimer() {
 	if f.now+1e-6 < f.nextTimer {
 		return
@@ -746,48 +823,51 @@
 	}
 }
 
-// updateMeanLoad makes the usual load of each link's last word, not of each reading: probes go where requests crowd.
-// Words fade by e in 8 s; a third of a link half full is there before any.
+// updateMeanLoad averages the last reported load of each link, not all readings: probes go where requests are most, and
+// would weigh too much. Assumed loads stand in until there are reports.
 func (f *Front) updateMeanLoad(links []*link) {
-	var sum, n [2]float64
+	var sum, weights [2]float64
 	for _, l := range links {
 		if l.reportedAt > 0 {
-			w := math.Exp((l.reportedAt - f.now) / 8)
-			sum[l.kind], n[l.kind] = sum[l.kind]+w*l.reportedLoad, n[l.kind]+w
+			weight := math.Exp((l.reportedAt - f.now) / reportedLoadDecay)
+			sum[l.kind], weights[l.kind] = sum[l.kind]+weight*l.reportedLoad, weights[l.kind]+weight
 		}
 	}
-	f.ownLoads = [2]float64{sum[0], n[0]}
+	f.ownLoads = [2]float64{sum[0], weights[0]}
 	f.decayPeerSums()
-	sum[0], n[0] = sum[0]+f.peerSums[4], n[0]+f.peerSums[5]
+	sum[0], weights[0] = sum[0]+f.peerSums[loadSum], weights[0]+f.peerSums[loadCount]
 	for i := range sum {
-		if n[i] > 0 {
-			f.meanLoad[i] = (sum[i] + 0.3*0.5) / (n[i] + 0.3)
+		if weights[i] > 0 {
+			f.meanLoad[i] = (sum[i] + assumedWeight*assumedLoad) / (weights[i] + assumedWeight)
 		}
 	}
 }
 
-// probeIfSilent probes a server whose silence is unusual given the gaps before, and now and then one set aside.
+// probeIfSilent probes a server whose silence is unusual for the gaps before.
 func (f *Front) probeIfSilent(sv *server) {
 	if !f.probesAllowed || sv.probePending || sv.ejected || sv.state != Ready {
 		return
 	}
-	// Only where sessions make it speak. Four spreads: one gap in some fifty; three periods: late reports.
+	// Only servers with sessions report. About one gap in fifty exceeds four mean deviations; three intervals allow for
+	// late reports.
 	if len(sv.link.sessions) > 0 && f.noteInterval > 0 && sv.gaps.mean > 0 &&
 		f.now-sv.lastHeardAt > max(sv.gaps.mean+4*sv.gaps.deviation, f.noteInterval*3) {
 		sv.probeWanted, sv.lastHeardAt = true, f.now
 	}
 }
 
+// changeRung has Reconcile set another rung.
 func (f *Front) changeRung(s *session, to int) {
 	s.wantedRung, s.rungChangedAt = to, f.now
 	f.changed = append(f.changed, s)
 }
 
-// drawStep tells whether a step is taken: beyond this front's part by chance, so that all fronts, which hear the
-// same note at once, together take about what there is.
+// drawStep tells whether a session takes a step of a rate. One larger than this front's part of the headroom or excess is
+// drawn with the odds part/step, so that all fronts, which hear of the same load at once, together change about what
+// there is.
 func (f *Front) drawStep(step, part float64) bool { return step <= part || f.random() < part/step }
 
-// stepDown steps playing sessions down while what is asked passes the target, one rung at a time.
+// stepDown moves sessions one rung down while the rates on a link exceed the target by a tenth.
 func (f *Front) stepDown(l *link, sv *server) {
 	own := l.rungDemand(false)
 	all, t := own+f.otherDemand(l), f.target(l, sv)
@@ -795,8 +875,8 @@
 		return
 	}
 	excess := (all - t) * own / all // this front's part
-	// The switch pace: half of the sessions one rung every 3 s, then no step up for 6 s. Slower lets a short
-	// link cost all of its sessions, faster takes back what noisy and late readings ask for; tried 2 to 6 s.
+	// Half of the sessions step down at a time. A slower pace lets an overloaded link spoil all of its sessions, a faster
+	// one follows noisy and late readings back and forth.
 	for n := (len(l.sessions) + 1) / 2; n > 0 && excess > 0; n-- {
 		s := l.heaviest(func(s *session) float64 {
 			below := max(s.wantedRung-1, s.group.Floor)
@@ -812,29 +892,29 @@
 		}
 		excess -= less
 		f.changeRung(s, to)
-		l.nextStepDown, l.nextStepUp = f.now+3, f.now+6
+		l.nextStepDown, l.nextStepUp = f.now+stepDownInterval, f.now+stepUpAfterDown
 	}
 }
 
-// stepUp steps one playing session of a server a rung up when link and uplink have room.
+// stepUp moves one session of a server a rung up when link and uplink have headroom.
 func (f *Front) stepUp(sv *server) {
-	// Where nothing is heard of a link it goes by the usual load: some servers tell their load to probes only.
+	// Without reports the mean load of links decides: some servers report their load to probes only.
 	unread := f.now-max(sv.link.readAt, sv.link.raiseCheckedAt) >= 3
 	if !unread && !sv.link.changed && !sv.uplink.changed || f.now < max(sv.link.nextStepUp, sv.uplink.nextStepUp) ||
 		sv.state != Ready {
 		return
 	}
 	sv.link.raiseCheckedAt = f.now
-	room := f.headroom(sv) - reserveShare*sv.link.capacity
-	rise := func(s *session) float64 {
+	headroom := f.headroom(sv) - reserveShare*sv.link.capacity
+	addedRate := func(s *session) float64 {
 		if f.rungFor(s, sv, 0) <= s.wantedRung {
 			return 0
 		}
 		return s.rate(s.wantedRung+1) - s.rate(s.wantedRung)
 	}
 	s := sv.link.heaviest(func(s *session) float64 {
-		more := rise(s)
-		if more == 0 || more > room || s.endsAt > 0 && s.endsAt < f.now+3 || f.now-s.rungChangedAt < 8 {
+		more := addedRate(s)
+		if more == 0 || more > headroom || s.endsAt > 0 && s.endsAt < f.now+3 || f.now-s.rungChangedAt < minSecondsBeforeStep {
 			return 0
 		}
 		return s.group.Utility / more
@@ -843,22 +923,19 @@
 		return
 	}
 	own := sv.link.rungDemand(false)
-	if f.drawStep(rise(s), room*own/(own+f.otherDemand(sv.link))) {
+	if f.drawStep(addedRate(s), headroom*own/(own+f.otherDemand(sv.link))) {
 		f.changeRung(s, s.wantedRung+1)
 		sv.link.nextStepUp = f.now + 1
 	}
 }
 
-// reserveShare is what new sessions and steps up leave of a link for noise and for what other fronts send meanwhile.
-const reserveShare = 0.25
-
-// headroom is what the tighter of a server's link and uplink has left under the target.
+// headroom is the rate left under the target on the tighter of a server's link and uplink.
 func (f *Front) headroom(sv *server) float64 {
 	return min(f.target(sv.link, sv)-sv.link.rungDemand(false)-f.otherDemand(sv.link),
 		f.target(sv.uplink, sv)-sv.uplink.rungDemand(false)-f.otherDemand(sv.uplink))
 }
 
-// floorPressure is what a link is asked over its target with all sessions and one more at their lowest rungs.
+// floorPressure is the rate on a link over its target if s were added and all sessions were at their lowest rungs.
 func (f *Front) floorPressure(l *link, sv *server, s *session) float64 {
 	f.sumOwnSessions()
 	sum := s.rate(s.group.Floor)
@@ -871,7 +948,8 @@
 	return sum / f.target(l, sv)
 }
 
-// setupWait is how long a SETUP may take: where it may be repeated, so that another fits within the start target.
+// setupWait is how many seconds a SETUP may take. One that may be repeated leaves time for a retry within the start
+// target.
 func (f *Front) setupWait(s *session) float64 {
 	if s.group.Paid || s.setupsSent+1 >= f.maxSetups {
 		return s.setupTimeout - f.now
@@ -879,7 +957,7 @@
 	return min(s.setupTimeout-f.now, 0.4*s.group.StartTarget)
 }
 
-// Reconcile emits the difference between the wanted state and the present one. Nothing else emits acts.
+// Reconcile emits the difference between the wanted state and the present one. Nothing else emits actions.
 func (f *Front) Reconcile() {
 	for _, s := range f.changed {
 		switch s.answer {
@@ -919,9 +997,10 @@
 	}
 	if f.messageDue {
 		f.sumOwnSessions()
-		words := encodeMessage(frontSums{f.topRates[0], f.topRates[1], f.rungRates[0], f.rungRates[1], f.ownLoads[0], f.ownLoads[1]})
-		for range 6 { // others by chance; three gain less, twelve cost what they gain
-			f.actions.SendMessage((f.index+1+int(f.random()*float64(f.fronts-1)))%f.fronts, words)
+		message := encodeMessage(frontSums{f.topRates[0], f.topRates[1], f.rungRates[0], f.rungRates[1],
+			f.ownLoads[0], f.ownLoads[1]})
+		for range messagesPerRequest { // to fronts at random
+			f.actions.SendMessage((f.index+1+int(f.random()*float64(f.fronts-1)))%f.fronts, message)
 		}
 		f.messageDue = false
 	}
--- a/choice/message.go
+++ b/choice/message.go
@@ -1,5 +1,3 @@
-// The form of messages between fronts. Nothing is decided here.
-
 package choice
 
 import (
@@ -7,24 +5,34 @@
 	"math"
 )
 
-// frontSums is what a front tells of itself: top rates and rung rates of its sessions, others' and premium's, and
-// the sum and number of its words of links.
+// frontSums is what a front sends of itself: sums over its sessions, and over the loads of links reported to it.
 type frontSums [6]float64
 
-// sumUnits are those of the sums in a message: kB a second, loads, links.
+// Indices of frontSums. Other means the groups that are not premium.
+const (
+	otherTopRates = iota
+	premiumTopRates
+	otherRungRates
+	premiumRungRates
+	loadSum
+	loadCount
+)
+
+// sumUnits are the units of the sums in a message: kB a second, loads, links.
 var sumUnits = frontSums{10, 10, 10, 10, 0.01, 0.01}
 
-const messageVersion = 1 // the first byte; fronts pass over forms that they don't know
+// messageVersion is a message's first byte. Fronts ignore messages of versions that they don't know.
+const messageVersion = 1
 
-// encodeMessage writes a message.
+// encodeMessage writes a message: the version and six big-endian 16-bit numbers.
 func encodeMessage(m frontSums) []byte {
 	out := []byte{messageVersion}
-	k := 1.0 // sums past what fits are told smaller, all alike
+	scale := 1.0 // where a sum doesn't fit, all are divided by the same number, so that their ratios stay
 	for i, unit := range sumUnits {
-		k = max(k, m[i]/unit/math.MaxUint16)
+		scale = max(scale, m[i]/unit/math.MaxUint16)
 	}
 	for i, unit := range sumUnits {
-		out = binary.BigEndian.AppendUint16(out, uint16(max(m[i], 0)/unit/k))
+		out = binary.BigEndian.AppendUint16(out, uint16(max(m[i], 0)/unit/scale))
 	}
 	return out
 }
