--- a/choice/api.go
+++ b/choice/api.go
@@ -1,25 +1,30 @@
-// The interface of the module: what a front tells it and what it may do. Nothing is decided here.
-
 package choice
 
-// ServerID and SessID are ids as the front's wire gives them.
+// ServerID and SessID are ids of servers and sessions, as the front's protocol has them.
 type (
 	ServerID uint32
 	SessID   string
 )
 
-// Actions is what the module can have done. All acts are given from within Settle.
+// Actions is what a Front asks its owner to do. Reconcile alone calls it.
 type Actions interface {
-	SetRung(id SessID, rung int)                    // set the session's rung
-	Setup(id SessID, server ServerID, wait float64) // send a SETUP, waiting so many seconds at most
-	BusyReply(id SessID, comeBack float64)          // final answer: busy; 0 gives no advice
-	FailureReply(id SessID)                         // final answer: failed
-	Probe(server ServerID)                          // examine a server
-	SendMessage(front int, words []byte)            // send a message to another front; it may be lost
-	SetTimer(after float64)                         // call Due after so many seconds
+	// SetRung sets a session's rung.
+	SetRung(id SessID, rung int)
+	// Setup sends a SETUP and waits for its answer at most so many seconds.
+	Setup(id SessID, server ServerID, wait float64)
+	// BusyReply answers a request finally as busy, with the advice to come back after so many seconds; 0 is no advice.
+	BusyReply(id SessID, comeBack float64)
+	// FailureReply answers a request finally as failed.
+	FailureReply(id SessID)
+	// Probe probes a server.
+	Probe(server ServerID)
+	// SendMessage sends a message to another front. It may be lost.
+	SendMessage(front int, message []byte)
+	// SetTimer asks for a call of HandleTimer after so many seconds.
+	SetTimer(after float64)
 }
 
-// Reporting says when servers tell their load.
+// Reporting says when servers report their load.
 type Reporting int
 
 // Servers report never, with their answers, or with probe results only.
@@ -36,39 +41,39 @@
 	StartTarget    float64 // seconds within which an answer is wanted
 	Paid           bool    // a SETUP is paid for and must not be repeated
 	Floor, Top     int     // lowest and highest rung
-	AddedRateShare float64 // what a further viewer of a title adds to its stream at a server, of its rate; 0 is all
-	Seats          int     // sessions of one title that a front may hold; 0 is no cap
+	AddedRateShare float64 // share of its rate that a further viewer of a title adds at a server; 0 is all of it
+	Seats          int     // most sessions of one title that a front may hold; 0 is no limit
 }
 
-// Config is what a front knows when it starts. The module derives its own figures and drops the rest.
+// Config is what a front is started with.
 type Config struct {
 	Seed               uint64
-	FrontIndex, Fronts int
+	FrontIndex, Fronts int // this front among all, from 0; how many there are
 	Zone               int
 	Groups             []ServiceGroup
-	Ladder             []float64 // kB a second for each rung
+	Ladder             []float64 // kB a second of each rung
 	Cells, Racks       int
 	FleetLinkCapacity  float64   // kB a second of all links together
 	MeanUplinkCapacity float64   // kB a second of a rack's uplink
-	MaxStreams         []float64 // streams at most, for each kind of server
-	NoteLag            float64   // seconds that notes lag
+	MaxStreams         []float64 // by kind of server
+	NoteLag            float64   // seconds by which notes are late
 	NoteInterval       float64   // seconds between load notes; 0 is none
-	MaxSetups          int       // SETUPs at most for one request
-	MaxRetryAfter      float64   // longest advice on coming back that viewers follow; 0 is none
-	FullThreshold      float64   // servers answer full while so much of their link is asked; 0 is never
-	Probes             bool
-	PeerMessages       bool    // fronts may send each other messages
-	CrossZonePrice     float64 // for a session that crosses zones, in sessions
-	ProbePrice         float64 // for one probe a session, in sessions
+	MaxSetups          int       // for one request
+	MaxRetryAfter      float64   // longest advice to come back, in seconds, that viewers follow; 0 is none
+	FullThreshold      float64   // load of their link from which servers answer full; 0 is never
+	Probes             bool      // probes are allowed
+	PeerMessages       bool      // fronts may send each other messages
+	CrossZonePrice     float64   // of a session that crosses zones, in sessions
+	ProbePrice         float64   // of one probe per session, in sessions
 	Reporting          Reporting
-	WarmUp             float64 // a started server is warm after so many seconds
-	ColdShare          float64 // and starts at this share of its capacity
-	OverloadFactor     float64 // sent so many times what it can take
-	OverloadTime       float64 // for so many seconds, a cold server falls over
-	UnsyncedClock      bool    // the front's clock has nothing in common with other fronts'
-	BaseRetries        float64 // further SETUPs allowed however few sessions are taken
-	RetriesPerSession  float64 // and for each session taken
-	RetryWindow        float64 // within so many seconds; 0 is no budget
+	WarmUp             float64 // seconds after its start until a server is warm
+	ColdShare          float64 // share of its capacity that a server starts with
+	OverloadFactor     float64 // a cold server fails when it gets so many times what it can take
+	OverloadTime       float64 // for so many seconds
+	UnsyncedClock      bool    // the front's clock is unrelated to other fronts' clocks
+	BaseRetries        float64 // retries allowed within RetryWindow, however few sessions there are
+	RetriesPerSession  float64 // further ones for each session with a SETUP within RetryWindow
+	RetryWindow        float64 // seconds; 0 is no budget
 }
 
 // Lifecycle is what the directory knows of a server.
@@ -87,7 +92,7 @@
 	Zone, Kind, Cell int
 	State            Lifecycle
 	Weight           float64
-	StartedAt        float64 // instant of its most recent start; 0 is long ago
+	StartedAt        float64 // instant of its latest start; 0 is long ago
 }
 
 // Request is a session to be set up, or one handed over.
@@ -95,14 +100,14 @@
 	ID           SessID
 	Group        int
 	Title        string
-	StartCell    int
-	CellCount    int
+	StartCell    int // first of the cells whose servers hold the title
+	CellCount    int // how many cells from there on, the last followed by the first
 	BestRung     int
 	SetupTimeout float64 // instant at which the viewer gives up
-	Length       float64 // expected length in seconds; 0 is not told
+	Length       float64 // expected length in seconds; 0 is not known
 }
 
-// Outcome tells how a SETUP or a probe ended.
+// Outcome is how a SETUP or a probe ended.
 type Outcome int
 
 // The outcomes. Full, NoConnection and Unsent prove that a SETUP never ran.
@@ -115,12 +120,14 @@
 	Reset
 	Cancelled
 	Unsent
-	EndedUnanswered // the session stood and has ended there, and its answer did not come in time: it is not placed again
+	// EndedUnanswered is a session that was established and has ended there, with no answer to its SETUP in time. It is
+	// not placed again.
+	EndedUnanswered
 )
 
-// LoadReport is a server's word on its load; a negative figure was not told.
+// LoadReport is a server's report of its load. A negative load is not reported.
 type LoadReport struct {
-	Link   float64 // asked of its link over what the link gives
-	Capped bool    // Link says 1 at most
-	Uplink float64 // the same for the uplink of its rack
+	Link   float64 // what is asked of its link over the link's capacity
+	Capped bool    // Link is 1 at most
+	Uplink float64 // the same of its rack's uplink
 }
