--- a/choice/choice.go
+++ b/choice/choice.go
@@ -113,7 +113,7 @@
 	pastDemand         [8]float64 // rung rates of own sessions at the last timers, newest first
 	reportedLoad       float64    // as a server last reported it
 	reportedAt         float64
-	raiseCheckedAt     float64 // when a step up was last considered
+	stepUpCheckedAt    float64 // when a step up was last considered
 	nextStepDown       float64 // no step before
 	nextStepUp         float64
 	changed            bool // read, joined or left since the last timer
@@ -126,27 +126,27 @@
 	demandWindow         = 10   // seconds over which demand is smoothed
 	peerSumsDecay        = 10   // seconds in which other fronts' sums fall by e
 	readingDecay         = 30   // seconds in which a reading falls by e: sessions turn over in about that
-	shortfallDecay       = 5    // seconds, half the smoothing window: a few notes missed mean that the shortage is over
+	shortfallDecay       = 5    // seconds, half of demandWindow: a few notes missed mean that the shortage is over
 	reportedLoadDecay    = 8    // seconds in which the weight of a reported load falls by e
 	maxProbeWait         = 0.1  // seconds that a session waits for a probe before it is placed
 	maxProbePrice        = 0.04 // in sessions; a probe before placing pays at 0.01 and doesn't at 0.08 among 300 fronts
 	recentReport         = 5    // seconds, about the interval and lag of load notes
-	smoothingSessions    = 8    // added to own demand, so that the few own sessions don't make it jump
+	smoothingSessions    = 8    // added to own demand, so that it doesn't jump where own sessions are few
 	assumedLoad          = 0.5  // of a link that nothing is known of
 	assumedWeight        = 0.3  // of assumedLoad beside reported loads
 	assumedFraction      = 0.4  // of top rates that one assumed session of each group plays at
-	fullSeconds          = 1    // how long a server counts as full after it says so; a report takes that long to change
+	fullSeconds          = 1    // a server counts as full so long after it says so; reports take as long to change
 	messagesPerRequest   = 6    // further ones cost what they gain
 	probesToReinstate    = 2    // in a row, so that one lucky answer doesn't reinstate a server
 	slotUsedUp           = 99   // more SETUPs than a slot allows
 	streamHolders        = 8    // one in so many of a title's holders is preferred for its shared stream
-	premiumLead          = 1.3  // most that the premium groups' cut is better than an equal one
+	premiumLead          = 1.3  // how much less than an equal cut the premium groups' rates are cut at most
 	stepDownInterval     = 3    // seconds between steps down on a link
 	stepUpAfterDown      = 6    // seconds without a step up after one down
 	minSecondsBeforeStep = 8    // seconds a session stays on a rung before it steps up
 )
 
-// gapStats are the mean and mean deviation of the seconds between a server's signs of life.
+// gapStats are the moving mean and mean deviation of the seconds between a server's signs of life.
 type gapStats struct{ mean, deviation float64 }
 
 func (g *gapStats) add(x float64) {
@@ -154,7 +154,7 @@
 		g.mean, g.deviation = x, x/2
 		return
 	}
-	// A gain of an eighth, as for round trips in TCP, remembers about ten gaps.
+	// The gain of an eighth, as for round-trip times in TCP, remembers about ten gaps.
 	g.deviation += (math.Abs(x-g.mean) - g.deviation) / 8
 	g.mean += (x - g.mean) / 8
 }
@@ -229,8 +229,8 @@
 func (f *Front) UpdateDirectory(whole bool, list []Listing) {
 	first := f.capacityPerStream == 0
 	if first {
-		// All servers have about the same weight, so the capacity of all links is divided by the streams that each kind of
-		// server may run.
+		// Weights are all alike and say nothing of capacity, so the capacity of all links is divided by the streams that
+		// each kind of server may run.
 		sum := 0.0
 		for _, e := range list {
 			sum += f.maxStreams[min(e.Kind, len(f.maxStreams)-1)]
@@ -720,7 +720,7 @@
 	if r := max(load*l.capacity-own, 0); l.readAt == 0 {
 		l.otherDemand = r
 	} else {
-		l.otherDemand += (r - l.otherDemand) * 0.8 // reports are noisy, but each is of another time
+		l.otherDemand += (r - l.otherDemand) * 0.8 // reports are noisy, but each shows a later state
 	}
 	f.sumOwnSessions()
 	l.readAt, l.changed, l.ownDemandAtReading = f.now, true, f.ownDemand
@@ -899,12 +899,12 @@
 // stepUp moves one session of a server a rung up when link and uplink have headroom.
 func (f *Front) stepUp(sv *server) {
 	// Without reports the mean load of links decides: some servers report their load to probes only.
-	unread := f.now-max(sv.link.readAt, sv.link.raiseCheckedAt) >= 3
+	unread := f.now-max(sv.link.readAt, sv.link.stepUpCheckedAt) >= 3
 	if !unread && !sv.link.changed && !sv.uplink.changed || f.now < max(sv.link.nextStepUp, sv.uplink.nextStepUp) ||
 		sv.state != Ready {
 		return
 	}
-	sv.link.raiseCheckedAt = f.now
+	sv.link.stepUpCheckedAt = f.now
 	headroom := f.headroom(sv) - reserveShare*sv.link.capacity
 	addedRate := func(s *session) float64 {
 		if f.rungFor(s, sv, 0) <= s.wantedRung {
