--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -9,64 +9,64 @@
 	"rainhaven/choice/share"
 )
 
-// acceptPause lies between two tries to accept where descriptors are short, or no place is free.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryPause lies between two tries to accept where descriptors are short, or no place is free.
+const acceptRetryPause = 5 * time.Millisecond
 
-// places bounds the clients' connections that are held, whether the loop has heard of them or not: each is a descriptor. The
+// connSlots bounds the clients' connections that are held, whether the loop has heard of them or not: each is a descriptor. The
 // listener's goroutine takes them, the readers free them, the loop says how many there may be.
-type places struct {
-	held  atomic.Int64
-	most  atomic.Int64
-	freed chan struct{} // something was freed
-	over  chan struct{} // closed when no further connection is accepted
+type connSlots struct {
+	inUse  atomic.Int64
+	limit  atomic.Int64
+	freed  chan struct{} // something was freed
+	closed chan struct{} // closed when no further connection is accepted
 }
 
-func newPlaces(most int) *places {
-	p := &places{freed: make(chan struct{}, 1), over: make(chan struct{})}
-	p.setMost(most)
+func newConnSlots(most int) *connSlots {
+	p := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
+	p.setLimit(most)
 	return p
 }
 
-func (p *places) setMost(most int) { p.most.Store(int64(most + share.AcceptSlack)) }
+func (p *connSlots) setLimit(most int) { p.limit.Store(int64(most + share.AcceptSlack)) }
 
-func (p *places) isFull() bool { return p.held.Load() >= p.most.Load() }
+func (p *connSlots) isFull() bool { return p.inUse.Load() >= p.limit.Load() }
 
-func (p *places) free() {
-	p.held.Add(-1)
+func (p *connSlots) release() {
+	p.inUse.Add(-1)
 	select {
 	case p.freed <- struct{}{}:
 	default:
 	}
 }
 
-// pause waits until something was freed, for a moment, or until no further connection is accepted.
-func (p *places) pause() {
-	timeout := time.NewTimer(acceptPause)
+// awaitFree waits until something was freed, for a moment, or until no further connection is accepted.
+func (p *connSlots) awaitFree() {
+	timeout := time.NewTimer(acceptRetryPause)
 	defer timeout.Stop()
 	select {
 	case <-p.freed:
 	case <-timeout.C:
-	case <-p.over:
+	case <-p.closed:
 	}
 }
 
-func (p *places) isOver() bool {
+func (p *connSlots) isClosed() bool {
 	select {
-	case <-p.over:
+	case <-p.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-// accept takes clients' connections until the listener is closed.
-func (n *Node) accept(l net.Listener) {
+// acceptClients takes clients' connections until the listener is closed.
+func (n *Node) acceptClients(l net.Listener) {
 	defer n.wg.Done()
 	defer close(n.accepting)
-	for !n.places.isOver() {
+	for !n.places.isClosed() {
 		if n.places.isFull() { // those that give way free some
-			n.tell(event{do: n.makeRoom})
-			n.places.pause()
+			n.tell(event{do: n.enforceClientLimit})
+			n.places.awaitFree()
 			continue
 		}
 		nc, err := l.Accept()
@@ -74,13 +74,13 @@
 			return
 		}
 		if err != nil { // descriptors are short
-			n.tell(event{do: n.makeRoom})
-			n.places.pause()
+			n.tell(event{do: n.enforceClientLimit})
+			n.places.awaitFree()
 			continue
 		}
-		n.places.held.Add(1)
+		n.places.inUse.Add(1)
 		v := &client{conn: newConn(nc, n.log), readControl: newReadControl(nc)}
-		if !n.tell(event{do: func() { n.opened(v) }}) {
+		if !n.tell(event{do: func() { n.clientOpened(v) }}) {
 			v.close()
 			return
 		}
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -23,7 +23,7 @@
 	s.rung = rung
 	if s.state == established {
 		a.n.counts["rungs"]++
-		a.n.toServer(s.server, newRung(s))
+		a.n.toServer(s.server, rungMessage(s))
 	}
 }
 
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -19,36 +19,36 @@
 	*conn
 	share.ConnUsage
 	readControl
-	proven   bool // a session was served on it
-	closed   bool
-	stopping closeReason // why it is to be closed once its reader has stopped; empty where it is not
-	stopped  bool        // its reader has handed over all that it read
-	why      error       // why its reader ended
-	held     []*session  // asked or standing with this connection; emptied as they end
+	hasServed     bool // a session was served on it
+	closed        bool
+	pendingClose  closeReason // why it is to be closed once its reader has stopped; empty where it is not
+	readerStopped bool        // its reader has handed over all that it read
+	readErr       error       // why its reader ended
+	sessions      []*session  // asked or standing with this connection; emptied as they end
 }
 
 // readClient hands the loop what a client sends, until its connection ends or the loop has it stopped.
 func (n *Node) readClient(v *client) {
 	defer n.wg.Done()
 	defer context.AfterFunc(n.ctx, func() { v.nc.Close() })()
-	in := rtsp.NewConn(v.nc, bounds)
-	v.firstMessage()
+	in := rtsp.NewConn(v.nc, messageBounds)
+	v.awaitFirstMessage()
 	for {
 		err := in.Await()
 		if err == nil {
-			v.messageBegan()
+			v.messageStarted()
 			var m *rtsp.Message
 			if m, _, err = in.Next(); err == nil && m != nil {
 				v.messageEnded()
 				at := n.clock()
-				if !n.tell(event{do: func() { n.heardClient(v, m, at) }}) {
+				if !n.tell(event{do: func() { n.handleClientMessage(v, m, at) }}) {
 					break
 				}
 				continue
 			}
 		}
 		if v.wasStopped(err) {
-			if n.tell(event{do: func() { n.readerStopped(v, in.Buffered() > 0) }}) && v.mayGoOn(n.ctx) {
+			if n.tell(event{do: func() { n.handleReaderStopped(v, in.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
 				continue
 			}
 			v.awaitFlush(n.ctx) // the last answer may not have been written yet
@@ -58,61 +58,61 @@
 		break
 	}
 	v.close()
-	n.places.free()
-	n.tell(event{do: func() { n.closedClient(v) }})
+	n.places.release()
+	n.tell(event{do: func() { n.clientClosed(v) }})
 }
 
 // readFailed has the loop end a connection from which nothing more can be read.
 func (n *Node) readFailed(v *client, err error) {
-	v.why = err
+	v.readErr = err
 	var bad *rtsp.MalformedError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		if n.tell(event{do: func() { n.sendingEnded(v) }}) {
+		if n.tell(event{do: func() { n.clientSentEOF(v) }}) {
 			v.awaitFlush(n.ctx)
 		}
 		return
 	}
-	late := errors.Is(err, os.ErrDeadlineExceeded) && !v.isEnding()
+	late := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
 	if !late && !errors.As(err, &bad) && err != nil {
 		return
 	}
 	heard := n.tell(event{do: func() {
 		if late {
-			n.overdue(v)
+			n.messageTimedOut(v)
 		} else {
-			n.malformed(v, bad)
+			n.rejectMalformed(v, bad)
 		}
 	}})
 	if heard {
-		v.discard()
+		v.discardInput()
 	}
 }
 
-// sendingEnded takes it that a client sends nothing more. Whether it has gone or still reads can't be told: its open requests are
+// clientSentEOF takes it that a client sends nothing more. Whether it has gone or still reads can't be told: its open requests are
 // given up, and get their final answers all the same.
-func (n *Node) sendingEnded(v *client) {
+func (n *Node) clientSentEOF(v *client) {
 	if v.closed {
 		return
 	}
-	v.stopped = true
-	n.abandon(v, true)
-	v.end()
+	v.readerStopped = true
+	n.abortOpenRequests(v, true)
+	v.closeGracefully()
 }
 
-func (n *Node) opened(v *client) {
+func (n *Node) clientOpened(v *client) {
 	v.OpenedAt, v.LastUsed = n.now, n.now
 	n.counts["viewers"]++
 	n.clients = append(n.clients, v)
-	n.makeRoom()
+	n.enforceClientLimit()
 }
 
-// makeRoom closes clients' connections past their share of descriptors: those who give way first.
-func (n *Node) makeRoom() {
-	most := share.MaxViewerConns(n.start.Sockets, n.links())
-	n.places.setMost(most)
+// enforceClientLimit closes clients' connections past their share of descriptors: those who give way first.
+func (n *Node) enforceClientLimit() {
+	most := share.MaxViewerConns(n.start.MaxDescriptors, n.serverConnCount())
+	n.places.setLimit(most)
 	open, ending := 0, 0
 	for _, v := range n.clients {
-		if v.isEnding() || v.stopping != "" {
+		if v.isClosing() || v.pendingClose != "" {
 			ending++
 		} else {
 			open++
@@ -123,14 +123,14 @@
 		if open+ending <= most {
 			return
 		}
-		if v.isEnding() && v.drop() {
+		if v.isClosing() && v.closeIfFlushed() {
 			ending--
 		}
 	}
 	for ; open > most; open-- {
 		var first *client
 		for _, v := range n.clients {
-			if v.isEnding() || v.stopping != "" || v.EvictionRank(n.now) < 0 {
+			if v.isClosing() || v.pendingClose != "" || v.EvictionRank(n.now) < 0 {
 				continue
 			}
 			if first == nil || v.EvictionRank(n.now) < first.EvictionRank(n.now) || v.EvictionRank(n.now) == first.EvictionRank(n.now) && v.LastUsed < first.LastUsed {
@@ -140,32 +140,32 @@
 		if first == nil {
 			return
 		}
-		n.closeUnused(first, givesWay)
+		n.requestClose(first, reasonEvicted)
 	}
 }
 
-// sweep closes clients' connections that have had no session for long.
-func (n *Node) sweep() {
+// closeIdleClients closes clients' connections that have had no session for long.
+func (n *Node) closeIdleClients() {
 	for _, v := range n.clients {
 		if v.Idle(n.now) {
-			n.closeUnused(v, unused)
+			n.requestClose(v, reasonIdle)
 		}
 	}
 }
 
-// overdue ends a connection whose message does not come to its end: what is open beside it is answered; where nothing is,
+// messageTimedOut ends a connection whose message does not come to its end: what is open beside it is answered; where nothing is,
 // it is just closed.
-func (n *Node) overdue(v *client) {
+func (n *Node) messageTimedOut(v *client) {
 	if v.Pending == 0 {
-		v.stopped = true // what its reader has is no whole message
-		n.closeClient(v, overdue)
+		v.readerStopped = true // what its reader has is no whole message
+		n.closeClient(v, reasonMessageTimeout)
 		return
 	}
-	n.malformed(v, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
+	n.rejectMalformed(v, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
 }
 
-// malformed answers what can't be read, and ends the connection: where its next message begins can't be known.
-func (n *Node) malformed(v *client, bad *rtsp.MalformedError) {
+// rejectMalformed answers what can't be read, and ends the connection: where its next message begins can't be known.
+func (n *Node) rejectMalformed(v *client, bad *rtsp.MalformedError) {
 	n.wrongs++
 	status := rtsp.BadRequest
 	r := &rtsp.Message{Header: rtsp.Header{}}
@@ -177,93 +177,93 @@
 			r.Header["Cseq"] = []string{bad.CSeq}
 		}
 	}
-	n.abandon(v, true)
-	v.send(response(r, status))
-	v.stopped = true
-	n.closeClient(v, unreadable)
+	n.abortOpenRequests(v, true)
+	v.send(responseMessage(r, status))
+	v.readerStopped = true
+	n.closeClient(v, reasonMalformed)
 }
 
-// abandon ends the requests of a connection that are without their answers; they get one only if it is wanted.
-func (n *Node) abandon(v *client, answer bool) {
+// abortOpenRequests ends the requests of a connection that are without their answers; they get one only if it is wanted.
+func (n *Node) abortOpenRequests(v *client, answer bool) {
 	if v.Pending == 0 {
 		return
 	}
-	for _, s := range slices.Clone(v.held) {
+	for _, s := range slices.Clone(v.sessions) {
 		if s.state == established {
 			continue
 		}
 		if answer {
 			n.refuse(v, s.id, rtsp.InternalError, 0)
 		}
-		s.history.note(n.now, stepClientClosed, errText(v.why))
+		s.history.note(n.now, stepClientClosed, errText(v.readErr))
 		s.history.unusual = true
 		n.giveUp(s)
 	}
 }
 
-func (n *Node) closedClient(v *client) {
+func (n *Node) clientClosed(v *client) {
 	if v.closed {
 		return
 	}
-	v.closed, v.stopped = true, true
-	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.why)), str("closed", string(v.stopping)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
-	n.abandon(v, false)
+	v.closed, v.readerStopped = true, true
+	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
+	n.abortOpenRequests(v, false)
 	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
-	for _, b := range v.unsure(n.now, v.written) {
+	for _, b := range v.undelivered(n.now, v.writtenTotal) {
 		n.release(nil, b)
 	}
-	for _, s := range slices.Clone(v.held) {
+	for _, s := range slices.Clone(v.sessions) {
 		s.client = nil
-		if s.answered < 0 || s.answered > v.written { // it never got its answer: nobody plays there
+		if s.answered < 0 || s.answered > v.writtenTotal { // it never got its answer: nobody plays there
 			n.clientLeft(s)
 		}
 	}
 }
 
-// heardClient takes one message of a client's.
-func (n *Node) heardClient(v *client, m *rtsp.Message, at float64) {
+// handleClientMessage takes one message of a client's.
+func (n *Node) handleClientMessage(v *client, m *rtsp.Message, at float64) {
 	n.traceReceived(v.conn, m)
-	if v.closed || v.isEnding() {
+	if v.closed || v.isClosing() {
 		n.log.Debug("said on a connection that has ended", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
 		return
 	}
 	v.SentMessage, v.LastUsed = true, n.now
 	switch m.Method {
 	case rtsp.Setup:
-		n.setup(v, m, at)
+		n.handleSetup(v, m, at)
 	case rtsp.TearDown:
-		n.withdrawn(v, m)
+		n.handleTeardown(v, m)
 	case rtsp.Options:
 		status := rtsp.OK
 		if !n.ready {
 			status = rtsp.ServiceUnavailable
 		}
-		v.send(response(m, status))
+		v.send(responseMessage(m, status))
 	case "": // a response: to a release, or to nothing of ours
 	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // want no answer
 	default:
-		n.refuseWrong(v, m, rtsp.NotImplemented)
+		n.rejectRequest(v, m, rtsp.NotImplemented)
 	}
 }
 
-// refuseWrong refuses a request that makes no sense, and closes connections that send many.
-func (n *Node) refuseWrong(v *client, m *rtsp.Message, status int) {
+// rejectRequest refuses a request that makes no sense, and closes connections that send many.
+func (n *Node) rejectRequest(v *client, m *rtsp.Message, status int) {
 	n.wrongs++
-	v.send(response(m, status))
+	v.send(responseMessage(m, status))
 	if v.Malformed++; v.TooManyMalformed() {
-		n.closeUnused(v, senseless)
+		n.requestClose(v, reasonInvalidRequests)
 	}
 }
 
-func (n *Node) setup(v *client, m *rtsp.Message, at float64) {
-	a, err := n.readAsk(m)
+func (n *Node) handleSetup(v *client, m *rtsp.Message, at float64) {
+	a, err := n.parseSetup(m)
 	if err != nil {
 		n.log.Debug("refused a SETUP", str("why", err.Error()))
-		n.refuseWrong(v, m, rtsp.BadRequest)
+		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
 	}
 	v.RequestedSession = true
-	if a.at != "" {
+	if a.currentServer != "" {
 		n.handed(v, a)
 		return
 	}
@@ -273,38 +273,38 @@
 			n.guard.Answer(n.now, old.id, invariant.Failed)
 			n.giveUp(old)
 		}
-		n.refuseWrong(v, m, rtsp.BadRequest)
+		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
 	}
 	if v.TooManyPending(n.open) {
 		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.open))
 		n.counts["past the bound"]++
-		v.send(response(m, rtsp.ServiceUnavailable))
+		v.send(responseMessage(m, rtsp.ServiceUnavailable))
 		return
 	}
 	n.ask(v, a, at)
 }
 
-// withdrawn takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
-func (n *Node) withdrawn(v *client, m *rtsp.Message) {
+// handleTeardown takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
+func (n *Node) handleTeardown(v *client, m *rtsp.Message) {
 	s := n.sessions[m.Session()]
 	if s == nil {
 		if !validID(m.Session()) {
-			n.refuseWrong(v, m, rtsp.BadRequest)
+			n.rejectRequest(v, m, rtsp.BadRequest)
 			return
 		}
-		v.send(response(m, rtsp.OK))
+		v.send(responseMessage(m, rtsp.OK))
 		return
 	}
 	if s.state != established {
 		if s.client == v {
 			s.history.note(n.now, stepCancelled, "")
 			n.giveUp(s)
-			v.send(response(m, rtsp.OK))
+			v.send(responseMessage(m, rtsp.OK))
 		}
 		return
 	}
 	s.history.note(n.now, stepCancelled, "")
 	n.clientLeft(s)
-	v.send(response(m, rtsp.OK))
+	v.send(responseMessage(m, rtsp.OK))
 }
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -4,51 +4,51 @@
 type closeReason string
 
 const (
-	unused     closeReason = "without sessions for long"
-	givesWay   closeReason = "gives way to a newer one"
-	senseless  closeReason = "too many requests that make no sense"
-	overdue    closeReason = "a message did not come to its end"
-	unreadable closeReason = "what came can't be read"
+	reasonIdle            closeReason = "without sessions for long"
+	reasonEvicted         closeReason = "gives way to a newer one"
+	reasonInvalidRequests closeReason = "too many requests that make no sense"
+	reasonMessageTimeout  closeReason = "a message did not come to its end"
+	reasonMalformed       closeReason = "what came can't be read"
 )
 
-// closeUnused closes a client's connection on which nothing is open, once its reader has handed over what it has: a request
+// requestClose closes a client's connection on which nothing is open, once its reader has handed over what it has: a request
 // among that keeps the connection.
-func (n *Node) closeUnused(v *client, why closeReason) {
-	if v.stopping != "" || v.closed || v.isEnding() {
+func (n *Node) requestClose(v *client, why closeReason) {
+	if v.pendingClose != "" || v.closed || v.isClosing() {
 		return
 	}
 	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.EvictionRank(n.now)))
-	v.stopping = why
+	v.pendingClose = why
 	if n.trials.hasty() {
-		v.cut()
+		v.closeOnceFlushed()
 		return
 	}
-	v.stop(!v.SentMessage)
+	v.requestStop(!v.SentMessage)
 }
 
-// readerStopped takes it that a connection's reader has handed over all that it read; partial tells that a message had begun.
-func (n *Node) readerStopped(v *client, partial bool) {
+// handleReaderStopped takes it that a connection's reader has handed over all that it read; partial tells that a message had begun.
+func (n *Node) handleReaderStopped(v *client, partial bool) {
 	switch {
 	case v.closed:
 	case n.over:
-		v.stopped = true
+		v.readerStopped = true
 	case v.Pending == 0:
-		v.stopped = true
-		n.closeClient(v, v.stopping)
-		v.done()
+		v.readerStopped = true
+		n.closeClient(v, v.pendingClose)
+		v.endReading()
 	case partial: // it was stopped within a message, and can't go on there
-		n.malformed(v, nil)
-		v.done()
+		n.rejectMalformed(v, nil)
+		v.endReading()
 	default:
-		v.stopping = ""
-		v.goOn()
+		v.pendingClose = ""
+		v.resumeReading()
 	}
 }
 
 // closeClient closes a client's connection once what is queued on it was written.
 func (n *Node) closeClient(v *client, why closeReason) {
-	n.guard.Close(v.peer(), v.Pending, v.stopped)
-	v.stopping = why
+	n.guard.Close(v.peer(), v.Pending, v.readerStopped)
+	v.pendingClose = why
 	n.counts["closed: "+string(why)]++
-	v.cut()
+	v.closeOnceFlushed()
 }
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -18,7 +18,7 @@
 	defer c.close()
 	in := bufio.NewReader(b)
 	for k := range 20000 {
-		c.poke() // for nothing
+		c.wakeWriter() // for nothing
 		if _, to := c.send(fmt.Appendf(nil, "%07d\n", 2*k)); to != int64(16*k+8) {
 			t.Fatalf("ends at %d", to)
 		}
@@ -42,7 +42,7 @@
 			break
 		}
 	}
-	if k < 250 || k > 600 || !c.isEnding() {
+	if k < 250 || k > 600 || !c.isClosing() {
 		t.Errorf("given up after %d kB", k)
 	}
 	if left := c.close(); left != 0 {
@@ -73,7 +73,7 @@
 // the request passes for unanswered.
 func TestAnswerLeavesBeforeTheWritersTurn(t *testing.T) {
 	a, b := tcpPair(t)
-	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), ended: make(chan struct{})} // its writer never has its turn
+	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // its writer never has its turn
 	for k := range 3 {
 		said := fmt.Appendf(nil, "answer %d", k)
 		if from, to := c.sendNow(said); from != int64(8*k) || to != int64(8*k+8) {
@@ -84,8 +84,8 @@
 			t.Fatalf("%q %v where %q is due", got, err, said)
 		}
 	}
-	if c.left() != 24 {
-		t.Errorf("%d bytes left", c.left())
+	if c.bytesWritten() != 24 {
+		t.Errorf("%d bytes left", c.bytesWritten())
 	}
 }
 
@@ -106,7 +106,7 @@
 			}
 			want += 500
 		}
-		behind = want - int(c.left())
+		behind = want - int(c.bytesWritten())
 	}
 	in := bufio.NewReader(b)
 	for k := range want / 1000 {
@@ -123,7 +123,7 @@
 // A write's time limit that has passed does not keep later answers waiting for the writer.
 func TestAnswerAfterAnOldTimeLimit(t *testing.T) {
 	a, b := tcpPair(t)
-	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), ended: make(chan struct{})} // its writer never has its turn
+	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // its writer never has its turn
 	a.SetWriteDeadline(time.Now().Add(-time.Second))
 	c.sendNow([]byte("later"))
 	got := make([]byte, 5)
@@ -138,15 +138,15 @@
 	go io.Copy(io.Discard, b)
 	c := newConn(a, zap.NewNop())
 	defer c.close()
-	for k := range mostKept + 100 {
-		for end := time.Now().Add(patience); c.left() < int64(8*k-64<<10) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for k := range maxRetainedMessages + 100 {
+		for end := time.Now().Add(patience); c.bytesWritten() < int64(8*k-64<<10) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
-		if !c.sendKept(1, fmt.Appendf(nil, "%08d", k)) {
+		if !c.sendRetained(1, fmt.Appendf(nil, "%08d", k)) {
 			t.Fatalf("message %d was not taken", k)
 		}
 	}
-	list := c.unsure(1, 1<<40)
-	if len(list) != mostKept || string(list[mostKept-1]) != fmt.Sprintf("%08d", mostKept+99) {
+	list := c.undelivered(1, 1<<40)
+	if len(list) != maxRetainedMessages || string(list[maxRetainedMessages-1]) != fmt.Sprintf("%08d", maxRetainedMessages+99) {
 		t.Errorf("%d are kept, the last is %q", len(list), list[len(list)-1])
 	}
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -22,9 +22,9 @@
 
 // The tests of this file force two events to cross; the table in docs/node.md names them.
 
-// held blocks the loop while steps are taken, and waits after each until it has brought the loop one event more: they are
+// batch blocks the loop while steps are taken, and waits after each until it has brought the loop one event more: they are
 // then one batch, in that order.
-func (f *farm) held(steps ...func()) {
+func (f *farm) batch(steps ...func()) {
 	f.t.Helper()
 	f.see(func(n *Node) {
 		had := len(n.events)
@@ -41,16 +41,16 @@
 	})
 }
 
-// dam puts a connection in place of a server's, on which nothing leaves.
-func (f *farm) dam() *link {
+// stalledLink puts a connection in place of a server's, on which nothing leaves.
+func (f *farm) stalledLink() *link {
 	f.t.Helper()
 	a, b := net.Pipe()
 	f.t.Cleanup(func() { b.Close() })
-	return f.link(a)
+	return f.addLink(a)
 }
 
-// link puts a connection among those of the first server.
-func (f *farm) link(nc net.Conn) (l *link) {
+// addLink puts a connection among those of the first server.
+func (f *farm) addLink(nc net.Conn) (l *link) {
 	f.see(func(n *Node) {
 		s := n.servers[0]
 		l = &link{conn: newConn(nc, zap.NewNop()), sv: s, up: true, used: n.now}
@@ -60,19 +60,19 @@
 	return l
 }
 
-// broken ends such a connection as its reader would.
-func (f *farm) broken(l *link) {
-	f.see(func(n *Node) { n.closedServer(l, l.close(), errors.New("broken")) })
+// breakLink ends such a connection as its reader would.
+func (f *farm) breakLink(l *link) {
+	f.see(func(n *Node) { n.serverConnClosed(l, l.close(), errors.New("broken")) })
 }
 
-// request is a client's whole SETUP, with its patience in milliseconds.
-func request(k, patience int) string {
+// setupText is a client's whole SETUP, with its patience in milliseconds.
+func setupText(k, patience int) string {
 	return fmt.Sprintf("SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nSubject: paid\r\nX-Patience: %d\r\nX-Facts: home:0;copies:4;top:4\r\nContent-Length: %d\r\n\r\n%s",
 		id(k), patience, len(sdp), sdp)
 }
 
-// terminate sends a signal to end, and waits until a further one is another wish.
-func (f *farm) terminate() {
+// sendTerminate sends a signal to end, and waits until a further one is another wish.
+func (f *farm) sendTerminate() {
 	f.t.Helper()
 	f.ends <- syscall.SIGTERM
 	first := 0.0
@@ -86,8 +86,8 @@
 	}
 }
 
-// none tells that a host was sent no SETUP, once all that the node had to send it has come.
-func (f *farm) none(h *host) {
+// wantNoSetup tells that a host was sent no SETUP, once all that the node had to send it has come.
+func (f *farm) wantNoSetup(h *host) {
 	f.t.Helper()
 	for {
 		select {
@@ -114,7 +114,7 @@
 	})
 	w.setup(id(2), "paid", "")
 	f.until("both are open", func(n *Node) bool { return n.open == 2 })
-	f.terminate()
+	f.sendTerminate()
 	f.ends <- syscall.SIGTERM
 	v.want("500")
 	w.want("503")
@@ -148,7 +148,7 @@
 	v.setup(id(1), "paid", "")
 	f.wanted(rtsp.Setup, s1)
 	f.until("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
-	f.terminate()
+	f.sendTerminate()
 	f.ends <- syscall.SIGTERM // and nothing of the test's own in the queue
 	w.want("503")
 	v.want("500")
@@ -159,9 +159,9 @@
 	a, b := net.Pipe()
 	defer b.Close()
 	c := newConn(a, zap.NewNop())
-	answer := refusal(id(1), rtsp.ServiceUnavailable, 0)
+	answer := refusalMessage(id(1), rtsp.ServiceUnavailable, 0)
 	c.send(answer)
-	c.cut()
+	c.closeOnceFlushed()
 	got := make([]byte, len(answer))
 	if _, err := io.ReadFull(b, got); err != nil || string(got) != string(answer) {
 		t.Errorf("%q came, %v", got, err)
@@ -180,14 +180,14 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write([]byte(request(1, 1500)))
+	c.Write([]byte(setupText(1, 1500)))
 	x, _ := f.wanted(rtsp.Setup, s1)
 	x.on.answer(x.m, 200, given)
 	f.until("it stands", func(n *Node) bool { s := n.sessions[id(1)]; return s != nil && s.state == established })
 	w := f.client()
 	w.setup(id(2), "free", "")
 	f.serve(s1, w)
-	f.held(func() { x.on.tearDown(id(1), 16) }) // and its client, which reads nothing, goes
+	f.batch(func() { x.on.tearDown(id(1), 16) }) // and its client, which reads nothing, goes
 	f.until("it is released", func(n *Node) bool { return n.sessions[id(1)] == nil })
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
@@ -201,8 +201,8 @@
 func TestReleaseBeforeAConnection(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
-	f.held(func() { v.setup(id(1), "free", ";at:s-1") }, func() { v.tearDown(id(1), 0) })
-	if x, _ := f.wanted(rtsp.TearDown, s1); x.m.Session() != id(1) || cause(x.m) != causeMoved {
+	f.batch(func() { v.setup(id(1), "free", ";at:s-1") }, func() { v.tearDown(id(1), 0) })
+	if x, _ := f.wanted(rtsp.TearDown, s1); x.m.Session() != id(1) || parseCause(x.m) != causeMoved {
 		t.Errorf("released %+v", x.m.Header)
 	}
 	v.want("200")
@@ -214,21 +214,21 @@
 func TestDrainBeforeTheSetupIsSentAnew(t *testing.T) {
 	f, s1 := single(t, 256)
 	feed := f.followed()
-	l := f.dam()
+	l := f.stalledLink()
 	v := f.client()
 	v.setup(id(1), "paid", "")
 	f.until("it is queued", func(*Node) bool { return len(l.open) == 1 })
 	fmt.Fprintf(feed, "%s\n", change(2, false, entry("s-1", s1.Addr().String(), "draining")))
 	f.until("the drain is heard", func(n *Node) bool { return n.servers[0].state == choice.Draining })
-	f.broken(l)
+	f.breakLink(l)
 	v.want("503")
-	f.none(s1)
+	f.wantNoSetup(s1)
 }
 
 // A server ends each connection before a byte of the SETUP left: that goes over one new connection, not over any number.
 func TestSetupIsSentAnewOnce(t *testing.T) {
 	f, s1 := single(t, 256)
-	dams := []*link{f.dam(), f.dam(), f.dam()}
+	dams := []*link{f.stalledLink(), f.stalledLink(), f.stalledLink()}
 	v := f.client()
 	v.setup(id(1), "paid", "")
 	for range 2 {
@@ -240,10 +240,10 @@
 			}
 			return i >= 0
 		})
-		f.broken(l)
+		f.breakLink(l)
 	}
 	v.want("503") // nothing of it ran
-	f.none(s1)
+	f.wantNoSetup(s1)
 }
 
 // A client goes in the instant in which its SETUP is refused, before or after: there is no second SETUP.
@@ -260,24 +260,24 @@
 				if first == "gone first" {
 					slices.Reverse(steps)
 				}
-				f.held(steps...)
+				f.batch(steps...)
 				f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
 				w := f.client() // what comes next at the other server is another's
 				w.setup(id(2), "free", "")
-				y, at := f.wantedSetup(s[:]...)
+				y, at := f.nextSetup(s[:]...)
 				if y.m.Session() != id(2) {
 					t.Errorf("%s got %s after its client had gone", at.name, y.m.Session())
 				}
 				y.on.answer(y.m, 200, given)
 				w.want("200")
-				f.none(h)
+				f.wantNoSetup(h)
 			})
 		}
 	}
 }
 
-// wantedSetup is the next SETUP, whatever comes before it.
-func (f *farm) wantedSetup(hosts ...*host) (heard, *host) {
+// nextSetup is the next SETUP, whatever comes before it.
+func (f *farm) nextSetup(hosts ...*host) (heard, *host) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for _, h := range hosts {
@@ -312,7 +312,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f.see(func(n *Node) { l.conn = newConn(nc, zap.NewNop()); n.openedServer(l) })
+	f.see(func(n *Node) { l.conn = newConn(nc, zap.NewNop()); n.serverConnOpened(l) })
 	t.Cleanup(func() { l.close() })
 	w := f.client()
 	w.setup(id(2), "free", "")
@@ -327,14 +327,14 @@
 	f, s1 := single(t, 3) // one connection to the server
 	a, b := net.Pipe()
 	defer b.Close()
-	l := f.link(a)
+	l := f.addLink(a)
 	var v [3]*peer
 	for k := range v {
 		v[k] = f.client()
 		v[k].setup(id(k), "free", "")
 		f.until("it is queued", func(*Node) bool { return len(l.open) == k+1 })
 	}
-	f.until("the first is being written", func(*Node) bool { l.mu.Lock(); defer l.mu.Unlock(); return l.queued > int64(len(l.out)) })
+	f.until("the first is being written", func(*Node) bool { l.mu.Lock(); defer l.mu.Unlock(); return l.queuedTotal > int64(len(l.buffer)) })
 	v[1].Close()
 	f.until("it is given up", func(*Node) bool { return len(l.open) == 2 })
 	f.see(func(*Node) {
@@ -343,11 +343,11 @@
 		}
 	})
 	v[0].Close()
-	f.until("its connection is given up", func(n *Node) bool { return l.isEnding() && n.open == 1 })
+	f.until("its connection is given up", func(n *Node) bool { return l.isClosing() && n.open == 1 })
 	if k, err := b.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes left", k)
 	}
-	f.broken(l) // as its reader tells
+	f.breakLink(l) // as its reader tells
 	if x, _ := f.wanted(rtsp.Setup, s1); x.m.Session() != id(2) {
 		t.Errorf("a SETUP for %s", x.m.Session())
 	}
@@ -366,9 +366,9 @@
 			if !answerFirst {
 				slices.Reverse(steps)
 			}
-			f.held(steps...)
+			f.batch(steps...)
 			for {
-				if y, _ := f.wanted(rtsp.TearDown, s1); cause(y.m) == causeMoved {
+				if y, _ := f.wanted(rtsp.TearDown, s1); parseCause(y.m) == causeMoved {
 					break
 				}
 			}
@@ -390,7 +390,7 @@
 				s := f.node.sessions[id(1)] // the loop is blocked
 				f.node.events <- event{do: func() {
 					if s.state == attempting {
-						f.node.cancel(s.waiting)
+						f.node.cancelTimeout(s.waiting)
 						f.node.timedOut(s)
 					}
 				}}
@@ -401,11 +401,11 @@
 				slices.Reverse(steps)
 				want = "500"
 			}
-			f.held(steps...)
+			f.batch(steps...)
 			v.want(want)
 			if !answerFirst {
 				for {
-					if y, _ := f.wanted(rtsp.TearDown, s1); cause(y.m) == causeMoved {
+					if y, _ := f.wanted(rtsp.TearDown, s1); parseCause(y.m) == causeMoved {
 						break
 					}
 				}
@@ -434,7 +434,7 @@
 	y.on.answer(y.m, 200, given)
 	v.want("200")
 	x.on.tearDown(id(1), 16)
-	if r := v.want(rtsp.TearDown); cause(r) != causeOver || r.Session() != id(1) {
+	if r := v.want(rtsp.TearDown); parseCause(r) != causeFinished || r.Session() != id(1) {
 		t.Errorf("released %+v", r.Header)
 	}
 }
@@ -449,7 +449,7 @@
 	f.serve(s1, v)
 	anew := strings.Replace(entry("s-1", s1.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().UnixMilli()+1), 1)
 	fmt.Fprintf(feed, "%s\n", change(2, false, anew))
-	if r := v.want(rtsp.TearDown); cause(r) != causeCut || r.Session() != id(1) {
+	if r := v.want(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != id(1) {
 		t.Errorf("released %+v", r.Header)
 	}
 	f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].held) == 0 })
@@ -459,9 +459,9 @@
 func TestHalfAMessageBesideAnOpenRequest(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
-	v.say("%s", request(1, 4000)) // longer than half a message is waited for
+	v.say("%s", setupText(1, 4000)) // longer than half a message is waited for
 	f.wanted(rtsp.Setup, s1)
-	v.say("%s", request(2, 4000)[:50])
+	v.say("%s", setupText(2, 4000)[:50])
 	if m := v.want("500"); m.Session() != id(1) {
 		t.Errorf("%s is answered", m.Session())
 	}
@@ -476,7 +476,7 @@
 	v := f.client()
 	v.setup(id(1), "free", "")
 	x, _ := f.wanted(rtsp.Setup, s1)
-	f.held(func() { x.on.answer(x.m, 200, given) }, func() { f.node.clients[0].cut() })
+	f.batch(func() { x.on.answer(x.m, 200, given) }, func() { f.node.clients[0].closeOnceFlushed() })
 	if y, _ := f.wanted(rtsp.TearDown, s1); y.m.Session() != id(1) {
 		t.Errorf("released %s", y.m.Session())
 	}
@@ -486,7 +486,7 @@
 // Requests come in pieces: by the byte, two in one segment, and a piece before a close.
 func TestRequestsInPieces(t *testing.T) {
 	f, s1 := single(t, 256)
-	text := func(k int) string { return request(k, 1500) }
+	text := func(k int) string { return setupText(k, 1500) }
 	v := f.client()
 	v.Conn.(*net.TCPConn).SetNoDelay(true)
 	for _, b := range []byte(text(1)) {
@@ -539,10 +539,10 @@
 	l, follows := f.coordinator()
 	f.reread = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
 	up, drains := change(2, false, entry("s-1", s1.Addr().String(), "up")), change(3, false, entry("s-1", s1.Addr().String(), "draining"))
-	f.held(
+	f.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
 		func() {
-			orders{f.node}.Reload() // it has heard up to 1
+			lifecycleActions{f.node}.Reload() // it has heard up to 1
 			c := <-follows
 			if c.after != 1 {
 				t.Errorf("follows %d", c.after)
@@ -569,16 +569,16 @@
 		v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	}
 	for k := range 60 {
-		f.see(func(n *Node) { n.dial(n.servers[k]) })
+		f.see(func(n *Node) { n.dialServer(n.servers[k]) })
 		f.until("it is up, or gave way", func(n *Node) bool {
 			return !slices.ContainsFunc(n.servers[k].conns, func(l *link) bool { return !l.up })
 		})
 	}
 	f.until("a tenth is free", func(n *Node) bool {
-		if n.links() > share.MaxServerConns(sockets) {
-			t.Errorf("%d connections to servers", n.links())
+		if n.serverConnCount() > share.MaxServerConns(sockets) {
+			t.Errorf("%d connections to servers", n.serverConnCount())
 		}
-		return len(n.clients)+n.links() <= sockets*90/100 && len(n.servers[59].conns) == 1
+		return len(n.clients)+n.serverConnCount() <= sockets*90/100 && len(n.servers[59].conns) == 1
 	})
 	f.followed()
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -25,15 +25,15 @@
 		answer    time.Duration // the server's 200 follows after so long; 0 is never
 		wanted    []string      // what the client gets, in this order, and nothing more
 	}{
-		{"come to its end", "free", causeOver, false, 0, []string{"503"}},
-		{"come to its end, paid", "paid", causeOver, false, 0, []string{"500"}},
+		{"come to its end", "free", causeFinished, false, 0, []string{"503"}},
+		{"come to its end, paid", "paid", causeFinished, false, 0, []string{"500"}},
 		{"ended by its client", "free", causeMoved, false, 0, []string{"503"}},
 		{"ended by its client, paid", "paid", causeMoved, false, 0, []string{"500"}},
 		{"a late answer follows", "free", causeMoved, false, 200 * time.Millisecond, []string{"503"}},
-		{"a late answer follows, paid", "paid", causeOver, false, 200 * time.Millisecond, []string{"500"}},
+		{"a late answer follows, paid", "paid", causeFinished, false, 200 * time.Millisecond, []string{"500"}},
 		{"overtakes its answer, ended by its client", "paid", causeMoved, true, 10 * time.Millisecond, []string{"200"}},
-		{"overtakes its answer, come to its end", "free", causeOver, true, 10 * time.Millisecond, []string{"200", rtsp.TearDown}},
-		{"on another connection, no answer", "paid", causeOver, true, 0, []string{"500"}},
+		{"overtakes its answer, come to its end", "free", causeFinished, true, 10 * time.Millisecond, []string{"200", rtsp.TearDown}},
+		{"on another connection, no answer", "paid", causeFinished, true, 0, []string{"500"}},
 		{"on another connection, a late answer", "free", causeMoved, true, 200 * time.Millisecond, []string{"503"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -92,9 +92,13 @@
 	v := f.client()
 	v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	v.want("200")
-	f.held(
+	f.batch(
 		func() { v.setup(id(1), "free", "") },
-		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
+		func() {
+			f.node.clients[0].LastUsed = -100
+			f.node.closeIdleClients()
+			f.node.events <- event{do: func() {}}
+		},
 	)
 	x, _ := f.wanted(rtsp.Setup, s1)
 	x.on.answer(x.m, 200, given)
@@ -122,7 +126,7 @@
 	})
 	clients = []*peer{f.client(), f.client()}
 	f.until("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
-	f.terminate()
+	f.sendTerminate()
 	f.ends <- syscall.SIGTERM
 	f.over <- <-f.over
 	if !read["exit"] { // else the test shows nothing
@@ -151,7 +155,7 @@
 	f.see(func(n *Node) { first = n.byID["s-1"].conns[0] })
 	v.want("503") // after its wait
 	f.until("the connection is being closed", func(*Node) bool { return first.closed })
-	x.on.tearDown(id(1), causeOver)
+	x.on.tearDown(id(1), causeFinished)
 	if m := v.wantWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != id(1) {
 		t.Errorf("the end of %s", m.Session())
 	}
@@ -206,9 +210,13 @@
 	v := f.client()
 	v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	v.want("200")
-	f.held(
+	f.batch(
 		func() { v.setup(id(1), "free", "") },
-		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
+		func() {
+			f.node.clients[0].LastUsed = -100
+			f.node.closeIdleClients()
+			f.node.events <- event{do: func() {}}
+		},
 	)
 	v.want("503") // no server holds it; the connection is closed or not, as the two come in one batch or in two
 }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -25,7 +25,7 @@
 	n.front.Stop()
 	n.serveUntil(flush, func() bool { n.answerOpen(); return n.flushed() && len(n.events) == 0 && n.accepted() })
 	for _, v := range n.clients {
-		v.stop(true)
+		v.requestStop(true)
 	}
 	n.serveUntil(stopReading, func() bool { n.answerOpen(); return n.readersStopped() && len(n.events) == 0 })
 	n.closeAll()
@@ -90,19 +90,19 @@
 }
 
 func (n *Node) readersStopped() bool {
-	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.stopped })
+	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.readerStopped })
 }
 
 // closeAll closes the clients' connections once what is queued on them was written.
 func (n *Node) closeAll() {
 	for _, v := range n.clients {
-		n.guard.Close(v.peer(), v.Pending, v.stopped)
-		v.end()
+		n.guard.Close(v.peer(), v.Pending, v.readerStopped)
+		v.closeGracefully()
 	}
 	late := time.After(forceClose)
 	for _, v := range n.clients {
 		select {
-		case <-v.ended:
+		case <-v.writerDone:
 		case <-late:
 			late = nil
 		}
--- a/internal/node/feed/event.go
+++ b/internal/node/feed/event.go
@@ -32,15 +32,15 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
-var states = map[string]choice.Lifecycle{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
+var lifecycles = map[string]choice.Lifecycle{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
 
 // Names are those of zones and kinds of machine, by number.
 type Names struct{ Zones, Kinds []string }
 
-// Listing puts an entry into the module's words; the id is the caller's. A zone or kind that is not among the names
+// ToListing puts an entry into the module's words; the id is the caller's. A zone or kind that is not among the names
 // counts as the first.
-func (n Names) Listing(id choice.ServerID, i Instance) (choice.Listing, error) {
-	st, ok := states[i.State]
+func (n Names) ToListing(id choice.ServerID, i Instance) (choice.Listing, error) {
+	st, ok := lifecycles[i.State]
 	if !ok || i.Cell < 0 {
 		return choice.Listing{}, fmt.Errorf("server %.40q: state %.20q, cell %d", i.ID, i.State, i.Cell)
 	}
@@ -48,8 +48,8 @@
 		Cell: i.Cell, State: st, Weight: i.Weight, StartedAt: i.StartedAtMs / 1000}, nil
 }
 
-// Number makes the module's number of a server's id, alike at all fronts; taken tells whether it has one already.
-func Number(id string, taken func(choice.ServerID) bool) choice.ServerID {
+// AssignID makes the module's number of a server's id, alike at all fronts; taken tells whether it has one already.
+func AssignID(id string, taken func(choice.ServerID) bool) choice.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	n := choice.ServerID(h.Sum32())
@@ -59,8 +59,8 @@
 	return n
 }
 
-// line reads one line of the coordinator's: an event, or the last number alone.
-func line(b []byte) (e Event, last int64, err error) {
+// parseLine reads one parseLine of the coordinator's: an event, or the last number alone.
+func parseLine(b []byte) (e Event, last int64, err error) {
 	if len(b) > 0 && b[0] != '{' {
 		err = json.Unmarshal(b, &last)
 		return e, last, err
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -13,10 +13,10 @@
 
 const (
 	// A connection that takes longer is given up and tried again.
-	connect = time.Second
-	// mostLine is past an event that carries a whole list of 3,200 servers at 500 bytes each, twice over; against a line
+	connectTimeout = time.Second
+	// maxLineBytes is past an event that carries a whole list of 3,200 servers at 500 bytes each, twice over; against a line
 	// without end.
-	mostLine = 4 << 20
+	maxLineBytes = 4 << 20
 )
 
 // Follow asks the coordinator at addr for what follows number last, and hands each new event on once and in order,
@@ -26,7 +26,7 @@
 	pace := backoff.New(seed)
 	for ctx.Err() == nil {
 		had, began := last, time.Now()
-		err := follow(ctx, addr, &last, seconds(pace.SilenceTimeout()), heard, take)
+		err := readEvents(ctx, addr, &last, seconds(pace.SilenceTimeout()), heard, take)
 		if ctx.Err() != nil {
 			return
 		}
@@ -40,9 +40,9 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// follow is one connection's life; it ends after so much silence.
-func follow(ctx context.Context, addr string, last *int64, silence time.Duration, heard func(), take func(Event) bool) error {
-	d := net.Dialer{Timeout: connect}
+// readEvents is one connection's life; it ends after so much silence.
+func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, heard func(), take func(Event) bool) error {
+	d := net.Dialer{Timeout: connectTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -63,8 +63,8 @@
 		}
 		part, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if long = append(long, part...); len(long) > mostLine {
-				return fmt.Errorf("a line of over %d bytes", mostLine)
+			if long = append(long, part...); len(long) > maxLineBytes {
+				return fmt.Errorf("a line of over %d bytes", maxLineBytes)
 			}
 			continue
 		}
@@ -76,7 +76,7 @@
 			b = append(long, part...)
 			long = nil
 		}
-		e, number, err := line(b)
+		e, number, err := parseLine(b)
 		if err != nil {
 			return err
 		}
--- a/internal/node/feed/feed_test.go
+++ b/internal/node/feed/feed_test.go
@@ -14,12 +14,12 @@
 
 func TestListing(t *testing.T) {
 	names := Names{[]string{"a", "b"}, []string{"small", "large"}}
-	l, err := names.Listing(7, Instance{ID: "s-1", Zone: "b", Kind: "large", Cell: 3, State: "draining", Weight: 2, StartedAtMs: 1500})
+	l, err := names.ToListing(7, Instance{ID: "s-1", Zone: "b", Kind: "large", Cell: 3, State: "draining", Weight: 2, StartedAtMs: 1500})
 	if want := (choice.Listing{ID: 7, Zone: 1, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, StartedAt: 1.5}); err != nil || l != want {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, i := range []Instance{{State: "well"}, {State: "up", Cell: -1}} {
-		if _, err := names.Listing(7, i); err == nil {
+		if _, err := names.ToListing(7, i); err == nil {
 			t.Errorf("%+v is taken", i)
 		}
 	}
@@ -27,11 +27,11 @@
 
 func TestNumber(t *testing.T) {
 	none := func(choice.ServerID) bool { return false }
-	a := Number("s-00c41f7a", none)
-	if b := Number("s-00c41f7a", none); a != b {
+	a := AssignID("s-00c41f7a", none)
+	if b := AssignID("s-00c41f7a", none); a != b {
 		t.Error("not alike at all fronts")
 	}
-	if b := Number("s-00c41f7a", func(x choice.ServerID) bool { return x == a }); b == a {
+	if b := AssignID("s-00c41f7a", func(x choice.ServerID) bool { return x == a }); b == a {
 		t.Error("two servers share a number")
 	}
 }
@@ -52,9 +52,9 @@
 		"not json\n" + ev(5),               // can't be read
 		ev(7),                              // leaves one out
 		ev(5) + "9\n",                      // has more than it told
-		strings.Repeat("1", mostLine+5000) + "\n", // a line without end
-		`{"endpoints":{}}` + "\n",                 // an event without a number
-		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),     // an old one again
+		strings.Repeat("1", maxLineBytes+5000) + "\n", // a line without end
+		`{"endpoints":{}}` + "\n",                     // an event without a number
+		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // an old one again
 	}
 	var asked []int
 	go func() {
@@ -106,12 +106,12 @@
 	f.Add([]byte(`{"index":41,"endpoints":{"generation":7,"reset":false,"instances":[{"instanceId":"s-00c41f7a","cell":2,"lifecycle":"up"}]}}`))
 	f.Add([]byte("12"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		e, last, err := line(b)
+		e, last, err := parseLine(b)
 		if err == nil && e.Index > 0 && last != 0 {
 			t.Errorf("both an event and a number: %q", b)
 		}
 		for _, i := range e.Endpoints.Instances {
-			Names{}.Listing(1, i)
+			Names{}.ToListing(1, i)
 		}
 	})
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -7,7 +7,7 @@
 
 // budget is the platform's budget of further attempts, as the settings state it.
 func (n *Node) budget() invariant.Budget {
-	f := n.start.Figures
+	f := n.start.Config
 	return invariant.Budget{BaseAllowance: f.BaseRetries, RequestShare: f.RetriesPerSession, WindowSeconds: f.RetryWindow}
 }
 
@@ -36,9 +36,9 @@
 		return
 	}
 	if n.spoils(SabotageTwice, id) {
-		v.send(refusal(id, status, comeBack))
+		v.send(refusalMessage(id, status, comeBack))
 	}
-	if from, _ := v.send(refusal(id, status, comeBack)); from < 0 {
+	if from, _ := v.send(refusalMessage(id, status, comeBack)); from < 0 {
 		n.log.Info("an answer found its client's connection ended", str("sess", id), str("from", v.peer()))
 	}
 }
--- a/internal/node/history.go
+++ b/internal/node/history.go
@@ -98,7 +98,7 @@
 	switch {
 	case ends < 0:
 		return "200 not taken by the connection"
-	case v.left() < ends:
+	case v.bytesWritten() < ends:
 		return "200 queued"
 	}
 	return "200 written"
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -14,36 +14,36 @@
 
 // The protocol's fields, as rtsp keeps names, and its figures.
 const (
-	fieldClass  = "Subject"
-	fieldWait   = "X-Patience"
-	fieldFacts  = "X-Facts"
-	fieldRung   = "X-Quality"
-	fieldState  = "X-State"
-	fieldNote   = "X-Note"
-	fieldFigure = "X-Reading"
-	fieldLater  = "X-Later-Ms"
-	fieldReason = "Reason"
-
-	root = "rtsp://media/"
-
-	causeOver  = 16 // it has come to its end
-	causeMoved = 31 // ended by its client, or moved
-	causeCut   = 41
-
-	seqSetup, seqTearDown, seqOptions = "1", "2", "3"
+	headerClass        = "Subject"
+	headerPatience     = "X-Patience"
+	headerFacts        = "X-Facts"
+	headerRung         = "X-Quality"
+	headerState        = "X-State"
+	headerNote         = "X-Note"
+	headerReading      = "X-Reading"
+	headerRetryAfterMs = "X-Later-Ms"
+	headerReason       = "Reason"
+
+	mediaRoot = "rtsp://media/"
+
+	causeFinished = 16 // it has come to its end
+	causeMoved    = 31 // ended by its client, or moved
+	causeLost     = 41
+
+	cseqSetup, cseqTearDown, cseqOptions = "1", "2", "3"
 )
 
 // noteKinds are the kinds of a server's notes by their names.
 var noteKinds = map[string]wire.Kind{"served": wire.NoteKind(1), "at_rung": wire.NoteKind(2), "link_use": wire.NoteKind(3), "rack_use": wire.NoteKind(4)}
 
-// ask is what a client's SETUP says.
-type ask struct {
+// clientSetup is what a client's SETUP says.
+type clientSetup struct {
 	id, class, url string
 	group          int
 	body           []byte
 	patience       float64 // seconds
 	request        choice.Request
-	at             string // the server where it stands already
+	currentServer  string // the server where it stands already
 }
 
 // validID tells whether a session's id is one: 16 hex digits.
@@ -59,14 +59,14 @@
 	return true
 }
 
-// mostPatience is past any setup timeout; against figures that are out of range.
-const mostPatience = 600_000
+// maxPatienceMs is past any setup timeout; against figures that are out of range.
+const maxPatienceMs = 600_000
 
-// readAsk reads a client's SETUP; what is wrong with it is an error.
-func (n *Node) readAsk(m *rtsp.Message) (a ask, err error) {
+// parseSetup reads a client's SETUP; what is wrong with it is an error.
+func (n *Node) parseSetup(m *rtsp.Message) (a clientSetup, err error) {
 	// What is kept must not keep a line of 4 kB alive.
-	a = ask{id: strings.Clone(m.Session()), class: m.Header.Get(fieldClass), url: strings.Clone(m.URL), body: m.Body}
-	title, ok := strings.CutPrefix(m.URL, root)
+	a = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
+	title, ok := strings.CutPrefix(m.URL, mediaRoot)
 	if !ok || title == "" || len(title) > 256 {
 		return a, fmt.Errorf("address %.60q", m.URL)
 	}
@@ -79,9 +79,9 @@
 		return a, fmt.Errorf("class %.30q", a.class)
 	}
 	a.class = n.start.Groups[a.group]
-	figures := n.start.Figures
-	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(root):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
-	for _, pair := range strings.Split(m.Header.Get(fieldFacts), ";") {
+	figures := n.start.Config
+	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(mediaRoot):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
+	for _, pair := range strings.Split(m.Header.Get(headerFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
 		var to *int
 		least, most := 0, max(figures.Cells, 1)-1
@@ -93,7 +93,7 @@
 		case "top":
 			to, most = &a.request.BestRung, len(figures.Ladder)-1
 		case "at":
-			if a.at = strings.Clone(value); value == "" {
+			if a.currentServer = strings.Clone(value); value == "" {
 				return a, fmt.Errorf("at no server")
 			}
 			continue
@@ -106,29 +106,29 @@
 		}
 		*to = x
 	}
-	if a.at != "" {
+	if a.currentServer != "" {
 		return a, nil
 	}
-	ms, err := strconv.Atoi(m.Header.Get(fieldWait))
-	if err != nil || ms <= 0 || ms > mostPatience {
-		return a, fmt.Errorf("patience %.20q", m.Header.Get(fieldWait))
+	ms, err := strconv.Atoi(m.Header.Get(headerPatience))
+	if err != nil || ms <= 0 || ms > maxPatienceMs {
+		return a, fmt.Errorf("patience %.20q", m.Header.Get(headerPatience))
 	}
 	a.patience = float64(ms) / 1000
 	return a, nil
 }
 
-// readReport reads a server's load report; what can't be read says nothing.
-func readReport(m *rtsp.Message) choice.LoadReport {
-	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(fieldState)))
+// parseLoadReport reads a server's load report; what can't be read says nothing.
+func parseLoadReport(m *rtsp.Message) choice.LoadReport {
+	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(headerState)))
 	if err != nil {
 		return noReport
 	}
 	return delivery.SanitizeReport(r.Link, r.Uplink, r.Capped)
 }
 
-// cause reads the Reason field; 0 is none.
-func cause(m *rtsp.Message) int {
-	_, v, ok := strings.Cut(m.Header.Get(fieldReason), "cause=")
+// parseCause reads the Reason field; 0 is none.
+func parseCause(m *rtsp.Message) int {
+	_, v, ok := strings.Cut(m.Header.Get(headerReason), "cause=")
 	if !ok {
 		return 0
 	}
@@ -139,7 +139,7 @@
 	return c
 }
 
-func message(m *rtsp.Message, seq, id string) *rtsp.Message {
+func addHeaders(m *rtsp.Message, seq, id string) *rtsp.Message {
 	m.Header["Content-Length"] = nil
 	if seq != "" {
 		m.Header["Cseq"] = []string{seq}
@@ -150,53 +150,53 @@
 	return m
 }
 
-// response makes a response to a request, for its session.
-func response(to *rtsp.Message, status int) []byte {
+// responseMessage makes a responseMessage to a request, for its session.
+func responseMessage(to *rtsp.Message, status int) []byte {
 	id := to.Session()
 	if len(id) > 64 {
 		id = ""
 	}
-	return message(rtsp.Response(to, status), "", id).Append(nil)
+	return addHeaders(rtsp.Response(to, status), "", id).Append(nil)
 }
 
-// served is the answer to a session's SETUP: the server's own description.
-func served(id string, body []byte) []byte {
-	m := message(&rtsp.Message{Status: rtsp.OK, Header: rtsp.Header{}}, seqSetup, id)
+// servedMessage is the answer to a session's SETUP: the server's own description.
+func servedMessage(id string, body []byte) []byte {
+	m := addHeaders(&rtsp.Message{Status: rtsp.OK, Header: rtsp.Header{}}, cseqSetup, id)
 	m.Body = body
 	return m.Append(nil)
 }
 
-// refusal is the answer that refuses a session's SETUP.
-func refusal(id string, status int, comeBack float64) []byte {
-	m := message(&rtsp.Message{Status: status, Header: rtsp.Header{}}, seqSetup, id)
+// refusalMessage is the answer that refuses a session's SETUP.
+func refusalMessage(id string, status int, comeBack float64) []byte {
+	m := addHeaders(&rtsp.Message{Status: status, Header: rtsp.Header{}}, cseqSetup, id)
 	if comeBack > 0 {
-		m.With(fieldLater, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+		m.With(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(comeBack*1000))))
 	}
 	return m.Append(nil)
 }
 
-// tearDown gives a SETUP up, or, with a cause, releases a session that stands.
-func tearDown(url, id string, cause int) []byte {
-	m := message(rtsp.Request(rtsp.TearDown, url), seqTearDown, id)
+// teardownMessage gives a SETUP up, or, with a cause, releases a session that stands.
+func teardownMessage(url, id string, cause int) []byte {
+	m := addHeaders(rtsp.Request(rtsp.TearDown, url), cseqTearDown, id)
 	if cause > 0 {
-		m.With(fieldReason, "cause="+strconv.Itoa(cause))
+		m.With(headerReason, "cause="+strconv.Itoa(cause))
 	}
 	return m.Append(nil)
 }
 
-func setup(s *session, wait float64) []byte {
-	m := message(rtsp.Request(rtsp.Setup, s.url), seqSetup, s.id)
-	m.With(fieldClass, s.class)
-	m.With(fieldWait, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
-	m.With(fieldRung, strconv.Itoa(s.rung))
+func setupMessage(s *session, wait float64) []byte {
+	m := addHeaders(rtsp.Request(rtsp.Setup, s.url), cseqSetup, s.id)
+	m.With(headerClass, s.class)
+	m.With(headerPatience, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
+	m.With(headerRung, strconv.Itoa(s.rung))
 	m.Body = s.body
 	return m.Append(nil)
 }
 
-func newRung(s *session) []byte {
-	return message(rtsp.Request(rtsp.SetParameter, s.url), "4", s.id).With(fieldRung, strconv.Itoa(s.rung)).Append(nil)
+func rungMessage(s *session) []byte {
+	return addHeaders(rtsp.Request(rtsp.SetParameter, s.url), "4", s.id).With(headerRung, strconv.Itoa(s.rung)).Append(nil)
 }
 
-func test(id string) []byte {
-	return message(rtsp.Request(rtsp.Options, root+"load"), seqOptions, id).Append(nil)
+func probeMessage(id string) []byte {
+	return addHeaders(rtsp.Request(rtsp.Options, mediaRoot+"load"), cseqOptions, id).Append(nil)
 }
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -33,27 +33,27 @@
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR}
 
-// isLocal tells whether a connection could not be opened for want of something of the own machine's.
-func isLocal(err error) bool {
+// isLocalError tells whether a connection could not be opened for want of something of the own machine's.
+func isLocalError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
 }
 
-// listen listens on an address. One that is still another process's, as just after a restart, and what the own machine lacks
+// listenWithRetry listens on an address. One that is still another process's, as just after a restart, and what the own machine lacks
 // for a moment are tried again for a while; a signal to end ends that.
-func (n *Node) listen(addr string, ends <-chan os.Signal) (net.Listener, error) {
+func (n *Node) listenWithRetry(addr string, ends <-chan os.Signal) (net.Listener, error) {
 	for began := time.Now(); ; {
 		l, err := n.network.Listen(addr)
-		if err == nil || !isLocal(err) || time.Since(began).Seconds() > share.ListenTimeout {
+		if err == nil || !isLocalError(err) || time.Since(began).Seconds() > share.ListenTimeout {
 			return l, err
 		}
 		select {
 		case <-ends:
 			return nil, err
-		case <-time.After(listenPause):
+		case <-time.After(listenRetryPause):
 		}
 	}
 }
 
-// listenPause lies between two tries to listen.
-const listenPause = 20 * time.Millisecond
+// listenRetryPause lies between two tries to listen.
+const listenRetryPause = 20 * time.Millisecond
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 
 // session is one from its SETUP to its end.
 type session struct {
-	ask
+	clientSetup
 	state    state
 	client   *client // nil once its connection is gone
 	server   *server // of the SETUP that is out, or where it stands
@@ -87,13 +87,13 @@
 	early     map[string]bool             // releases of sessions not known (yet); emptied by their timeouts
 	owed      []owed                      // releases without a client's connection; emptied by time
 	clients   []*client
-	places    *places       // for clients' connections
+	places    *connSlots    // for clients' connections
 	accepting chan struct{} // closed once no further connection is accepted
 	open      int           // requests without their answers
-	timeouts  timeouts
-	later     []wire.Event // for the next batch
-	watches   []*watch     // of the coordinators followed, newest last; emptied by the newest one's first word
-	index     int64        // the coordinator's last event
+	timeouts  timeoutHeap
+	later     []wire.Event         // for the next batch
+	watches   []*coordinatorFollow // of the coordinators followed, newest last; emptied by the newest one's first word
+	index     int64                // the coordinator's last event
 
 	tests, wrongs int
 	looked        float64
@@ -154,7 +154,7 @@
 	n := &Node{start: o.Start, reread: o.Reread, log: o.Log, ctx: ctx, events: make(chan event, queue), began: time.Now(),
 		sessions: map[string]*session{}, numbers: map[choice.ServerID]*server{}, byID: map[string]*server{}, past: map[string]*server{}, early: map[string]bool{},
 		counts: map[string]int{}, network: o.Network, trials: o.Trials,
-		places: newPlaces(share.MaxViewerConns(o.Start.Sockets, 0))}
+		places: newConnSlots(share.MaxViewerConns(o.Start.MaxDescriptors, 0))}
 	if n.network == nil {
 		n.network = systemNetwork{}
 	}
@@ -163,34 +163,34 @@
 	defer n.wg.Wait()
 	defer cancel()
 	n.tick()
-	n.front = choice.New(n.now, o.Start.Figures, acts{n})
-	n.index = o.Start.Index
-	for _, e := range o.Start.Known {
+	n.front = choice.New(n.now, o.Start.Config, acts{n})
+	n.index = o.Start.LastIndex
+	for _, e := range o.Start.InitialEvents {
 		n.listed(e)
 	}
 	l := o.Listener
 	if l == nil {
 		var err error
-		if l, err = n.listen(o.Start.Listen, o.Ends); err != nil {
+		if l, err = n.listenWithRetry(o.Start.Listen, o.Ends); err != nil {
 			return lifecycle.ExitAddressUnavailable, err
 		}
 	}
 	defer l.Close()
 	n.guard = invariant.New(n.budget(), n.violated)
-	n.life = lifecycle.New(n.now, share.DrainSeconds(n.start.SetupTimeout), orders{n})
+	n.life = lifecycle.New(n.now, share.DrainSeconds(n.start.SetupTimeout), lifecycleActions{n})
 	n.settle()
 	n.followCoordinator(o.Start.Coordinator)
 	n.ready = true
 	n.life.Started()
 	n.accepting = make(chan struct{})
 	n.wg.Add(1)
-	go n.accept(l)
+	go n.acceptClients(l)
 	n.log.Info("serving", str("name", o.Start.Name), str("listen", o.Start.Listen), num("servers", len(n.servers)), num("groups", len(o.Start.Groups)))
 	if o.serving != nil {
 		o.serving(n)
 	}
 	n.loop(o.Hangups, o.Ends)
-	close(n.places.over)
+	close(n.places.closed)
 	l.Close()
 	n.finish()
 	n.log.Info("over", zap.Any("counts", n.counts))
@@ -257,7 +257,7 @@
 		if n.now >= n.looked+pace {
 			n.looked = n.now
 			n.look()
-			n.sweep()
+			n.closeIdleClients()
 			n.pay()
 		}
 		if n.due > 0 && n.now >= n.due {
@@ -322,9 +322,9 @@
 			continue
 		} else {
 			sv = &server{id: i.ID, addr: i.Addr}
-			sv.number = feed.Number(i.ID, func(x choice.ServerID) bool { return n.numbers[x] != nil })
+			sv.number = feed.AssignID(i.ID, func(x choice.ServerID) bool { return n.numbers[x] != nil })
 		}
-		entry, err := n.start.Names.Listing(sv.number, i)
+		entry, err := n.start.Names.ToListing(sv.number, i)
 		if err != nil {
 			n.log.Warn("an entry of the list is passed over", str("why", err.Error()))
 			continue
@@ -368,7 +368,7 @@
 func (n *Node) startedAnew(sv *server, born float64) {
 	for _, s := range slices.Clone(sv.held) {
 		if s.since < born {
-			n.ended(s, choice.Reset, causeCut, noReport)
+			n.ended(s, choice.Reset, causeLost, noReport)
 		}
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -53,7 +53,7 @@
 	v.want("200") // and no second release before it
 	v.tearDown(id(2), 0)
 	y, _ := f.wanted(rtsp.TearDown, s1)
-	if cause(y.m) != causeMoved {
+	if parseCause(y.m) != causeMoved {
 		t.Errorf("cut with %+v", y.m.Header)
 	}
 	f.until("all is forgotten", func(n *Node) bool {
@@ -165,11 +165,11 @@
 		x, _ := f.wanted(rtsp.Setup, s1)
 		v.tearDown(id(1), 0)
 		y, _ := f.wanted(rtsp.TearDown, s1)
-		if cause(y.m) != 0 {
+		if parseCause(y.m) != 0 {
 			t.Error("a SETUP that is out is given up, not released")
 		}
 		x.on.answer(x.m, 200, given)
-		if z, _ := f.wanted(rtsp.TearDown, s1); cause(z.m) != causeMoved || z.m.Session() != id(1) {
+		if z, _ := f.wanted(rtsp.TearDown, s1); parseCause(z.m) != causeMoved || z.m.Session() != id(1) {
 			t.Errorf("what stands unasked is left: %+v", z.m.Header)
 		}
 		if m := v.want("200"); m.CSeq() != 2 {
@@ -277,7 +277,7 @@
 	f.until("they are bounded", func(n *Node) bool {
 		open := 0
 		for _, v := range n.clients {
-			if !v.isEnding() {
+			if !v.isClosing() {
 				open++
 			}
 		}
@@ -331,7 +331,7 @@
 		v.setup(id(1), "paid", "")
 		f.serve(s1, v)
 		s1.kill()
-		if r := v.want(rtsp.TearDown); cause(r) != causeCut {
+		if r := v.want(rtsp.TearDown); parseCause(r) != causeLost {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
@@ -342,7 +342,7 @@
 		f.serve(s1, v)
 		s1.deaf.Store(true) // its connections stay open
 		// What could not be released is owed its end within 8 s.
-		if r := v.wantWithin(8*time.Second, rtsp.TearDown); cause(r) != causeCut {
+		if r := v.wantWithin(8*time.Second, rtsp.TearDown); parseCause(r) != causeLost {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
@@ -604,7 +604,7 @@
 	}
 	n := &Node{start: s}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := rtsp.NewConn(reading{bytes.NewReader(in)}, bounds)
+		c := rtsp.NewConn(reading{bytes.NewReader(in)}, messageBounds)
 		for {
 			m, _, err := c.Next()
 			if err != nil || m == nil {
@@ -614,13 +614,13 @@
 				t.Fatalf("a body of %d bytes", len(m.Body))
 			}
 			c.Astray()
-			if r := readReport(m); r.Link > 100 || r.Uplink > 100 {
+			if r := parseLoadReport(m); r.Link > 100 || r.Uplink > 100 {
 				t.Fatalf("%+v", r)
 			}
-			if a, err := n.readAsk(m); err == nil && (a.request.CellCount < 1 || a.request.BestRung >= len(s.Figures.Ladder) || a.request.StartCell < 0 || a.at == "" && a.patience <= 0) {
+			if a, err := n.parseSetup(m); err == nil && (a.request.CellCount < 1 || a.request.BestRung >= len(s.Config.Ladder) || a.request.StartCell < 0 || a.currentServer == "" && a.patience <= 0) {
 				t.Fatalf("%+v", a)
 			}
-			cause(m)
+			parseCause(m)
 		}
 	})
 }
@@ -639,7 +639,7 @@
 func TestEndsWithAConnectionNotHeardOf(t *testing.T) {
 	f, _ := single(t, 256)
 	f.see(func(n *Node) {
-		n.dial(n.servers[0])
+		n.dialServer(n.servers[0])
 		for len(n.events) == 0 { // it is up, and says so to a loop that is over
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -6,11 +6,11 @@
 	"rainhaven/choice/lifecycle"
 )
 
-// orders carries out what the life cycle decides.
-type orders struct{ n *Node }
+// lifecycleActions carries out what the life cycle decides.
+type lifecycleActions struct{ n *Node }
 
 // Reload reads the configuration file; a coordinator that it names anew is followed from where the last one was.
-func (o orders) Reload() {
+func (o lifecycleActions) Reload() {
 	n := o.n
 	s, err := n.reread()
 	if err == nil && s.Coordinator == "" {
@@ -30,12 +30,12 @@
 }
 
 // Drain has tests fail; requests are still taken.
-func (o orders) Drain() { o.n.ready = false }
+func (o lifecycleActions) Drain() { o.n.ready = false }
 
 // EndSessions ends it; finish answers what is open.
-func (o orders) EndSessions() { o.n.life.SessionsEnded() }
+func (o lifecycleActions) EndSessions() { o.n.life.SessionsEnded() }
 
-func (o orders) Exit(code lifecycle.ExitCode, why string) {
+func (o lifecycleActions) Exit(code lifecycle.ExitCode, why string) {
 	o.n.over = true
 	o.n.log.Info("exit", num("code", int(code)), str("why", why))
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -17,10 +17,10 @@
 	}
 	sv.tests++
 	n.tests++
-	sv.tested = testID(n.start.Figures.Seed, n.tests)
+	sv.tested = testID(n.start.Config.Seed, n.tests)
 	sv.testing = n.after(limits.Defaults.ProbeTimeout, func() { n.tellTest(sv, choice.TimedOut, noReport) })
 	for _, l := range sv.conns {
-		if l.up && !l.isEnding() && (sv.testOn == nil || len(l.open) < len(sv.testOn.open)) {
+		if l.up && !l.isClosing() && (sv.testOn == nil || len(l.open) < len(sv.testOn.open)) {
 			sv.testOn = l
 		}
 	}
@@ -34,7 +34,7 @@
 		}
 	}
 	if sv.testOn == nil {
-		sv.testOn = n.dial(sv)
+		sv.testOn = n.dialServer(sv)
 	}
 	if sv.testOn == nil { // no descriptor is left: its time-out ends the test
 		return
@@ -44,7 +44,7 @@
 
 func (n *Node) sendTest(l *link) {
 	if l.sv.testOn == l && l.sv.tested != "" {
-		l.send(test(l.sv.tested))
+		l.send(probeMessage(l.sv.tested))
 		l.used = n.now
 	}
 }
@@ -61,12 +61,12 @@
 		return
 	}
 	on := sv.testOn
-	n.cancel(sv.testing)
+	n.cancelTimeout(sv.testing)
 	sv.tested, sv.testOn, sv.testing = "", nil, nil
 	n.feed(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
 	// Without an answer in its time the connection is of no more use; a SETUP on it may still be answered.
 	if o == choice.TimedOut && on != nil && len(on.open) == 0 {
-		n.retire(on)
+		n.closeServerConn(on)
 	}
 	n.settleServer(sv)
 }
@@ -76,8 +76,8 @@
 	for _, sv := range slices.Clone(n.servers) {
 		up, opening := 0, false
 		for _, l := range slices.Clone(sv.conns) {
-			if l.up && len(l.open) == 0 && sv.testOn != l && share.Stale(n.now, l.used, n.start.Idle) {
-				n.retire(l)
+			if l.up && len(l.open) == 0 && sv.testOn != l && share.Stale(n.now, l.used, n.start.IdleTimeout) {
+				n.closeServerConn(l)
 				continue
 			}
 			if l.up {
@@ -100,7 +100,7 @@
 		case do.Lost:
 			n.lost(sv)
 		case do.Connect:
-			n.dial(sv)
+			n.dialServer(sv)
 		case do.Probe:
 			n.probe(sv)
 		}
@@ -111,12 +111,12 @@
 func (n *Node) lost(sv *server) {
 	n.log.Info("sessions lost with their server", str("server", sv.id), num("sessions", len(sv.held)))
 	for _, s := range slices.Clone(sv.held) {
-		n.say(sv, tearDown(s.url, s.id, causeCut))
-		n.ended(s, choice.Reset, causeCut, noReport)
+		n.say(sv, teardownMessage(s.url, s.id, causeLost))
+		n.ended(s, choice.Reset, causeLost, noReport)
 	}
 	for _, l := range slices.Clone(sv.conns) {
 		if len(l.open) == 0 {
-			n.retire(l)
+			n.closeServerConn(l)
 		}
 	}
 	sv.liveness, sv.owed = liveness.Monitor{}, nil
--- a/internal/node/readcontrol.go
+++ b/internal/node/readcontrol.go
@@ -15,60 +15,60 @@
 // once its reader has handed over all that it read: the loop asks it to stop, the reader tells when it has, and waits for the
 // loop to close the connection or to have it go on.
 type readControl struct {
-	in      net.Conn
-	mu      sync.Mutex
-	asked   bool // the loop wants it to stop
-	forced  bool // also within a message
-	within  bool // it reads a message of which something has come
-	first   bool // no message was read yet
-	verdict chan bool
+	netConn       net.Conn
+	mu            sync.Mutex
+	stopRequested bool // the loop wants it to stop
+	forceStop     bool // also within a message
+	inMessage     bool // it reads a message of which something has come
+	beforeFirst   bool // no message was read yet
+	resume        chan bool
 }
 
-// past is a deadline that ends a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends a read at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// messageTime is how long a message may take from its first byte on, and the first one from the connection's start.
-const messageTime = time.Duration(share.MessageTimeout * float64(time.Second))
+// clientMessageTimeout is how long a message may take from its first byte on, and the first one from the connection's start.
+const clientMessageTimeout = time.Duration(share.MessageTimeout * float64(time.Second))
 
 func newReadControl(nc net.Conn) readControl {
-	return readControl{in: nc, verdict: make(chan bool, 1)}
+	return readControl{netConn: nc, resume: make(chan bool, 1)}
 }
 
-// restOfMessage is how long a reader that is stopped by force may take for the rest of a message of which it has read a part.
-const restOfMessage = 20 * time.Millisecond
+// partialMessageGrace is how long a reader that is stopped by force may take for the rest of a message of which it has read a part.
+const partialMessageGrace = 20 * time.Millisecond
 
-// stop asks the reader to stop at the next end of a message, or, by force, soon also within one.
-func (r *readControl) stop(force bool) {
+// requestStop asks the reader to requestStop at the next end of a message, or, by force, soon also within one.
+func (r *readControl) requestStop(force bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.asked {
+	if r.stopRequested {
 		return
 	}
-	r.asked, r.forced = true, force
+	r.stopRequested, r.forceStop = true, force
 	switch {
-	case !r.within:
-		r.in.SetReadDeadline(past)
+	case !r.inMessage:
+		r.netConn.SetReadDeadline(expiredDeadline)
 	case force:
-		r.in.SetReadDeadline(time.Now().Add(restOfMessage))
+		r.netConn.SetReadDeadline(time.Now().Add(partialMessageGrace))
 	}
 }
 
-// goOn has a reader that has stopped read on.
-func (r *readControl) goOn() {
+// resumeReading has a reader that has stopped read on.
+func (r *readControl) resumeReading() {
 	r.mu.Lock()
-	r.asked, r.forced = false, false
-	r.limit()
+	r.stopRequested, r.forceStop = false, false
+	r.updateDeadline()
 	r.mu.Unlock()
-	r.verdict <- true
+	r.resume <- true
 }
 
-// done tells a reader that has stopped that its connection is closed.
-func (r *readControl) done() { r.verdict <- false }
+// endReading tells a reader that has stopped that its connection is closed.
+func (r *readControl) endReading() { r.resume <- false }
 
-// mayGoOn waits for the loop's verdict on a reader that has stopped.
-func (r *readControl) mayGoOn(ctx context.Context) bool {
+// awaitResume waits for the loop's verdict on a reader that has stopped.
+func (r *readControl) awaitResume(ctx context.Context) bool {
 	select {
-	case goOn := <-r.verdict:
+	case goOn := <-r.resume:
 		return goOn
 	case <-ctx.Done():
 		return false
@@ -79,46 +79,46 @@
 func (r *readControl) wasStopped(err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asked && errors.Is(err, os.ErrDeadlineExceeded)
+	return r.stopRequested && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func (r *readControl) firstMessage() {
+func (r *readControl) awaitFirstMessage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.first = true
-	if !r.asked {
-		r.limit()
+	r.beforeFirst = true
+	if !r.stopRequested {
+		r.updateDeadline()
 	}
 }
 
-func (r *readControl) messageBegan() {
+func (r *readControl) messageStarted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.within = true
+	r.inMessage = true
 	switch {
-	case r.asked && r.forced:
-		r.in.SetReadDeadline(time.Now().Add(restOfMessage))
-	case r.asked || !r.first:
-		r.limit()
+	case r.stopRequested && r.forceStop:
+		r.netConn.SetReadDeadline(time.Now().Add(partialMessageGrace))
+	case r.stopRequested || !r.beforeFirst:
+		r.updateDeadline()
 	}
 }
 
 func (r *readControl) messageEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.within, r.first = false, false
-	if r.asked {
-		r.in.SetReadDeadline(past)
+	r.inMessage, r.beforeFirst = false, false
+	if r.stopRequested {
+		r.netConn.SetReadDeadline(expiredDeadline)
 		return
 	}
-	r.limit()
+	r.updateDeadline()
 }
 
-// limit sets the deadline of what is read next; the lock is held.
-func (r *readControl) limit() {
+// updateDeadline sets the deadline of what is read next; the lock is held.
+func (r *readControl) updateDeadline() {
 	var at time.Time
-	if r.first || r.within {
-		at = time.Now().Add(messageTime)
+	if r.beforeFirst || r.inMessage {
+		at = time.Now().Add(clientMessageTimeout)
 	}
-	r.in.SetReadDeadline(at)
+	r.netConn.SetReadDeadline(at)
 }
--- a/internal/node/readcontrol_test.go
+++ b/internal/node/readcontrol_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// reads has a reader of a connection read until it is stopped, as readClient does, and tells when it has.
-func reads(r *readControl) (stopped chan bool) {
+// startReader has a reader of a connection read until it is stopped, as readClient does, and tells when it has.
+func startReader(r *readControl) (stopped chan bool) {
 	stopped = make(chan bool, 1)
 	go func() {
 		b := make([]byte, 64)
 		for {
-			if _, err := r.in.Read(b); err != nil {
+			if _, err := r.netConn.Read(b); err != nil {
 				stopped <- r.wasStopped(err)
 				return
 			}
-			r.messageBegan()
+			r.messageStarted()
 		}
 	}()
 	return stopped
@@ -40,14 +40,14 @@
 	defer a.Close()
 	defer b.Close()
 	r := newReadControl(a)
-	r.stop(false)
-	wantStopped(t, reads(&r), time.Second)
-	r.goOn()
-	r.stop(true)
-	if !r.mayGoOn(t.Context()) {
+	r.requestStop(false)
+	wantStopped(t, startReader(&r), time.Second)
+	r.resumeReading()
+	r.requestStop(true)
+	if !r.awaitResume(t.Context()) {
 		t.Fatal("it was told to end")
 	}
-	wantStopped(t, reads(&r), stopReading)
+	wantStopped(t, startReader(&r), stopReading)
 }
 
 // A reader is stopped by force as a message begins: it has a moment for the rest, within what the exit leaves it.
@@ -56,9 +56,9 @@
 	defer a.Close()
 	defer b.Close()
 	r := newReadControl(a)
-	r.stop(true)
-	r.messageBegan() // its first bytes were read just before
-	wantStopped(t, reads(&r), stopReading)
+	r.requestStop(true)
+	r.messageStarted() // its first bytes were read just before
+	wantStopped(t, startReader(&r), stopReading)
 }
 
 // A message of which a part was read before a forced stop, and whose rest comes a moment later, is read whole.
@@ -67,8 +67,8 @@
 	defer a.Close()
 	defer b.Close()
 	r := newReadControl(a)
-	r.messageBegan()
-	r.stop(true)
+	r.messageStarted()
+	r.requestStop(true)
 	got := make(chan error, 1)
 	go func() {
 		_, err := a.Read(make([]byte, 8))
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -59,7 +59,7 @@
 		n.setupOver(s, choice.Unsent, noReport)
 		return
 	}
-	s.from, s.to = l.send(setup(s, n.trials.told(wait)))
+	s.from, s.to = l.send(setupMessage(s, n.trials.told(wait)))
 	s.history.note(n.now, stepSent, l.peer())
 	l.used = n.now
 	n.copyElsewhere(s)
@@ -81,23 +81,23 @@
 	}
 	switch {
 	case m.Method == rtsp.TearDown:
-		l.send(response(m, rtsp.OK))
+		l.send(responseMessage(m, rtsp.OK))
 		n.released(l, s, id, m)
 	case m.Method == rtsp.Announce && s != nil:
 		n.noted(sv, s, m)
 	case m.Method == rtsp.Options:
-		l.send(response(m, rtsp.OK))
+		l.send(responseMessage(m, rtsp.OK))
 	case m.IsRequest() || m.Status < 200:
 	case sv.tested != "" && id == sv.tested:
 		if n.log.Core().Enabled(zap.DebugLevel) {
-			n.log.Debug("tested", str("server", sv.id), str("report", m.Header.Get(fieldState)))
+			n.log.Debug("tested", str("server", sv.id), str("report", m.Header.Get(headerState)))
 		}
 		o := choice.Served
 		if m.Status != rtsp.OK {
 			o = choice.ServerError
 		}
-		n.tellTest(sv, o, readReport(m))
-	case m.Header.Get("Cseq") == seqTearDown || m.Header.Get("Cseq") == seqOptions:
+		n.tellTest(sv, o, parseLoadReport(m))
+	case m.Header.Get("Cseq") == cseqTearDown || m.Header.Get("Cseq") == cseqOptions:
 	case s != nil && s.state == attempting && s.on == l:
 		n.setupAnswered(s, m, at)
 	case s == nil:
@@ -122,7 +122,7 @@
 func (n *Node) late(sv *server, l *link, m *rtsp.Message) {
 	if m.Status == rtsp.OK && n.past[m.Session()] == sv {
 		delete(n.past, m.Session())
-		b := tearDown(root, m.Session(), causeMoved)
+		b := teardownMessage(mediaRoot, m.Session(), causeMoved)
 		if l.closed {
 			n.toServer(sv, b)
 		} else {
@@ -134,7 +134,7 @@
 // say sends what belongs to no SETUP on any open connection; false where there is none.
 func (n *Node) say(sv *server, b []byte) bool {
 	for _, l := range sv.conns {
-		if l.up && l.sendKept(n.now, b) {
+		if l.up && l.sendRetained(n.now, b) {
 			l.used = n.now
 			return true
 		}
@@ -149,7 +149,7 @@
 	}
 	sv.owed = append(sv.owed, owed{b, n.now + keepOwed})
 	if !slices.ContainsFunc(sv.conns, func(l *link) bool { return !l.up }) {
-		n.dial(sv)
+		n.dialServer(sv)
 	}
 }
 
@@ -161,30 +161,30 @@
 		n.stands(s, m)
 	case m.Status == rtsp.OK: // an answer without a description is spoilt
 		l := s.on
-		n.disown(s)
-		n.retire(l)
+		n.tearDownUnanswered(s)
+		n.closeServerConn(l)
 	case m.Status == rtsp.NotEnoughBandwidth:
-		n.setupOver(s, choice.Full, readReport(m))
+		n.setupOver(s, choice.Full, parseLoadReport(m))
 	case m.Status == rtsp.SessionNotFound:
-		n.setupOver(s, choice.Unsent, readReport(m))
+		n.setupOver(s, choice.Unsent, parseLoadReport(m))
 	case m.Status == rtsp.GatewayTimeout:
 		n.setupOver(s, choice.Reset, noReport)
 	default:
-		n.setupOver(s, choice.ServerError, readReport(m))
+		n.setupOver(s, choice.ServerError, parseLoadReport(m))
 	}
 }
 
 // noted takes a note on a session that stands.
 func (n *Node) noted(sv *server, s *session, m *rtsp.Message) {
-	x, err := strconv.ParseFloat(m.Header.Get(fieldFigure), 64)
-	kind := noteKinds[m.Header.Get(fieldNote)]
+	x, err := strconv.ParseFloat(m.Header.Get(headerReading), 64)
+	kind := noteKinds[m.Header.Get(headerNote)]
 	if err != nil || delivery.SanitizeReport(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
-	if kind == wire.RungInForce && int(x) >= len(n.start.Figures.Ladder) {
+	if kind == wire.RungInForce && int(x) >= len(n.start.Config.Ladder) {
 		return
 	}
-	n.log.Debug("note", str("server", sv.id), str("kind", m.Header.Get(fieldNote)), str("figure", m.Header.Get(fieldFigure)))
+	n.log.Debug("note", str("server", sv.id), str("kind", m.Header.Get(headerNote)), str("figure", m.Header.Get(headerReading)))
 	n.feed(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
 }
 
@@ -194,8 +194,8 @@
 		return
 	}
 	for _, l := range slices.Clone(sv.conns) {
-		if len(l.open) == 0 && !(l.up && l.isEnding()) {
-			n.retire(l)
+		if len(l.open) == 0 && !(l.up && l.isClosing()) {
+			n.closeServerConn(l)
 		}
 	}
 	if len(sv.conns) == 0 && n.numbers[sv.number] == sv {
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -13,19 +13,19 @@
 	"rainhaven/internal/rtsp"
 )
 
-// take gives the connection for a SETUP, nil where there is none.
-func (n *Node) take(sv *server) *link {
+// pickServerConn gives the connection for a SETUP, nil where there is none.
+func (n *Node) pickServerConn(sv *server) *link {
 	var links []*link
 	var list []share.ServerConn
 	for _, l := range sv.conns {
-		if !l.closed && !(l.up && l.isEnding()) {
+		if !l.closed && !(l.up && l.isClosing()) {
 			links = append(links, l)
 			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.open), LastUsed: l.used})
 		}
 	}
-	switch i := share.PickConn(list, n.perServer(), n.start.Streams); i {
+	switch i := share.PickConn(list, n.maxConnsPerServer(), n.start.MaxSetupsPerConn); i {
 	case share.OpenNew:
-		l := n.dial(sv)
+		l := n.dialServer(sv)
 		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
 			l = slices.MinFunc(links, func(a, b *link) int { return len(a.open) - len(b.open) })
 		}
@@ -37,27 +37,27 @@
 	}
 }
 
-func (n *Node) perServer() int {
+func (n *Node) maxConnsPerServer() int {
 	live := 0
 	for _, sv := range n.servers {
 		if sv.state != choice.Gone {
 			live++
 		}
 	}
-	return share.MaxConnsPerServer(n.start.Sockets, live)
+	return share.MaxConnsPerServer(n.start.MaxDescriptors, live)
 }
 
-// links is how many connections to servers there are, and that are being opened.
-func (n *Node) links() (all int) {
+// serverConnCount is how many connections to servers there are, and that are being opened.
+func (n *Node) serverConnCount() (all int) {
 	for _, sv := range n.servers {
 		all += len(sv.conns)
 	}
 	return all
 }
 
-// room tells whether one more connection to a server may be opened; where they are many an idle one gives way.
-func (n *Node) room() bool {
-	if n.links() < share.MaxServerConns(n.start.Sockets) {
+// reserveServerConn tells whether one more connection to a server may be opened; where they are many an idle one gives way.
+func (n *Node) reserveServerConn() bool {
+	if n.serverConnCount() < share.MaxServerConns(n.start.MaxDescriptors) {
 		return true
 	}
 	var links []*link
@@ -70,26 +70,26 @@
 		}
 	}
 	if i := share.PickIdle(list); i >= 0 {
-		n.retire(links[i])
-		links[i].drop()
+		n.closeServerConn(links[i])
+		links[i].closeIfFlushed()
 		return true
 	}
 	return false
 }
 
-// dial opens a connection; nil where no descriptor is left for it.
-func (n *Node) dial(sv *server) *link {
-	if !n.room() {
+// dialServer opens a connection; nil where no descriptor is left for it.
+func (n *Node) dialServer(sv *server) *link {
+	if !n.reserveServerConn() {
 		return nil
 	}
-	wait := n.start.Connect
+	wait := n.start.ConnectTimeout
 	if wait <= 0 {
 		wait = limits.Defaults.ConnectTimeout
 	}
 	ctx, stop := context.WithTimeout(n.ctx, time.Duration(wait*float64(time.Second)))
 	l := &link{sv: sv, used: n.now, stop: stop}
 	sv.conns = append(sv.conns, l)
-	n.makeRoom()
+	n.enforceClientLimit()
 	n.wg.Add(1)
 	go n.readServer(ctx, l, sv.addr)
 	return l
@@ -101,29 +101,29 @@
 	nc, err := n.network.Dial(ctx, addr)
 	l.stop()
 	if err != nil {
-		n.tell(event{do: func() { n.notOpened(l, err) }})
+		n.tell(event{do: func() { n.dialFailed(l, err) }})
 		return
 	}
 	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may be over before it hears of this connection
 	c := newConn(nc, n.log)
-	if !n.tell(event{do: func() { l.conn = c; n.openedServer(l) }}) {
+	if !n.tell(event{do: func() { l.conn = c; n.serverConnOpened(l) }}) {
 		c.close()
 		return
 	}
-	in := rtsp.NewConn(nc, bounds)
+	in := rtsp.NewConn(nc, messageBounds)
 	for err == nil {
 		if err = in.Await(); err != nil {
 			break
 		}
-		if !c.isEnding() {
-			nc.SetReadDeadline(time.Now().Add(whole))
+		if !c.isClosing() {
+			nc.SetReadDeadline(time.Now().Add(serverMessageTimeout))
 		}
 		var m *rtsp.Message
 		if m, _, err = in.Next(); err == nil && (m == nil || in.Astray()) {
-			err = errAstray
+			err = errTrailingData
 		}
 		if err == nil {
-			if !c.isEnding() {
+			if !c.isClosing() {
 				nc.SetReadDeadline(time.Time{})
 			}
 			at := n.clock()
@@ -133,26 +133,26 @@
 		}
 	}
 	left := c.close()
-	n.tell(event{do: func() { n.closedServer(l, left, err) }})
+	n.tell(event{do: func() { n.serverConnClosed(l, left, err) }})
 }
 
-// errAstray ends a connection on which what follows a message is none.
-var errAstray = errors.New("what follows a message is none")
+// errTrailingData ends a connection on which what follows a message is none.
+var errTrailingData = errors.New("what follows a message is none")
 
-// disown has a server end what a SETUP may have set up there although its answer can't be had: it would stand unasked. A
+// tearDownUnanswered has a server end what a SETUP may have set up there although its answer can't be had: it would stand unasked. A
 // connection is opened for that if there is none.
-func (n *Node) disown(s *session) {
-	n.toServer(s.server, tearDown(s.url, s.id, causeMoved))
+func (n *Node) tearDownUnanswered(s *session) {
+	n.toServer(s.server, teardownMessage(s.url, s.id, causeMoved))
 }
 
-// notOpened takes it that a connection could not be opened: nothing ran.
-func (n *Node) notOpened(l *link, err error) {
+// dialFailed takes it that a connection could not be opened: nothing ran.
+func (n *Node) dialFailed(l *link, err error) {
 	sv := l.sv
-	n.drop(l)
+	n.removeServerConn(l)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	n.log.Debug("no connection", str("server", sv.id), str("why", err.Error()))
-	if isLocal(err) {
-		n.notOpenedHere(l)
+	if isLocalError(err) {
+		n.dialFailedLocally(l)
 		return
 	}
 	n.failTest(l, choice.NoConnection)
@@ -161,7 +161,7 @@
 	}
 	// Nothing listens there: the process is dead, and with it what stood there; unless another connection to it is up, as
 	// a server that is full of connections refuses further ones.
-	if refused && !slices.ContainsFunc(sv.conns, func(l *link) bool { return l.up && !l.isEnding() }) {
+	if refused && !slices.ContainsFunc(sv.conns, func(l *link) bool { return l.up && !l.isClosing() }) {
 		sv.owed = nil
 		if len(sv.held) > 0 {
 			n.lost(sv)
@@ -169,9 +169,9 @@
 	}
 }
 
-// notOpenedHere takes it that the own machine had no connection to give: that speaks against no server, and what waited for
+// dialFailedLocally takes it that the own machine had no connection to give: that speaks against no server, and what waited for
 // it is tried again shortly, a few times within its deadline.
-func (n *Node) notOpenedHere(l *link) {
+func (n *Node) dialFailedLocally(l *link) {
 	n.counts["no connection of the own machine"]++
 	n.failTest(l, choice.Unsent)
 	for _, s := range slices.Clone(l.open) {
@@ -188,9 +188,9 @@
 	}
 }
 
-func (n *Node) openedServer(l *link) {
+func (n *Node) serverConnOpened(l *link) {
 	if l.closed {
-		l.end()
+		l.closeGracefully()
 		return
 	}
 	// That a connection was taken is no sign of life: the system takes it for a process that hangs.
@@ -202,31 +202,31 @@
 	owed := l.sv.owed
 	l.sv.owed = nil
 	for _, o := range owed {
-		l.sendKept(n.now, o.b)
+		l.sendRetained(n.now, o.b)
 	}
 	for _, s := range slices.Clone(l.open) {
 		n.sendSetup(s, l)
 	}
 }
 
-// drop takes a connection from its server's.
-func (n *Node) drop(l *link) {
+// removeServerConn takes a connection from its server's.
+func (n *Node) removeServerConn(l *link) {
 	l.closed = true
 	l.sv.conns = slices.DeleteFunc(l.sv.conns, func(o *link) bool { return o == l })
 }
 
-// closedServer takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
+// serverConnClosed takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
 // are sent anew.
-func (n *Node) closedServer(l *link, left int64, err error) {
+func (n *Node) serverConnClosed(l *link, left int64, err error) {
 	if l.closed {
 		return
 	}
-	n.drop(l)
+	n.removeServerConn(l)
 	n.log.Debug("connection to a server ended", str("server", l.sv.id), str("why", errText(err)), num("open", len(l.open)))
 	n.failTest(l, choice.Reset)
 	for _, s := range slices.Clone(l.open) {
 		if s.from >= 0 && s.from < left {
-			n.disown(s)
+			n.tearDownUnanswered(s)
 			n.setupOver(s, choice.Reset, noReport)
 			continue
 		}
@@ -239,20 +239,20 @@
 		}
 		n.carry(s)
 	}
-	for _, b := range l.unsure(n.now, left) {
+	for _, b := range l.undelivered(n.now, left) {
 		n.toServer(l.sv, b)
 	}
 	n.settleServer(l.sv)
 }
 
-// retire ends a connection that is of no more use; its other SETUPs end with it.
-func (n *Node) retire(l *link) {
+// closeServerConn ends a connection that is of no more use; its other SETUPs end with it.
+func (n *Node) closeServerConn(l *link) {
 	if l.closed {
 		return
 	}
-	n.drop(l)
+	n.removeServerConn(l)
 	if l.up {
-		l.end()
+		l.closeGracefully()
 	} else {
 		l.stop()
 	}
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -15,12 +15,12 @@
 )
 
 // ask takes a new session to the module. Its deadline counts from when it was read, however long it waited for the loop.
-func (n *Node) ask(v *client, a ask, at float64) {
-	s := &session{ask: a, client: v, rung: n.start.Figures.Groups[a.group].Floor, from: -1}
+func (n *Node) ask(v *client, a clientSetup, at float64) {
+	s := &session{clientSetup: a, client: v, rung: n.start.Config.Groups[a.group].Floor, from: -1}
 	s.request.SetupTimeout = at + max(a.patience-share.AnswerMargin, 0)
-	n.guard.RequestRead(n.now, s.id, n.start.Figures.Groups[a.group].Paid, at+a.patience)
+	n.guard.RequestRead(n.now, s.id, n.start.Config.Groups[a.group].Paid, at+a.patience)
 	n.sessions[s.id] = s
-	v.held = append(v.held, s)
+	v.sessions = append(v.sessions, s)
 	v.Pending++
 	n.open++
 	n.counts["asked"]++
@@ -31,22 +31,22 @@
 }
 
 // handed takes a session that stands already. It wants no answer.
-func (n *Node) handed(v *client, a ask) {
+func (n *Node) handed(v *client, a clientSetup) {
 	if n.sessions[a.id] != nil {
 		return
 	}
-	sv := n.byID[a.at]
+	sv := n.byID[a.currentServer]
 	if sv == nil || n.early[a.id] || len(n.sessions)-n.open >= share.MaxHandedOver(n.start.MemoryMB) {
 		delete(n.early, a.id)
-		v.send(tearDown(a.url, a.id, causeCut))
+		v.send(teardownMessage(a.url, a.id, causeLost))
 		return
 	}
 	a.body = nil
-	s := &session{ask: a, client: v, state: established, since: n.now, server: sv, rung: n.start.Figures.Groups[a.group].Floor}
+	s := &session{clientSetup: a, client: v, state: established, since: n.now, server: sv, rung: n.start.Config.Groups[a.group].Floor}
 	n.sessions[s.id] = s
-	v.held = append(v.held, s)
+	v.sessions = append(v.sessions, s)
 	v.Established++
-	v.proven = true
+	v.hasServed = true
 	s.server.held = append(s.server.held, s)
 	n.counts["handed"]++
 	n.feed(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
@@ -58,7 +58,7 @@
 		n.setupOver(s, choice.Unsent, noReport)
 		return
 	}
-	l := n.take(s.server)
+	l := n.pickServerConn(s.server)
 	if l == nil {
 		n.setupOver(s, choice.Unsent, noReport)
 		return
@@ -91,7 +91,7 @@
 	n.log.Debug("setup over", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
 	n.counts[fmt.Sprintf("outcome %d", o)]++
 	n.unlink(s)
-	n.cancel(s.waiting)
+	n.cancelTimeout(s.waiting)
 	s.state, s.server, s.waiting = pending, nil, nil
 	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
 	n.settleServer(sv)
@@ -104,7 +104,7 @@
 	if l == nil || !l.up || s.from < 0 {
 		return true
 	}
-	if l.recall(s.from, s.to) {
+	if l.unqueue(s.from, s.to) {
 		for _, o := range l.open {
 			if o.from > s.from {
 				o.from, o.to = o.from-(s.to-s.from), o.to-(s.to-s.from)
@@ -112,17 +112,17 @@
 		}
 		return true
 	}
-	return s.from >= l.left() && s.from >= l.close()
+	return s.from >= l.bytesWritten() && s.from >= l.close()
 }
 
 // withdraw tells a server that a SETUP is given up. Its connection is of no more use where it was silent.
 func (n *Node) withdraw(s *session, silent bool) {
 	l := s.on
-	l.send(tearDown(s.url, s.id, 0))
+	l.send(teardownMessage(s.url, s.id, 0))
 	n.awaitLate(s)
 	if silent && len(l.open) == 1 {
 		n.unlink(s)
-		n.retire(l)
+		n.closeServerConn(l)
 	}
 }
 
@@ -178,12 +178,12 @@
 // forget takes a session from all tables.
 func (n *Node) forget(s *session) {
 	n.logHistory(s, "over")
-	n.cancel(s.waiting)
+	n.cancelTimeout(s.waiting)
 	s.waiting = nil
 	n.unlink(s)
 	n.guard.Dropped(s.id)
 	if v := s.client; v != nil {
-		v.held = slices.DeleteFunc(v.held, func(o *session) bool { return o == s })
+		v.sessions = slices.DeleteFunc(v.sessions, func(o *session) bool { return o == s })
 		if s.state == established {
 			v.Established--
 		} else {
@@ -202,7 +202,7 @@
 // stands takes a server's good answer and gives it to the client.
 func (n *Node) stands(s *session, m *rtsp.Message) {
 	n.unlink(s)
-	n.cancel(s.waiting)
+	n.cancelTimeout(s.waiting)
 	s.waiting, s.state, s.since = nil, established, n.now
 	n.open--
 	s.server.held = append(s.server.held, s)
@@ -211,12 +211,12 @@
 	v := s.client
 	v.Pending--
 	v.Established++
-	v.proven = true
+	v.hasServed = true
 	if n.guard.Answer(n.now, s.id, invariant.Served) && !n.spoils(SabotageAnswer, s.id) {
 		if n.spoils(SabotageTwice, s.id) {
-			v.send(served(s.id, m.Body))
+			v.send(servedMessage(s.id, m.Body))
 		}
-		_, s.answered = v.sendNow(served(s.id, m.Body))
+		_, s.answered = v.sendNow(servedMessage(s.id, m.Body))
 		s.history.note(n.clock(), stepAnswered, writtenDetail(v, s.answered))
 	}
 	s.body = nil
@@ -237,18 +237,18 @@
 	n.forget(s)
 	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
 	if cause != causeMoved && !n.spoils(SabotageRelease, s.id) {
-		n.release(v, tearDown(s.url, s.id, cause))
+		n.release(v, teardownMessage(s.url, s.id, cause))
 	}
 	n.settleServer(sv)
 }
 
 // release sends a client its session's end: on its own connection, else on any that served a session.
 func (n *Node) release(v *client, b []byte) {
-	if v != nil && !v.closed && v.sendKept(n.now, b) {
+	if v != nil && !v.closed && v.sendRetained(n.now, b) {
 		return
 	}
 	for i := len(n.clients) - 1; i >= 0; i-- {
-		if o := n.clients[i]; o.proven && o.sendKept(n.now, b) {
+		if o := n.clients[i]; o.hasServed && o.sendRetained(n.now, b) {
 			return
 		}
 	}
@@ -274,7 +274,7 @@
 
 // clientLeft ends a session that stood because its client has, or is gone.
 func (n *Node) clientLeft(s *session) {
-	n.toServer(s.server, tearDown(s.url, s.id, causeMoved))
+	n.toServer(s.server, teardownMessage(s.url, s.id, causeMoved))
 	n.feed(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
 	n.ended(s, choice.Cancelled, causeMoved, noReport)
 }
@@ -286,7 +286,7 @@
 }
 
 func (r *release) outcome() choice.Outcome {
-	if r.cause == causeOver {
+	if r.cause == causeFinished {
 		return choice.Served
 	}
 	return choice.Cancelled
@@ -299,10 +299,10 @@
 	if s.release != nil {
 		return
 	}
-	s.release = &release{cause(m), readReport(m)}
+	s.release = &release{parseCause(m), parseLoadReport(m)}
 	s.history.unusual = true
 	n.counts["released before the answer"]++
-	n.cancel(s.waiting)
+	n.cancelTimeout(s.waiting)
 	s.waiting = nil
 	if l == s.on {
 		n.departed(s)
@@ -324,7 +324,7 @@
 // released takes a server's release.
 func (n *Node) released(l *link, s *session, id string, m *rtsp.Message) {
 	if s != nil {
-		s.history.note(n.now, stepServerReleased, strconv.Itoa(cause(m)))
+		s.history.note(n.now, stepServerReleased, strconv.Itoa(parseCause(m)))
 	}
 	switch {
 	case s == nil:
@@ -332,18 +332,18 @@
 			n.early[id] = true
 			n.after(keepPast, func() { delete(n.early, id) })
 		}
-	case s.state == attempting && (cause(m) == causeOver || cause(m) == causeMoved):
+	case s.state == attempting && (parseCause(m) == causeFinished || parseCause(m) == causeMoved):
 		n.releasedUnanswered(l, s, m)
 	case s.state == attempting:
-		n.setupOver(s, choice.Reset, readReport(m))
+		n.setupOver(s, choice.Reset, parseLoadReport(m))
 	case s.state == established:
-		switch c := cause(m); c {
-		case causeOver:
-			n.ended(s, choice.Served, c, readReport(m))
+		switch c := parseCause(m); c {
+		case causeFinished:
+			n.ended(s, choice.Served, c, parseLoadReport(m))
 		case causeMoved:
-			n.ended(s, choice.Cancelled, c, readReport(m))
+			n.ended(s, choice.Cancelled, c, parseLoadReport(m))
 		default:
-			n.ended(s, choice.Reset, causeCut, readReport(m))
+			n.ended(s, choice.Reset, causeLost, parseLoadReport(m))
 		}
 	}
 }
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -18,22 +18,22 @@
 
 // Start is what a front node begins with.
 type Start struct {
-	Name, Listen string
-	Coordinator  string // its address
-	MemoryMB     int
-	Sockets      int // descriptors at most
-	Index        int64
-	Known        []feed.Event
-	Names        feed.Names
-	Figures      choice.Config
-	Groups       []string // service groups' names, by number
-	SetupTimeout float64  // the longest that a service group has, in seconds
-	Connect      float64  // seconds that a connection to a server may take
-	Idle         float64  // seconds after which idle ones are closed
-	Streams      int      // SETUPs that one connection may carry together
+	Name, Listen     string
+	Coordinator      string // its address
+	MemoryMB         int
+	MaxDescriptors   int // descriptors at most
+	LastIndex        int64
+	InitialEvents    []feed.Event
+	Names            feed.Names
+	Config           choice.Config
+	Groups           []string // service groups' names, by number
+	SetupTimeout     float64  // the longest that a service group has, in seconds
+	ConnectTimeout   float64  // seconds that a connection to a server may take
+	IdleTimeout      float64  // seconds after which idle ones are closed
+	MaxSetupsPerConn int      // SETUPs that one connection may carry together
 }
 
-type file struct {
+type configFile struct {
 	Name, Listen, Seed, Coordinator string
 	Limits                          struct {
 		MemoryMB int `json:"memory_mb"`
@@ -46,8 +46,8 @@
 	Settings map[string]any
 }
 
-// unlimited is how many descriptors a node reckons with where its file names no limit: the most that it is given on any day.
-const unlimited = 1024
+// defaultMaxDescriptors is how many descriptors a node reckons with where its file names no limit: the most that it is given on any day.
+const defaultMaxDescriptors = 1024
 
 // Read reads the file.
 func Read(path string) (*Start, error) {
@@ -60,7 +60,7 @@
 
 // Parse reads a file's text.
 func Parse(text []byte) (*Start, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 	if figures.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %.30q is not a number in hex", f.Seed)
 	}
-	s := &Start{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, MemoryMB: f.Limits.MemoryMB, Sockets: cmp.Or(f.Limits.Sockets, unlimited),
-		Index: f.Known.Index, Known: f.Known.Updates, Figures: figures}
+	s := &Start{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, MemoryMB: f.Limits.MemoryMB, MaxDescriptors: cmp.Or(f.Limits.Sockets, defaultMaxDescriptors),
+		LastIndex: f.Known.Index, InitialEvents: f.Known.Updates, Config: figures}
 	if len(figures.Groups) == 0 || len(figures.Ladder) == 0 {
 		return nil, fmt.Errorf("settings: no service groups or no ladder")
 	}
@@ -99,18 +99,18 @@
 		us, _ := strconv.ParseFloat(flat[at+"hard_limit"], 64)
 		s.SetupTimeout = max(s.SetupTimeout, us/1e6)
 	}
-	s.Connect, s.Idle = micro(flat["caps.connect_timeout"]), micro(flat["caps.keepalive"])
-	s.Streams, _ = strconv.Atoi(flat["caps.streams_per_conn"])
-	s.Names = feed.Names{Zones: list(flat["zones"]), Kinds: list(flat["models"])}
+	s.ConnectTimeout, s.IdleTimeout = parseMicroseconds(flat["caps.connect_timeout"]), parseMicroseconds(flat["caps.keepalive"])
+	s.MaxSetupsPerConn, _ = strconv.Atoi(flat["caps.streams_per_conn"])
+	s.Names = feed.Names{Zones: splitList(flat["zones"]), Kinds: splitList(flat["models"])}
 	return s, nil
 }
 
-func micro(s string) float64 {
+func parseMicroseconds(s string) float64 {
 	us, _ := strconv.ParseFloat(s, 64)
 	return us / 1e6
 }
 
-func list(s string) []string {
+func splitList(s string) []string {
 	if s == "" {
 		return nil
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -111,7 +111,7 @@
 	f, s1 := single(t, 256)
 	for k, patience := range []int{1, 5, 12, 13, 30, 50} {
 		v := f.client()
-		v.say("%s", request(k, patience))
+		v.say("%s", setupText(k, patience))
 		sent := time.Now()
 		m := v.within(time.Duration(patience)*time.Millisecond + 500*time.Millisecond)
 		if s := said(m); s != "503" && s != "500" {
@@ -121,7 +121,7 @@
 	for len(s1.seen) > 0 {
 		if x := <-s1.seen; x.m.Method == rtsp.Setup {
 			var wait int
-			if fmt.Sscan(x.m.Header.Get(fieldWait), &wait); wait > 50 {
+			if fmt.Sscan(x.m.Header.Get(headerPatience), &wait); wait > 50 {
 				t.Errorf("a server is told %d ms", wait)
 			}
 		}
--- a/internal/node/timeouts.go
+++ b/internal/node/timeouts.go
@@ -4,30 +4,30 @@
 
 // timeout is something to do at an instant, unless it is cancelled.
 type timeout struct {
-	at float64
-	i  int // its place; below 0 once it is out
-	do func()
+	at    float64
+	index int // its place; below 0 once it is out
+	do    func()
 }
 
-type timeouts []*timeout
+type timeoutHeap []*timeout
 
-func (h timeouts) Len() int           { return len(h) }
-func (h timeouts) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timeouts) Swap(i, j int) {
+func (h timeoutHeap) Len() int           { return len(h) }
+func (h timeoutHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timeoutHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].i, h[j].i = i, j
+	h[i].index, h[j].index = i, j
 }
-func (h *timeouts) Push(x any) {
+func (h *timeoutHeap) Push(x any) {
 	a := x.(*timeout)
-	a.i = len(*h)
+	a.index = len(*h)
 	*h = append(*h, a)
 }
-func (h *timeouts) Pop() any {
+func (h *timeoutHeap) Pop() any {
 	old := *h
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	a.i = -1
+	a.index = -1
 	return a
 }
 
@@ -37,8 +37,8 @@
 	return a
 }
 
-func (n *Node) cancel(a *timeout) {
-	if a != nil && a.i >= 0 {
-		heap.Remove(&n.timeouts, a.i)
+func (n *Node) cancelTimeout(a *timeout) {
+	if a != nil && a.index >= 0 {
+		heap.Remove(&n.timeouts, a.index)
 	}
 }
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -18,7 +18,7 @@
 	if !m.IsRequest() {
 		what = strconv.Itoa(m.Status)
 	}
-	n.log.Debug("received", str("from", c.peer()), str("message", what), str("session", m.Session()), str("reason", m.Header.Get(fieldReason)))
+	n.log.Debug("received", str("from", c.peer()), str("message", what), str("session", m.Session()), str("reason", m.Header.Get(headerReason)))
 }
 
 // traceSent logs one message as it was handed to the connection, where debug is on. Its bytes are those from begins to
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -46,26 +46,26 @@
 	s := t.Sabotage
 	switch s {
 	case SabotageSlowStart:
-		f.Figures.WarmUp = 0
+		f.Config.WarmUp = 0
 	case SabotageBudget:
-		f.Figures.RetryWindow = 0
+		f.Config.RetryWindow = 0
 	case SabotageReady:
 		time.Sleep(startDelay)
 	case SabotageDescriptors:
-		for range f.Sockets + extraDescriptors {
+		for range f.MaxDescriptors + extraDescriptors {
 			if file, err := os.Open(os.DevNull); err == nil {
 				held = append(held, file)
 			}
 		}
 	}
-	for i := range f.Figures.Groups {
+	for i := range f.Config.Groups {
 		switch s {
 		case SabotageFloor:
-			f.Figures.Groups[i].Floor, f.Figures.Groups[i].Top = 0, 0
+			f.Config.Groups[i].Floor, f.Config.Groups[i].Top = 0, 0
 		case SabotageSeats:
-			f.Figures.Groups[i].Seats = 0
+			f.Config.Groups[i].Seats = 0
 		case SabotageRefusal:
-			f.Figures.Groups[i].Paid = false
+			f.Config.Groups[i].Paid = false
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // copyElsewhere sends a SETUP to a second server as well.
 func (n *Node) copyElsewhere(s *session) {
-	paid := n.start.Figures.Groups[s.group].Paid
+	paid := n.start.Config.Groups[s.group].Paid
 	sabotage := n.trials.Sabotage
 	if sabotage == SabotageRepeat && !paid || sabotage == SabotageOverlap && paid || sabotage != SabotageRepeat && sabotage != SabotageOverlap {
 		return
@@ -132,7 +132,7 @@
 		if sv != s.server && sv.state == choice.Ready {
 			for _, l := range sv.conns {
 				if l.up {
-					l.send(setup(s, s.until-n.now))
+					l.send(setupMessage(s, s.until-n.now))
 					return
 				}
 			}
@@ -145,5 +145,5 @@
 	if n.trials.Sabotage != SabotageCancel || sv == nil {
 		return
 	}
-	n.after(afterCancel, func() { n.say(sv, setup(s, 1)) })
+	n.after(afterCancel, func() { n.say(sv, setupMessage(s, 1)) })
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,42 +7,42 @@
 	"rainhaven/internal/node/feed"
 )
 
-// watch is the following of one coordinator.
-type watch struct {
-	addr  string
-	stop  context.CancelFunc
-	spoke bool // it has said something
+// coordinatorFollow is the following of one coordinator.
+type coordinatorFollow struct {
+	addr      string
+	cancel    context.CancelFunc
+	responded bool // it has said something
 }
 
-// mostWatches is how many coordinators are followed at most while newer ones have not said anything yet.
-const mostWatches = 4
+// maxCoordinators is how many coordinators are followed at most while newer ones have not said anything yet.
+const maxCoordinators = 4
 
 // followCoordinator follows a coordinator. Those followed before are left once it has said something: until then they alone
 // may tell of a server that drains.
 func (n *Node) followCoordinator(addr string) {
-	if k := slices.IndexFunc(n.watches, func(w *watch) bool { return w.addr == addr }); k >= 0 { // back to one before
+	if k := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); k >= 0 { // back to one before
 		w := n.watches[k]
 		n.watches = append(slices.Delete(n.watches, k, k+1), w)
-		if w.spoke {
-			n.coordinatorSpoke(w)
+		if w.responded {
+			n.coordinatorResponded(w)
 		}
 		return
 	}
-	if len(n.watches) == mostWatches {
-		n.watches[0].stop()
+	if len(n.watches) == maxCoordinators {
+		n.watches[0].cancel()
 		n.watches = slices.Delete(n.watches, 0, 1)
 	}
 	ctx, stop := context.WithCancel(n.ctx)
-	w := &watch{addr: addr, stop: stop}
+	w := &coordinatorFollow{addr: addr, cancel: stop}
 	n.watches = append(n.watches, w)
 	last := n.index
 	told := false
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		feed.Follow(ctx, addr, last, n.start.Figures.Seed, func() {
+		feed.Follow(ctx, addr, last, n.start.Config.Seed, func() {
 			if !told {
-				told = n.tell(event{do: func() { n.coordinatorSpoke(w) }})
+				told = n.tell(event{do: func() { n.coordinatorResponded(w) }})
 			}
 		}, func(e feed.Event) bool {
 			return n.tell(event{do: func() {
@@ -58,12 +58,12 @@
 	}()
 }
 
-// coordinatorSpoke takes a coordinator's first word: the ones before it are no longer followed.
-func (n *Node) coordinatorSpoke(w *watch) {
-	w.spoke = true
+// coordinatorResponded takes a coordinator's first word: the ones before it are no longer followed.
+func (n *Node) coordinatorResponded(w *coordinatorFollow) {
+	w.responded = true
 	k := max(slices.Index(n.watches, w), 0)
 	for _, before := range n.watches[:k] {
-		before.stop()
+		before.cancel()
 	}
 	n.watches = slices.Delete(n.watches, 0, k)
 }
