--- a/cmd/rainhaven/ctl.go
+++ b/cmd/rainhaven/ctl.go
@@ -33,7 +33,7 @@
 		if t.State == "" {
 			return nil, failed("front(state = ...) names no folder, and without one nobody can ask the front")
 		}
-		out, err := control.Ask(c.Context(), state.PathOf(t.State, t.Name, daemon.ControlSocket), method, in)
+		out, err := control.Call(c.Context(), state.PathOf(t.State, t.Name, daemon.ControlSocket), method, in)
 		if err != nil {
 			return nil, failure{exitFailed, err}
 		}
--- a/cmd/rainhaven/fleet.go
+++ b/cmd/rainhaven/fleet.go
@@ -44,7 +44,7 @@
 				}
 				what += "?instance=" + strconv.Itoa(n)
 			}
-			if _, err := fleet.Ask(c.Context(), fleet.SocketIn(folder), what); err != nil {
+			if _, err := fleet.Request(c.Context(), fleet.SocketPath(folder), what); err != nil {
 				return failure{exitFailed, err}
 			}
 			return nil
@@ -74,7 +74,7 @@
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 			defer signal.Stop(signals)
-			err = fleet.Run(fleet.Options{Program: self, Script: script, Terms: t, Socket: fleet.SocketIn(*folder), Logs: os.Stderr, Log: log, Signals: signals})
+			err = fleet.Run(fleet.Options{Executable: self, Script: script, Config: t, SocketPath: fleet.SocketPath(*folder), FrontLogs: os.Stderr, Log: log, Signals: signals})
 			var wrong settings.Mistakes
 			if err == nil || errors.As(err, &wrong) {
 				return err
@@ -94,7 +94,7 @@
 	var asJSON bool
 	c := &cobra.Command{Use: "status", Short: "What each front is at", Example: "  rainhaven fleet status\n  rainhaven fleet status --json", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			b, err := fleet.Ask(c.Context(), fleet.SocketIn(*folder), "status")
+			b, err := fleet.Request(c.Context(), fleet.SocketPath(*folder), "status")
 			if err != nil {
 				return failure{exitFailed, err}
 			}
@@ -116,8 +116,8 @@
 				fmt.Fprintf(w, "%d\t%s%s\t%v\t%.0f s\t%d\t%s\t\n", s.Index, s.Phase, old, s.Ready, s.PhaseSeconds, s.ConsecutiveFailures, s.LastExit)
 			}
 			w.Flush()
-			if r.Held != "" {
-				fmt.Fprintln(c.OutOrStdout(), "the rolling restart is held:", r.Held)
+			if r.HoldReason != "" {
+				fmt.Fprintln(c.OutOrStdout(), "the rolling restart is held:", r.HoldReason)
 			}
 			return nil
 		}}
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -44,8 +44,8 @@
 			if supervised {
 				owner = os.Stdin
 			}
-			code, err := daemon.Run(daemon.Options{Read: func() (settings.Terms, error) { return settings.ReadInstance(config, instance) }, Drain: drain,
-				Log: log, Level: set, Signals: signals, Owner: owner, Upgrade: upgrade})
+			code, err := daemon.Run(daemon.Options{LoadTerms: func() (settings.Terms, error) { return settings.ReadInstance(config, instance) }, DrainTimeout: drain,
+				Log: log, SetLogLevel: set, Signals: signals, Parent: owner, Upgrade: upgrade})
 			var wrong settings.Mistakes
 			if err == nil || errors.As(err, &wrong) {
 				return err
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -113,8 +113,8 @@
 	return g.Serve(l)
 }
 
-// Ask sends a front one request and gives its answer.
-func Ask(ctx context.Context, path, method string, in map[string]any) (map[string]any, error) {
+// Call sends a front one request and gives its answer.
+func Call(ctx context.Context, path, method string, in map[string]any) (map[string]any, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("no front answers there: %w", err)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,14 +34,14 @@
 
 // Options are what a process is handed.
 type Options struct {
-	Read    func() (settings.Terms, error) // the settings, checked; called at the start and at each reload
-	Drain   time.Duration                  // sessions may play on so long once the process is told to stop
-	Log     *zap.Logger
-	Level   func(name string) // sets the log's least level, an empty name the one it began with; may be nil
-	Signals <-chan os.Signal
-	Upgrade bool                       // take the sockets of the process of this name that runs, which drains then
-	Owner   io.Reader                  // ends when whoever started the process is gone: it drains then; may be nil
-	Up      func(listen, admin string) // called once it serves; may be nil
+	LoadTerms    func() (settings.Terms, error) // the settings, checked; called at the start and at each reload
+	DrainTimeout time.Duration                  // sessions may play on so long once the process is told to stop
+	Log          *zap.Logger
+	SetLogLevel  func(name string) // sets the log's least level, an empty name the one it began with; may be nil
+	Signals      <-chan os.Signal
+	Upgrade      bool                       // take the sockets of the process of this name that runs, which drains then
+	Parent       io.Reader                  // ends when whoever started the process is gone: it drains then; may be nil
+	OnServing    func(listen, admin string) // called once it serves; may be nil
 }
 
 // daemon is one process's. Its loop alone touches what is not said to be others'.
@@ -91,7 +91,7 @@
 	d := &daemon{Options: o, began: time.Now(), events: make(chan func(), 16)}
 	d.over, d.cancel = context.WithCancel(context.Background())
 	defer d.cancel()
-	d.life = lifecycle.New(0, o.Drain.Seconds(), d)
+	d.life = lifecycle.New(0, o.DrainTimeout.Seconds(), d)
 	code, err := d.start()
 	if err != nil {
 		d.life.Failed(code, err.Error())
@@ -99,9 +99,9 @@
 	} else {
 		d.life.Started()
 	}
-	if o.Owner != nil {
+	if o.Parent != nil {
 		go func() { // ends with the process: nothing can be done about a read under way
-			io.Copy(io.Discard, o.Owner)
+			io.Copy(io.Discard, o.Parent)
 			d.post(func() { d.life.Terminate("whoever started it is gone") })
 		}()
 	}
@@ -159,7 +159,7 @@
 // start brings everything up, or tells what can't be.
 func (d *daemon) start() (lifecycle.ExitCode, error) {
 	var err error
-	if d.terms, err = d.Read(); err != nil {
+	if d.terms, err = d.LoadTerms(); err != nil {
 		return lifecycle.ExitFailed, err
 	}
 	t := &d.terms
@@ -262,7 +262,7 @@
 	if d.folder != nil {
 		d.work.Go(d.keep)
 		d.control()
-		if x, err := d.folder.Lock(); err == nil {
+		if x, err := d.folder.DupLock(); err == nil {
 			d.sockets = append(d.sockets, given{forLock, x})
 		}
 		if err := d.meet(t); err != nil {
@@ -275,8 +275,8 @@
 	at := addresses[forAdmin]
 	d.Log.Info("serving", zap.String("front", t.Name), zap.String("listen", addresses[forViewers]), zap.String("tls", addresses[forTLS]),
 		zap.String("admin", at), zap.Int("boxes", len(t.Boxes)), zap.Bool("taken over", from != nil))
-	if d.Up != nil {
-		d.Up(addresses[forViewers], at)
+	if d.OnServing != nil {
+		d.OnServing(addresses[forViewers], at)
 	}
 	return lifecycle.ExitClean, nil
 }
@@ -367,7 +367,7 @@
 	d.storeMu.Lock()
 	defer d.storeMu.Unlock()
 	if d.store != nil {
-		d.kept(d.store.Keep(s))
+		d.kept(d.store.Save(s))
 	}
 }
 
@@ -390,7 +390,7 @@
 func (d *daemon) Reload() {
 	d.work.Go(func() {
 		refused := ""
-		t, err := d.Read()
+		t, err := d.LoadTerms()
 		if err != nil {
 			refused = err.Error()
 		} else if plan, err := d.front.Renew(t); err != nil {
@@ -408,14 +408,14 @@
 }
 
 func (d *daemon) level(t *settings.Terms) {
-	if d.Level != nil {
-		d.Level(t.Log)
+	if d.SetLogLevel != nil {
+		d.SetLogLevel(t.Log)
 	}
 }
 
 // Drain implements lifecycle.Actions.
 func (d *daemon) Drain() {
-	d.Log.Info("draining", zap.Int("sessions", d.front.Sessions()), zap.Duration("at most", d.Options.Drain))
+	d.Log.Info("draining", zap.Int("sessions", d.front.Sessions()), zap.Duration("at most", d.Options.DrainTimeout))
 	d.work.Go(func() {
 		d.front.Drain(d.over)
 		d.post(d.life.Drained)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -79,8 +79,8 @@
 	p := &process{t: t, file: file, signals: make(chan os.Signal, 4), code: make(chan lifecycle.ExitCode, 1)}
 	up := make(chan struct{})
 	go func() {
-		code, err := Run(Options{Read: func() (settings.Terms, error) { return settings.ReadTerms(file) }, Drain: 20 * time.Second, Signals: p.signals,
-			Upgrade: upgrade, Up: func(listen, admin string) {
+		code, err := Run(Options{LoadTerms: func() (settings.Terms, error) { return settings.ReadTerms(file) }, DrainTimeout: 20 * time.Second, Signals: p.signals,
+			Upgrade: upgrade, OnServing: func(listen, admin string) {
 				p.listen, p.admin = listen, admin
 				close(up)
 			}})
@@ -443,7 +443,7 @@
 	p := run(t, file)
 	ask := func(method string, in map[string]any) map[string]any {
 		t.Helper()
-		out, err := control.Ask(context.Background(), filepath.Join(dir, "f", ControlSocket), method, in)
+		out, err := control.Call(context.Background(), filepath.Join(dir, "f", ControlSocket), method, in)
 		if err != nil {
 			t.Fatal(method, err)
 		}
@@ -465,7 +465,7 @@
 	if l := fmt.Sprint(ask("Explain", map[string]any{"session": id})["lines"]); !strings.Contains(l, "SETUP to box") || !strings.Contains(l, "2 holders") {
 		t.Error(l)
 	}
-	if _, err := control.Ask(context.Background(), filepath.Join(dir, "f", ControlSocket), "Explain", map[string]any{"session": "none"}); err == nil || !strings.Contains(err.Error(), "nothing is kept") {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "f", ControlSocket), "Explain", map[string]any{"session": "none"}); err == nil || !strings.Contains(err.Error(), "nothing is kept") {
 		t.Error(err)
 	}
 	if s := ask("Status", nil); s["front"] != "f" || s["state"] != "serving" || s["sessions"] != 1.0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -29,26 +29,26 @@
 
 // Options are what a fleet is run by.
 type Options struct {
-	Program string // rainhaven itself
-	Script  string // settings of all, by the name instance
-	Terms   fleet.Config
-	Socket  string    // where it answers
-	Logs    io.Writer // of the fronts
-	Log     *zap.Logger
-	Signals <-chan os.Signal
-	Up      func() // called once it answers; may be nil
+	Executable  string // rainhaven itself
+	Script      string // settings of all, by the name instance
+	Config      fleet.Config
+	SocketPath  string    // where it answers
+	FrontLogs   io.Writer // of the fronts
+	Log         *zap.Logger
+	Signals     <-chan os.Signal
+	OnListening func() // called once it answers; may be nil
 }
 
 // Report is what the fleet tells of itself.
 type Report struct {
-	Held   string // why a rolling restart stands still
-	Fronts []Front
+	HoldReason string  `json:"Held"` // why a rolling restart is paused; empty where it is not
+	Fronts     []Front `json:"Fronts"`
 }
 
 // Front is one front's part of a report.
 type Front struct {
 	fleet.Status
-	Process int // its number; 0 is none
+	PID int `json:"Process"` // process id; 0 while none runs
 }
 
 // supervisor is one machine's. Its loop alone touches what is below events.
@@ -74,13 +74,13 @@
 
 // Run keeps a fleet running until it is told to end and all its fronts have ended.
 func Run(o Options) error {
-	s := &supervisor{Options: o, began: time.Now(), events: make(chan func(), 64), run: make([]*process, o.Terms.Fronts),
+	s := &supervisor{Options: o, began: time.Now(), events: make(chan func(), 64), run: make([]*process, o.Config.Fronts),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 	var err error
 	if s.admin, err = s.claims(); err != nil {
 		return err
 	}
-	l, err := listen(o.Socket)
+	l, err := listen(o.SocketPath)
 	if err != nil {
 		return err
 	}
@@ -88,13 +88,13 @@
 	defer s.work.Wait()
 	defer s.client.CloseIdleConnections()
 	defer s.cancel()
-	s.fleet = fleet.New(0, o.Terms, s)
+	s.fleet = fleet.New(0, o.Config, s)
 	s.answer(l)
 	for n := range s.run {
 		s.work.Go(func() { s.watch(n) })
 	}
-	if o.Up != nil {
-		o.Up()
+	if o.OnListening != nil {
+		o.OnListening()
 	}
 	s.loop()
 	return nil
@@ -104,7 +104,7 @@
 // tells its health.
 func (s *supervisor) claims() (admin []string, err error) {
 	var list []fleet.Claim
-	for n := range s.Terms.Fronts {
+	for n := range s.Config.Fronts {
 		t, err := settings.ReadInstance(s.Script, n)
 		if err != nil {
 			return nil, err
@@ -175,9 +175,9 @@
 
 // Start implements fleet.Actions.
 func (s *supervisor) Start(n int) {
-	cmd := exec.Command(s.Program, "front", "--config", s.Script, "--instance", strconv.Itoa(n), "--drain",
-		strconv.FormatFloat(s.Terms.DrainSeconds, 'f', -1, 64)+"s", "--supervised")
-	cmd.Stderr = s.Logs
+	cmd := exec.Command(s.Executable, "front", "--config", s.Script, "--instance", strconv.Itoa(n), "--drain",
+		strconv.FormatFloat(s.Config.DrainSeconds, 'f', -1, 64)+"s", "--supervised")
+	cmd.Stderr = s.FrontLogs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a terminal's signal is the supervisor's to pass on
 	stdin, err := cmd.StdinPipe()
 	if err == nil {
@@ -258,8 +258,8 @@
 	do := func(what func(n int) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.Atoi(r.URL.Query().Get("instance"))
-			if err == nil && (n < 0 || n >= s.Terms.Fronts) {
-				http.Error(w, fmt.Sprintf("instance %d of 0 to %d", n, s.Terms.Fronts-1), http.StatusBadRequest)
+			if err == nil && (n < 0 || n >= s.Config.Fronts) {
+				http.Error(w, fmt.Sprintf("instance %d of 0 to %d", n, s.Config.Fronts-1), http.StatusBadRequest)
 				return
 			}
 			if err != nil {
@@ -290,11 +290,11 @@
 		s.post(func() {
 			var r Report
 			list, held := s.fleet.Status()
-			r.Held = held
+			r.HoldReason = held
 			for n, x := range list {
 				r.Fronts = append(r.Fronts, Front{Status: x})
 				if p := s.run[n]; p != nil {
-					r.Fronts[n].Process = p.cmd.Process.Pid
+					r.Fronts[n].PID = p.cmd.Process.Pid
 				}
 			}
 			got <- r
@@ -327,8 +327,8 @@
 	})
 }
 
-// Ask sends a fleet one request, as in "status" or "drain?instance=3", and gives what it says.
-func Ask(ctx context.Context, socket, what string) ([]byte, error) {
+// Request sends a fleet one request, as in "status" or "drain?instance=3", and gives what it says.
+func Request(ctx context.Context, socket, what string) ([]byte, error) {
 	var d net.Dialer
 	c := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) { return d.DialContext(ctx, "unix", socket) }}}
@@ -352,5 +352,5 @@
 	return b, err
 }
 
-// SocketIn is where a fleet of a folder answers.
-func SocketIn(folder string) string { return filepath.Join(folder, "fleet.sock") }
+// SocketPath is where a fleet of a folder answers.
+func SocketPath(folder string) string { return filepath.Join(folder, "fleet.sock") }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -114,8 +114,8 @@
 	s.write(1)
 	up := make(chan struct{})
 	go func() {
-		s.over <- Run(Options{Program: bin, Script: s.script, Terms: fleet.Config{Fronts: fronts, MaxUnavailableShare: share, DrainSeconds: 4}, Socket: SocketIn(s.dir),
-			Logs: s, Log: zap.NewNop(), Up: func() { close(up) }})
+		s.over <- Run(Options{Executable: bin, Script: s.script, Config: fleet.Config{Fronts: fronts, MaxUnavailableShare: share, DrainSeconds: 4}, SocketPath: SocketPath(s.dir),
+			FrontLogs: s, Log: zap.NewNop(), OnListening: func() { close(up) }})
 	}()
 	select {
 	case <-up:
@@ -147,7 +147,7 @@
 }
 
 func (s *site) status() (r Report) {
-	b, err := Ask(context.Background(), SocketIn(s.dir), "status")
+	b, err := Request(context.Background(), SocketPath(s.dir), "status")
 	if err == nil {
 		err = json.Unmarshal(b, &r)
 	}
@@ -184,7 +184,7 @@
 // used is what processes take: resident memory in MB, and seconds of processor.
 func used(r Report) (mb, cpu float64) {
 	for _, f := range r.Fronts {
-		b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.Process))
+		b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.PID))
 		if _, rest, ok := strings.Cut(string(b), ") "); ok {
 			x := strings.Fields(rest)
 			ticks := func(i int) float64 { n, _ := strconv.ParseFloat(x[i], 64); return n }
@@ -246,18 +246,18 @@
 	before := s.status()
 	for _, f := range before.Fronts[:n/3] {
 		s.wit.FrontKilled(fmt.Sprint("f", f.Index), s.now())
-		syscall.Kill(f.Process, syscall.SIGKILL)
+		syscall.Kill(f.PID, syscall.SIGKILL)
 	}
 	s.reach("the killed ones are back", func(r Report) bool {
 		for n := range n / 3 {
-			if r.Fronts[n].Process == before.Fronts[n].Process || r.Fronts[n].ConsecutiveFailures == 0 {
+			if r.Fronts[n].PID == before.Fronts[n].PID || r.Fronts[n].ConsecutiveFailures == 0 {
 				return false
 			}
 		}
 		return allReady(r)
 	})
 	was := s.status()
-	if _, err := Ask(ctx, SocketIn(s.dir), "restart"); err != nil {
+	if _, err := Request(ctx, SocketPath(s.dir), "restart"); err != nil {
 		t.Fatal(err)
 	}
 	worst := s.n
@@ -276,13 +276,13 @@
 		t.Errorf("%d of %d were ready at the worst moment of the restart", worst, n)
 	}
 	for n, f := range now.Fronts {
-		if f.Process == was.Fronts[n].Process {
+		if f.PID == was.Fronts[n].PID {
 			t.Errorf("front %d was not restarted", n)
 		}
 	}
 	s.write(0)
 	for _, f := range now.Fronts {
-		syscall.Kill(f.Process, syscall.SIGHUP)
+		syscall.Kill(f.PID, syscall.SIGHUP)
 	}
 	s.reach("all have read their settings again", func(Report) bool {
 		s.mu.Lock()
@@ -292,7 +292,7 @@
 	stop()
 	load.Wait()
 	viewers.Wait()
-	if _, err := Ask(context.Background(), SocketIn(s.dir), "down"); err != nil {
+	if _, err := Request(context.Background(), SocketPath(s.dir), "down"); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-s.over; err != nil {
@@ -328,6 +328,19 @@
 	}
 }
 
+// Operators' scripts read the output of fleet status --json, so its keys must not change with the Go field names.
+func TestReportJSONKeys(t *testing.T) {
+	s := fleet.Status{Index: 1, Phase: "up", Ready: true, PhaseSeconds: 2.5, ConsecutiveFailures: 3, LastExit: "exit 1", RestartPending: true}
+	got, err := json.Marshal(Report{HoldReason: "front 1 failed", Fronts: []Front{{Status: s, PID: 4}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := `{"Held":"front 1 failed","Fronts":[{"N":1,"Phase":"up","Ready":true,"Age":2.5,"Fails":3,"Last":"exit 1","Old":true,"Process":4}]}`
+	if string(got) != want {
+		t.Errorf("written as\n%s\nwant\n%s", got, want)
+	}
+}
+
 func TestFleetsThatAreNotStarted(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "fleet.star")
@@ -348,7 +361,7 @@
 		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		err := Run(Options{Program: "none", Script: file, Terms: fleet.Config{Fronts: 2, MaxUnavailableShare: 1}, Socket: SocketIn(dir), Log: zap.NewNop()})
+		err := Run(Options{Executable: "none", Script: file, Config: fleet.Config{Fronts: 2, MaxUnavailableShare: 1}, SocketPath: SocketPath(dir), Log: zap.NewNop()})
 		if err == nil || !strings.Contains(err.Error(), c.say) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -93,8 +93,8 @@
 	return f, nil
 }
 
-// Lock is the folder's lock as a file to be sent to another process.
-func (f *Folder) Lock() (*os.File, error) {
+// DupLock is the folder's lock as a file to be sent to another process.
+func (f *Folder) DupLock() (*os.File, error) {
 	fd, err := syscall.Dup(int(f.lock.Fd()))
 	if err != nil {
 		return nil, err
@@ -207,8 +207,8 @@
 	return s, nil
 }
 
-// Keep writes what is to be known again, whole or not at all.
-func (s *Store) Keep(m restore.Snapshot) (err error) {
+// Save writes what is to be known again, whole or not at all.
+func (s *Store) Save(m restore.Snapshot) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil { // damage that shows at a write only
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("an empty folder: %v %q", found, say)
 	}
 	for n := range 5 {
-		if err := s.Keep(sample(n)); err != nil {
+		if err := s.Save(sample(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,7 +77,7 @@
 	defer f.Close()
 	s, _, _, _ := load(t, f)
 	for n := range 4 {
-		if err := s.Keep(sample(n)); err != nil {
+		if err := s.Save(sample(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Keep(sample(4)); err != nil {
+	if err := s.Save(sample(4)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -122,7 +122,7 @@
 		default:
 			t.Fatalf("found %v, of %v, said %q", found, kept.SavedAt, say)
 		}
-		if err := s.Keep(sample(9)); err != nil {
+		if err := s.Save(sample(9)); err != nil {
 			t.Fatalf("nothing can be kept after it: %v", err)
 		}
 	}
@@ -221,7 +221,7 @@
 	defer s.Close()
 	m := sample(1)
 	for b.Loop() {
-		if err := s.Keep(m); err != nil {
+		if err := s.Save(m); err != nil {
 			b.Fatal(err)
 		}
 	}
