--- a/cmd/rainhaven/ctl.go
+++ b/cmd/rainhaven/ctl.go
@@ -22,18 +22,18 @@
 	c.PersistentFlags().IntVar(&instance, "instance", 0, "which of many fronts of one script")
 	c.MarkPersistentFlagRequired("config")
 	ask := func(c *cobra.Command, method string, in map[string]any) (map[string]any, error) {
-		t, err := settings.ReadInstance(config, instance)
-		var wrong settings.Mistakes
+		t, err := settings.ReadInstanceConfig(config, instance)
+		var wrong settings.Diagnostics
 		if errors.As(err, &wrong) {
 			return nil, err
 		}
 		if err != nil {
 			return nil, failure{exitFailed, err}
 		}
-		if t.State == "" {
+		if t.StateDir == "" {
 			return nil, failed("front(state = ...) names no folder, and without one nobody can ask the front")
 		}
-		out, err := control.Ask(c.Context(), state.PathOf(t.State, t.Name, daemon.ControlSocket), method, in)
+		out, err := control.Ask(c.Context(), state.PathOf(t.StateDir, t.Name, daemon.ControlSocket), method, in)
 		if err != nil {
 			return nil, failure{exitFailed, err}
 		}
--- a/cmd/rainhaven/fleet.go
+++ b/cmd/rainhaven/fleet.go
@@ -75,7 +75,7 @@
 			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 			defer signal.Stop(signals)
 			err = fleet.Run(fleet.Options{Program: self, Script: script, Terms: t, Socket: fleet.SocketIn(*folder), Logs: os.Stderr, Log: log, Signals: signals})
-			var wrong settings.Mistakes
+			var wrong settings.Diagnostics
 			if err == nil || errors.As(err, &wrong) {
 				return err
 			}
--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -33,7 +33,7 @@
 	c := &cobra.Command{Use: "play URL", Short: "Play a session and look at every frame",
 		Example: "  rainhaven play rtsp://127.0.0.1:8554/fault-clips/demo\n  rainhaven play --for 10s --json rtsp://127.0.0.1:8554/fault-clips/demo", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			p, err := rtsp.ParsePlace(args[0])
+			p, err := rtsp.ParseURL(args[0])
 			if err != nil {
 				return fmt.Errorf("%w; rtsp://host:port/group/title would be right", err)
 			}
@@ -127,7 +127,7 @@
 			}
 			d, err := day.Read(args[0])
 			if err != nil {
-				var wrong settings.Mistakes
+				var wrong settings.Diagnostics
 				if errors.As(err, &wrong) {
 					return err
 				}
--- a/cmd/rainhaven/main.go
+++ b/cmd/rainhaven/main.go
@@ -54,7 +54,7 @@
 	}
 	code := exitUsage
 	var f failure
-	var wrong settings.Mistakes
+	var wrong settings.Diagnostics
 	if errors.As(err, &f) {
 		code = f.code
 	} else if errors.As(err, &wrong) {
@@ -150,8 +150,8 @@
 	c := &cobra.Command{Use: "check FILE", Short: "Check a front's settings: every mistake with its line and what would be right",
 		Example: "  rainhaven check examples/front.star", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			t, err := settings.ReadInstance(args[0], instance)
-			var wrong settings.Mistakes
+			t, err := settings.ReadInstanceConfig(args[0], instance)
+			var wrong settings.Diagnostics
 			if err != nil && !errors.As(err, &wrong) {
 				return failure{exitFailed, err}
 			}
--- a/cmd/rainhaven/migrate.go
+++ b/cmd/rainhaven/migrate.go
@@ -25,7 +25,7 @@
 				return fmt.Errorf("migrate needs --layout, and either --out or --dry-run")
 			}
 			m, err := settings.Migrate(args[0], layout, instance)
-			var wrong settings.Mistakes
+			var wrong settings.Diagnostics
 			if errors.As(err, &wrong) {
 				return err // printed a line each
 			}
@@ -35,7 +35,7 @@
 			for _, line := range m.Changed {
 				fmt.Fprintln(c.OutOrStdout(), "changed:", line)
 			}
-			for _, line := range m.Left {
+			for _, line := range m.NotMigrated {
 				fmt.Fprintln(c.OutOrStdout(), "not carried over:", line)
 			}
 			if dry {
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -44,9 +44,9 @@
 			if supervised {
 				owner = os.Stdin
 			}
-			code, err := daemon.Run(daemon.Options{Read: func() (settings.Terms, error) { return settings.ReadInstance(config, instance) }, Drain: drain,
+			code, err := daemon.Run(daemon.Options{Read: func() (settings.Config, error) { return settings.ReadInstanceConfig(config, instance) }, Drain: drain,
 				Log: log, Level: set, Signals: signals, Owner: owner, Upgrade: upgrade})
-			var wrong settings.Mistakes
+			var wrong settings.Diagnostics
 			if err == nil || errors.As(err, &wrong) {
 				return err
 			}
@@ -100,7 +100,7 @@
 }
 
 // tryTerms are a front before six boxes, with nothing to configure.
-func tryTerms(boxes []settings.Box, rates []float64) settings.Terms {
+func tryTerms(boxes []settings.Box, rates []float64) settings.Config {
 	s := settings.Read("try", []byte(`
 front(name = "try", listen = "127.0.0.1:0")
 kind(name = "small", places = 20)
@@ -112,9 +112,9 @@
 title(name = "vents", span = 4)
 box(id = 1, address = "127.0.0.1:1", cell = 0)
 `), settings.FrontForms)
-	t := settings.FrontTerms(s)
-	if len(s.Mistakes) > 0 {
-		panic(s.Mistakes) // a fault of this file's
+	t := settings.FrontConfig(s)
+	if len(s.Diagnostics) > 0 {
+		panic(s.Diagnostics) // a fault of this file's
 	}
 	t.Boxes = boxes
 	return t
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,8 +34,8 @@
 
 // Options are what a process is handed.
 type Options struct {
-	Read    func() (settings.Terms, error) // the settings, checked; called at the start and at each reload
-	Drain   time.Duration                  // sessions may play on so long once the process is told to stop
+	Read    func() (settings.Config, error) // the settings, checked; called at the start and at each reload
+	Drain   time.Duration                   // sessions may play on so long once the process is told to stop
 	Log     *zap.Logger
 	Level   func(name string) // sets the log's least level, an empty name the one it began with; may be nil
 	Signals <-chan os.Signal
@@ -54,7 +54,7 @@
 	over   context.Context // done when the process is to end
 	cancel context.CancelFunc
 
-	terms  settings.Terms
+	terms  settings.Config
 	front  *front.Front
 	folder *state.Folder
 	files  *keys.KeyPair // for viewers over TLS; nil without
@@ -169,17 +169,17 @@
 	o := front.Options{Log: d.Log, Registry: reg}
 	var from *taking
 	if d.Upgrade {
-		if t.State == "" {
+		if t.StateDir == "" {
 			return lifecycle.ExitStateFolder, errors.New("an upgrade in service needs front(state = ...), where the two processes meet")
 		}
-		if from, err = take(state.PathOf(t.State, t.Name, socket)); err != nil {
+		if from, err = take(state.PathOf(t.StateDir, t.Name, socket)); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
 		defer from.drop()
-		if d.folder, err = state.Adopt(t.State, t.Name, from.files[forLock]); err != nil {
+		if d.folder, err = state.Adopt(t.StateDir, t.Name, from.files[forLock]); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
-	} else if t.State != "" {
+	} else if t.StateDir != "" {
 		if o.Memory, err = d.recall(t); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
@@ -196,16 +196,16 @@
 		}
 		return l, err
 	}
-	if t.BoxTLS.Roots != "" {
-		roots, err := keys.OpenRoots(t.BoxTLS.Roots, d.Log)
+	if t.BoxTLS.RootsFile != "" {
+		roots, err := keys.OpenRoots(t.BoxTLS.RootsFile, d.Log)
 		if err != nil {
 			return lifecycle.ExitFailed, err
 		}
 		d.work.Go(func() { roots.Watch(d.over, 2*time.Second) })
-		o.Dial = roots.Dialer(t.BoxTLS.Name)
+		o.Dial = roots.Dialer(t.BoxTLS.ServerName)
 	}
 	if t.TLS.Listen != "" {
-		if d.files, err = keys.OpenKeyPair(t.TLS.Cert, t.TLS.Key, d.Log); err != nil {
+		if d.files, err = keys.OpenKeyPair(t.TLS.CertFile, t.TLS.KeyFile, d.Log); err != nil {
 			return lifecycle.ExitFailed, err
 		}
 	}
@@ -286,7 +286,7 @@
 
 // meet opens the instance's socket for upgrades. The folder's lock is held, so one that is there is left over or that of
 // the process that was just taken over.
-func (d *daemon) meet(t *settings.Terms) error {
+func (d *daemon) meet(t *settings.Config) error {
 	path := d.folder.Path(socket)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -318,9 +318,9 @@
 func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // recall opens the instance's folder and reads what the last process left, as far as it is believed.
-func (d *daemon) recall(t *settings.Terms) (*choice.Snapshot, error) {
+func (d *daemon) recall(t *settings.Config) (*choice.Snapshot, error) {
 	var err error
-	if d.folder, err = state.Open(t.State, t.Name); err != nil {
+	if d.folder, err = state.Open(t.StateDir, t.Name); err != nil {
 		return nil, err
 	}
 	s, kept, found, say, err := d.folder.Load()
@@ -335,7 +335,7 @@
 	if !found {
 		return nil, nil
 	}
-	f := t.Figures
+	f := t.Choice
 	m, words := restore.FromSnapshot(now(), kept, restore.Config{WindowSeconds: f.RetryWindow, BaseAllowance: f.BaseRetries, RetryShare: f.RetriesPerSession, WarmUpSeconds: f.WarmUp})
 	d.Log.Info("stored state", zap.Float64("seconds old", now()-kept.SavedAt), zap.Bool("clean", kept.CleanExit), zap.Int("boxes", len(m.Servers)),
 		zap.Strings("what", words))
@@ -407,9 +407,9 @@
 	})
 }
 
-func (d *daemon) level(t *settings.Terms) {
+func (d *daemon) level(t *settings.Config) {
 	if d.Level != nil {
-		d.Level(t.Log)
+		d.Level(t.LogLevel)
 	}
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -79,7 +79,7 @@
 	p := &process{t: t, file: file, signals: make(chan os.Signal, 4), code: make(chan lifecycle.ExitCode, 1)}
 	up := make(chan struct{})
 	go func() {
-		code, err := Run(Options{Read: func() (settings.Terms, error) { return settings.ReadTerms(file) }, Drain: 20 * time.Second, Signals: p.signals,
+		code, err := Run(Options{Read: func() (settings.Config, error) { return settings.ReadConfig(file) }, Drain: 20 * time.Second, Signals: p.signals,
 			Upgrade: upgrade, Up: func(listen, admin string) {
 				p.listen, p.admin = listen, admin
 				close(up)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -105,7 +105,7 @@
 func (s *supervisor) claims() (admin []string, err error) {
 	var list []fleet.Claim
 	for n := range s.Terms.Fronts {
-		t, err := settings.ReadInstance(s.Script, n)
+		t, err := settings.ReadInstanceConfig(s.Script, n)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -28,7 +28,7 @@
 	box    choice.ServerID
 	host   string // its address
 	conn   *rtsp.Conn
-	out    *relay.Out
+	out    *relay.Queue
 	stream atomic.Pointer[relay.Stream]
 
 	// Owned by the loop.
@@ -57,7 +57,7 @@
 	f.work.Add(1)
 	go func() {
 		defer f.work.Done()
-		ctx, cancel := context.WithTimeout(ctx, time.Duration(f.terms().Bounds.ConnectTimeout*1e9))
+		ctx, cancel := context.WithTimeout(ctx, time.Duration(f.terms().Limits.ConnectTimeout*1e9))
 		defer cancel()
 		raw, err := f.dial(ctx, host)
 		f.post(func() {
@@ -82,8 +82,8 @@
 // begin starts a connection's goroutines.
 func (f *Front) begin(box choice.ServerID, host string, raw net.Conn) *boxConn {
 	f.serial++
-	c := &boxConn{f: f, num: pool.ConnID(f.serial), box: box, host: host, conn: rtsp.NewConn(raw, rtsp.Bounds{Line: 2048}),
-		out: relay.NewOut(0), waits: map[int]func(*rtsp.Message){}}
+	c := &boxConn{f: f, num: pool.ConnID(f.serial), box: box, host: host, conn: rtsp.NewConn(raw, rtsp.Limits{LineBytes: 2048}),
+		out: relay.NewQueue(0), waits: map[int]func(*rtsp.Message){}}
 	f.conns[c.num] = c
 	f.work.Add(2)
 	go func() {
@@ -122,10 +122,10 @@
 		if m == nil {
 			if s := c.stream.Load(); s != nil {
 				now := time.Since(c.f.began)
-				s.Out().Room(len(frame.Whole), int64(now), timer, time.Duration(limits.QueueFullWait*1e9))
-				s.Frame(now, frame.Channel, frame.Payload())
-				if !c.conn.More() {
-					s.Out().Flush()
+				s.Queue().AwaitRoom(len(frame.Raw), int64(now), timer, time.Duration(limits.QueueFullWait*1e9))
+				s.ForwardFrame(now, frame.Channel, frame.Payload())
+				if !c.conn.FrameBuffered() {
+					s.Queue().Flush()
 				}
 			} else {
 				c.f.count.stray.Inc()
@@ -139,9 +139,9 @@
 // send sends a request; then hears of its answer, or nil where the connection ends first.
 func (c *boxConn) send(m *rtsp.Message, then func(*rtsp.Message)) {
 	c.cseq++
-	m.With("CSeq", strconv.Itoa(c.cseq)).With("User-Agent", "rainhaven/"+c.f.terms().Name)
+	m.WithHeader("CSeq", strconv.Itoa(c.cseq)).WithHeader("User-Agent", "rainhaven/"+c.f.terms().Name)
 	c.waits[c.cseq] = then
-	if err := c.out.Message(m.Append(nil)); err != nil {
+	if err := c.out.PushMessage(m.Append(nil)); err != nil {
 		c.close()
 	}
 }
@@ -153,7 +153,7 @@
 		if m.Method == rtsp.Options || m.Method == rtsp.GetParameter && len(m.Body) == 0 {
 			status = rtsp.OK
 		}
-		c.out.Message(rtsp.Response(m, status).Append(nil))
+		c.out.PushMessage(rtsp.NewResponse(m, status).Append(nil))
 		return
 	}
 	then, ok := c.waits[m.CSeq()]
@@ -245,7 +245,7 @@
 type carrier struct{ f *Front }
 
 func (c *boxConn) url(s *sess, track int) string {
-	return rtsp.Place{Host: c.host, Group: s.place.Group, Title: s.place.Title, Track: track, Query: s.place.Query}.URL()
+	return rtsp.Resource{Host: c.host, Group: s.place.Group, Title: s.place.Title, Track: track, Query: s.place.Query}.URL()
 }
 
 // Setup implements session.Actions.
@@ -274,8 +274,8 @@
 		c.stream.Store(s.stream)
 		f.atBox[id] = c
 		t := s.tracks[0]
-		m := rtsp.Request(rtsp.Setup, c.url(s, t.n)).With("Rung", strconv.Itoa(rung)).
-			With("Transport", rtsp.Transport{Low: t.box, High: t.box + 1}.String())
+		m := rtsp.NewRequest(rtsp.Setup, c.url(s, t.n)).WithHeader("Rung", strconv.Itoa(rung)).
+			WithHeader("Transport", rtsp.Transport{RTPChannel: t.box, RTCPChannel: t.box + 1}.String())
 		c.send(m, func(m *rtsp.Message) { c.setupAnswered(s, try, m) })
 		f.table.SetupSent(id, try)
 	})
@@ -342,7 +342,7 @@
 			return
 		}
 		timer := time.AfterFunc(2*time.Second, func() { f.post(c.close) })
-		c.send(rtsp.Request(rtsp.TearDown, url).With("Session", name), func(m *rtsp.Message) {
+		c.send(rtsp.NewRequest(rtsp.TearDown, url).WithHeader("Session", name), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
 				f.count.orphans.WithLabelValues("left").Inc()
@@ -366,29 +366,29 @@
 	var m *rtsp.Message
 	switch op {
 	case session.Play:
-		m = rtsp.Request(rtsp.Play, c.url(s, -1))
+		m = rtsp.NewRequest(rtsp.Play, c.url(s, -1))
 		if ask := s.asks[arg]; ask != nil {
 			if r := ask.req.Header.Get("Range"); r != "" {
-				m.With("Range", r)
+				m.WithHeader("Range", r)
 			}
 		}
 	case session.Pause:
-		m = rtsp.Request(rtsp.Pause, c.url(s, -1))
+		m = rtsp.NewRequest(rtsp.Pause, c.url(s, -1))
 	case session.Join:
 		t := s.joining(arg)
-		m = rtsp.Request(rtsp.Setup, c.url(s, t.n)).With("Transport", rtsp.Transport{Low: t.box, High: t.box + 1}.String())
+		m = rtsp.NewRequest(rtsp.Setup, c.url(s, t.n)).WithHeader("Transport", rtsp.Transport{RTPChannel: t.box, RTCPChannel: t.box + 1}.String())
 	case session.KeepAlive:
-		m = rtsp.Request(rtsp.GetParameter, c.url(s, -1))
+		m = rtsp.NewRequest(rtsp.GetParameter, c.url(s, -1))
 	case session.SetRung:
 		f.count.rungs.Inc()
 		c.rung = arg
-		m = rtsp.Request(rtsp.SetParameter, c.url(s, -1)).With("Content-Type", "text/parameters")
+		m = rtsp.NewRequest(rtsp.SetParameter, c.url(s, -1)).WithHeader("Content-Type", "text/parameters")
 		m.Body = fmt.Appendf(nil, "rung: %d\r\n", arg)
 	case session.TearDown:
-		m = rtsp.Request(rtsp.TearDown, c.url(s, -1))
+		m = rtsp.NewRequest(rtsp.TearDown, c.url(s, -1))
 		c.stream.Store(nil)
 	}
-	c.send(m.With("Session", c.session), func(m *rtsp.Message) {
+	c.send(m.WithHeader("Session", c.session), func(m *rtsp.Message) {
 		if m == nil {
 			return // boxClosed tells it
 		}
@@ -407,7 +407,7 @@
 func (s *sess) joining(n int) track {
 	ask := s.asks[n]
 	if ask != nil {
-		if p, err := rtsp.ParsePlace(ask.req.URL); err == nil {
+		if p, err := rtsp.ParseURL(ask.req.URL); err == nil {
 			for _, t := range s.tracks {
 				if t.n == max(p.Track, 0) {
 					return t
@@ -445,13 +445,13 @@
 			end(0, choice.NoConnection, none)
 			return
 		}
-		timer := time.AfterFunc(time.Duration(f.terms().Bounds.ProbeTimeout*1e9), func() {
+		timer := time.AfterFunc(time.Duration(f.terms().Limits.ProbeTimeout*1e9), func() {
 			f.post(func() {
 				end(0, choice.TimedOut, none)
 				c.close()
 			})
 		})
-		c.send(rtsp.Request(rtsp.GetParameter, "rtsp://"+c.host+"/"), func(m *rtsp.Message) {
+		c.send(rtsp.NewRequest(rtsp.GetParameter, "rtsp://"+c.host+"/"), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
 				end(0, choice.Reset, none)
@@ -491,17 +491,17 @@
 	x.first = nil
 	if v != session.Served {
 		f.forget(x)
-		r := rtsp.Response(slot.req, rtsp.GatewayTimeout)
+		r := rtsp.NewResponse(slot.req, rtsp.GatewayTimeout)
 		if v == session.Busy {
 			// Retry-After is in whole seconds; 0 says that any time will do.
-			r = rtsp.Response(slot.req, rtsp.ServiceUnavailable).With("Retry-After", strconv.Itoa(int(comeBack+0.999)))
+			r = rtsp.NewResponse(slot.req, rtsp.ServiceUnavailable).WithHeader("Retry-After", strconv.Itoa(int(comeBack+0.999)))
 		}
 		x.viewer.respond(slot, r)
 		return
 	}
 	t := x.tracks[0]
-	x.viewer.respond(slot, rtsp.Response(slot.req, rtsp.OK).With("Session", f.sessionField(x)).
-		With("Transport", rtsp.Transport{Low: t.low, High: t.high}.String()))
+	x.viewer.respond(slot, rtsp.NewResponse(slot.req, rtsp.OK).WithHeader("Session", f.sessionField(x)).
+		WithHeader("Transport", rtsp.Transport{RTPChannel: t.low, RTCPChannel: t.high}.String()))
 }
 
 // Reply implements session.Actions.
@@ -516,7 +516,7 @@
 		session.BoxRefused: rtsp.InternalError, session.BoxUnavailable: rtsp.GatewayTimeout, session.TooManyRequests: rtsp.ServiceUnavailable}
 	if r != session.Done {
 		if s.req.Method == rtsp.Setup {
-			p, _ := rtsp.ParsePlace(s.req.URL)
+			p, _ := rtsp.ParseURL(s.req.URL)
 			x.tracks = slices.DeleteFunc(x.tracks, func(o track) bool { return o.n == max(p.Track, 0) })
 		}
 		x.viewer.status(s, status[r])
@@ -524,12 +524,12 @@
 	}
 	switch s.req.Method {
 	case rtsp.Setup:
-		p, _ := rtsp.ParsePlace(s.req.URL)
+		p, _ := rtsp.ParseURL(s.req.URL)
 		for _, t := range x.tracks {
 			if t.n == max(p.Track, 0) {
-				x.stream.Add(t.box, &relay.Track{RTP: t.low, RTCP: t.high, Clock: media[t.n].clock})
-				x.viewer.respond(s, rtsp.Response(s.req, rtsp.OK).With("Session", k.f.sessionField(x)).
-					With("Transport", rtsp.Transport{Low: t.low, High: t.high}.String()))
+				x.stream.AddTrack(t.box, &relay.Track{RTPChannel: t.low, RTCPChannel: t.high, ClockRate: media[t.n].clock})
+				x.viewer.respond(s, rtsp.NewResponse(s.req, rtsp.OK).WithHeader("Session", k.f.sessionField(x)).
+					WithHeader("Transport", rtsp.Transport{RTPChannel: t.low, RTCPChannel: t.high}.String()))
 			}
 		}
 	case rtsp.Play:
@@ -541,7 +541,7 @@
 		k.f.ear.Forget(id)
 		fallthrough
 	default:
-		x.viewer.respond(s, rtsp.Response(s.req, rtsp.OK).With("Session", string(x.id)))
+		x.viewer.respond(s, rtsp.NewResponse(s.req, rtsp.OK).WithHeader("Session", string(x.id)))
 	}
 }
 
@@ -555,7 +555,7 @@
 	f.count.ends.WithLabelValues(why.String()).Inc()
 	f.log.Info("session over", zap.String("session", string(id)), zap.Stringer("why", why))
 	if why != session.ByViewer && x.stream != nil {
-		x.stream.Bye()
+		x.stream.SendBye()
 	}
 	f.forget(x)
 	if x.viewer == nil {
--- a/internal/front/describe.go
+++ b/internal/front/describe.go
@@ -26,7 +26,7 @@
 // there are as many as those at most.
 func (v *viewer) describe(s *slot) {
 	f := v.f
-	p, err := rtsp.ParsePlace(s.req.URL)
+	p, err := rtsp.ParseURL(s.req.URL)
 	title, known := f.terms().Titles[p.Title]
 	if err != nil || f.terms().GroupIndex(p.Group) < 0 || !known {
 		v.status(s, rtsp.NotFound)
@@ -41,7 +41,7 @@
 type waiter struct {
 	v *viewer
 	s *slot
-	p rtsp.Place
+	p rtsp.Resource
 }
 
 // carryDescription carries out a step for a title.
@@ -64,7 +64,7 @@
 		return
 	}
 	w.p.Track = -1
-	r := rtsp.Response(w.s.req, rtsp.OK).With("Content-Type", "application/sdp").With("Content-Base", w.p.URL()+"/")
+	r := rtsp.NewResponse(w.s.req, rtsp.OK).WithHeader("Content-Type", "application/sdp").WithHeader("Content-Base", w.p.URL()+"/")
 	r.Body = append([]byte(nil), body...)
 	w.v.respond(w.s, r)
 }
@@ -95,8 +95,8 @@
 				}
 			})
 		})
-		url := rtsp.Place{Host: c.host, Group: f.terms().Groups[0].Name, Title: title, Track: -1}.URL()
-		c.send(rtsp.Request(rtsp.Describe, url).With("Accept", "application/sdp"), func(m *rtsp.Message) {
+		url := rtsp.Resource{Host: c.host, Group: f.terms().Groups[0].Name, Title: title, Track: -1}.URL()
+		c.send(rtsp.NewRequest(rtsp.Describe, url).WithHeader("Accept", "application/sdp"), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
 				got(nil, "broken")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -66,7 +66,7 @@
 
 // Front is one front. Make it with New, run it with Serve.
 type Front struct {
-	current atomic.Pointer[settings.Terms] // read by anyone, changed by the loop alone
+	current atomic.Pointer[settings.Config] // read by anyone, changed by the loop alone
 	log     *zap.Logger
 	count   *counts
 	dial    func(ctx context.Context, address string) (net.Conn, error)
@@ -111,7 +111,7 @@
 const mostEvents = 1024
 
 // New makes a front. It fails only where its metrics can't be registered.
-func New(terms settings.Terms, o Options) (*Front, error) {
+func New(terms settings.Config, o Options) (*Front, error) {
 	f := &Front{log: o.Log, dial: o.Dial, began: time.Now(), events: make(chan func(), mostEvents),
 		done: make(chan struct{}), quit: make(chan struct{}), address: map[choice.ServerID]string{},
 		viewers: map[*viewer]struct{}{}, sess: map[choice.SessID]*sess{}, conns: map[pool.ConnID]*boxConn{},
@@ -130,12 +130,12 @@
 	if f.count, err = newCounts(o.Registry); err != nil {
 		return nil, err
 	}
-	if terms.Figures.Seed == 0 {
+	if terms.Choice.Seed == 0 {
 		var b [8]byte
 		if _, err := rand.Read(b[:]); err != nil {
 			return nil, err
 		}
-		terms.Figures.Seed = binary.LittleEndian.Uint64(b[:])
+		terms.Choice.Seed = binary.LittleEndian.Uint64(b[:])
 	}
 	f.key = make([]byte, 32)
 	if _, err := rand.Read(f.key); err != nil {
@@ -148,10 +148,10 @@
 	if o.Spoil != nil {
 		orders = o.Spoil(orders)
 	}
-	f.table = session.New(f.now(), terms.Figures, f.bounds(), orders)
-	f.ear = delivery.New(terms.Figures.NoteInterval)
-	f.described, f.wait = describe.New(terms.Figures.Cells), map[string][]waiter{}
-	f.keeper = pool.New(terms.Bounds.BoxConnections)
+	f.table = session.New(f.now(), terms.Choice, f.bounds(), orders)
+	f.ear = delivery.New(terms.Choice.NoteInterval)
+	f.described, f.wait = describe.New(terms.Choice.Cells), map[string][]waiter{}
+	f.keeper = pool.New(terms.Limits.BoxConnections)
 	f.boxes(true, terms.Boxes)
 	if o.Memory != nil {
 		f.table.Restore(*o.Memory)
@@ -164,11 +164,11 @@
 	return f, nil
 }
 
-func (f *Front) terms() *settings.Terms { return f.current.Load() }
+func (f *Front) terms() *settings.Config { return f.current.Load() }
 
 func (f *Front) bounds() session.Limits {
 	t := f.terms()
-	b := session.Limits{MaxSessions: t.Bounds.Sessions, ViewerIdleTimeout: t.Bounds.ViewerIdle, KeepAliveInterval: t.Bounds.KeepAlive}
+	b := session.Limits{MaxSessions: t.Limits.Sessions, ViewerIdleTimeout: t.Limits.ViewerIdle, KeepAliveInterval: t.Limits.KeepAlive}
 	for _, g := range t.Groups {
 		b.SetupTimeout = append(b.SetupTimeout, g.SetupTimeout)
 	}
@@ -283,7 +283,7 @@
 	now := f.now()
 	for id, c := range f.atBox {
 		if c.sess.plays && c.sess.stream != nil {
-			if limits.ViewerLimited(time.Since(f.began).Seconds(), float64(c.sess.stream.Out().Limited.Load())/1e9) {
+			if limits.ViewerLimited(time.Since(f.began).Seconds(), float64(c.sess.stream.Queue().LastLimitedAt.Load())/1e9) {
 				f.ear.Forget(id)
 			} else if at, media, ok := c.sess.stream.Progress(); ok {
 				f.ear.Progress(id, c.box, now, f.epoch+at.Seconds(), media)
@@ -379,7 +379,7 @@
 			continue
 		}
 		pause = 5 * time.Millisecond
-		if n := f.open.Add(1); f.terms().Bounds.Connections > 0 && n > int64(f.terms().Bounds.Connections) {
+		if n := f.open.Add(1); f.terms().Limits.Connections > 0 && n > int64(f.terms().Limits.Connections) {
 			f.open.Add(-1)
 			f.count.turnedAway.Inc()
 			c.Close()
@@ -413,10 +413,10 @@
 	for v := range f.viewers {
 		for _, id := range slices.Sorted(maps.Keys(v.sess)) {
 			x := v.sess[id]
-			to := rtsp.Place{Host: f.terms().Redirect, Group: x.place.Group, Title: x.place.Title, Track: -1, Query: x.place.Query}
+			to := rtsp.Resource{Host: f.terms().Redirect, Group: x.place.Group, Title: x.place.Title, Track: -1, Query: x.place.Query}
 			v.asked++
-			m := rtsp.Request(rtsp.Redirect, v.url(x)).With("CSeq", strconv.Itoa(v.asked)).With("Session", string(id)).With("Location", to.URL())
-			v.out.Message(m.Append(nil))
+			m := rtsp.NewRequest(rtsp.Redirect, v.url(x)).WithHeader("CSeq", strconv.Itoa(v.asked)).WithHeader("Session", string(id)).WithHeader("Location", to.URL())
+			v.out.PushMessage(m.Append(nil))
 			f.count.redirects.Inc()
 		}
 	}
@@ -442,7 +442,7 @@
 		}
 		clear(f.sess)
 		clear(f.viewers)
-		f.table = session.New(f.now(), f.terms().Figures, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, nowhere{})
+		f.table = session.New(f.now(), f.terms().Choice, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, nowhere{})
 	})
 	f.Close()
 }
@@ -502,7 +502,7 @@
 // Facts gathers what choice/health judges of a front; its loop has so long to answer.
 func (f *Front) Facts(within time.Duration) (h health.Facts) {
 	t := f.terms()
-	h.MaxSessions, h.StateAge = t.Bounds.Sessions, -1
+	h.MaxSessions, h.StateAge = t.Limits.Sessions, -1
 	got := make(chan health.Facts, 1)
 	timer := time.NewTimer(within)
 	defer timer.Stop()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -33,7 +33,7 @@
 	t     testing.TB
 	boxes []*box.Box
 	site  *box.Site
-	terms settings.Terms
+	terms settings.Config
 	addr  string
 	wit   *witness.Witness
 	reg   *prometheus.Registry
@@ -41,7 +41,7 @@
 	roots *keys.Roots // where boxes are reached over TLS
 }
 
-func newBench(t testing.TB, boxes int, change func(*settings.Terms, *box.Site)) *bench {
+func newBench(t testing.TB, boxes int, change func(*settings.Config, *box.Site)) *bench {
 	epoch := time.Now()
 	base := float64(epoch.UnixNano()) / 1e9
 	b := &bench{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
@@ -49,14 +49,14 @@
 		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
 	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
 		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.wit}
-	b.terms = settings.Terms{Name: "front-0", Figures: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
+	b.terms = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
 		{Utility: 2, Scale: 1, StartTarget: 0.5, Floor: 1, Top: 3}, {Utility: 1, Scale: 1, StartTarget: 0.5, Top: 3, Paid: true}},
 		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinkCapacity: 20000 * float64(boxes), MeanUplinkCapacity: 20000 * float64(boxes),
 		MaxStreams: []float64{100}, NoteLag: 0.2, NoteInterval: 1, MaxSetups: 3, MaxRetryAfter: 1, Reporting: choice.ReportsInAnswers,
 		BaseRetries: 20, RetriesPerSession: 0.1, RetryWindow: 10},
 		Groups: []settings.Group{{Name: "clips", SetupTimeout: 3, Rates: b.site.Ladder}, {Name: "exam", SetupTimeout: 2, Rates: b.site.Ladder}},
 		Titles: map[string]settings.Title{"vents": {Span: boxes}},
-		Bounds: limits.Bounds{Connections: 1000, Sessions: 1000, BoxConnections: 200, Queue: 1 << 18, ViewerIdle: 60,
+		Limits: limits.Bounds{Connections: 1000, Sessions: 1000, BoxConnections: 200, Queue: 1 << 18, ViewerIdle: 60,
 			KeepAlive: 20, ConnectTimeout: 0.25, ProbeTimeout: 0.25, WriteStall: 5}}
 	if change != nil {
 		change(&b.terms, b.site)
@@ -74,11 +74,11 @@
 			Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
 	}
 	o := front.Options{Registry: b.reg}
-	if b.terms.BoxTLS.Roots != "" {
-		if b.roots, err = keys.OpenRoots(b.terms.BoxTLS.Roots, zap.NewNop()); err != nil {
+	if b.terms.BoxTLS.RootsFile != "" {
+		if b.roots, err = keys.OpenRoots(b.terms.BoxTLS.RootsFile, zap.NewNop()); err != nil {
 			t.Fatal(err)
 		}
-		o.Dial = b.roots.Dialer(b.terms.BoxTLS.Name)
+		o.Dial = b.roots.Dialer(b.terms.BoxTLS.ServerName)
 	}
 	f, err := front.New(b.terms, o)
 	if err != nil {
@@ -283,12 +283,12 @@
 	}
 	b.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return rtsp.NewConn(c, rtsp.Bounds{})
+	return rtsp.NewConn(c, rtsp.Limits{})
 }
 
 func (b *bench) setup(cseq, query string) *rtsp.Message {
-	return rtsp.Request(rtsp.Setup, "rtsp://"+b.addr+"/clips/vents"+query).With("CSeq", cseq).
-		With("Transport", "RTP/AVP/TCP;unicast")
+	return rtsp.NewRequest(rtsp.Setup, "rtsp://"+b.addr+"/clips/vents"+query).WithHeader("CSeq", cseq).
+		WithHeader("Transport", "RTP/AVP/TCP;unicast")
 }
 
 // A box that refuses a TEARDOWN goes on sending: the next viewer must not get it.
@@ -319,7 +319,7 @@
 		}
 	}
 	b.eventually("the front knows", func() bool { return b.Sessions() == 0 })
-	r, err = c.RoundTrip(rtsp.Request(rtsp.Play, "rtsp://"+b.addr+"/clips/vents").With("CSeq", "2").With("Session", r.Session()), 5*time.Second, nil)
+	r, err = c.RoundTrip(rtsp.NewRequest(rtsp.Play, "rtsp://"+b.addr+"/clips/vents").WithHeader("CSeq", "2").WithHeader("Session", r.Session()), 5*time.Second, nil)
 	if err == nil && r.Status != rtsp.SessionNotFound {
 		t.Errorf("PLAY on a session whose box is gone: %d", r.Status)
 	}
@@ -403,7 +403,7 @@
 }
 
 func TestHungBoxBreaksWithAPlainEnd(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Bounds.KeepAlive = 0 })
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Limits.KeepAlive = 0 })
 	w := b.want("clips")
 	w.Watch = 0
 	hang := make(chan struct{})
@@ -459,7 +459,7 @@
 		t.Fatal(r, err)
 	}
 	id := r.Session()
-	if r, err = c.RoundTrip(rtsp.Request(rtsp.Play, url).With("CSeq", "2").With("Session", id), 5*time.Second, nil); err != nil || r.Status != 200 {
+	if r, err = c.RoundTrip(rtsp.NewRequest(rtsp.Play, url).WithHeader("CSeq", "2").WithHeader("Session", id), 5*time.Second, nil); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	list := b.HandOver()
@@ -490,7 +490,7 @@
 			frames++
 		}
 	}
-	d.Write(rtsp.Request(rtsp.Play, url).With("CSeq", "1").With("Session", id).Append(nil))
+	d.Write(rtsp.NewRequest(rtsp.Play, url).WithHeader("CSeq", "1").WithHeader("Session", id).Append(nil))
 	close(sent)
 	if r, _, err = d.Next(); err != nil || r == nil || r.Status != 200 {
 		t.Fatal(r, err)
@@ -506,7 +506,7 @@
 	if n := b.boxes[0].Count().Setups + b.boxes[1].Count().Setups; n != 1 {
 		t.Errorf("%d SETUPs", n)
 	}
-	if r, err = d.RoundTrip(rtsp.Request(rtsp.TearDown, url).With("CSeq", "2").With("Session", id), 5*time.Second, look); err != nil || r.Status != 200 {
+	if r, err = d.RoundTrip(rtsp.NewRequest(rtsp.TearDown, url).WithHeader("CSeq", "2").WithHeader("Session", id), 5*time.Second, look); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	b.eventually("the next front holds nothing", func() bool { return next.Sessions() == 0 })
@@ -516,7 +516,7 @@
 // Viewers are sent to another front while one drains, and the drain ends at once.
 func TestDrainSendsViewersElsewhere(t *testing.T) {
 	other := newBench(t, 1, nil)
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Redirect = other.addr })
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Redirect = other.addr })
 	playing, done := make(chan struct{}), make(chan player.Seen, 1)
 	w := b.want("clips")
 	w.Watch = 0
--- a/internal/front/handed.go
+++ b/internal/front/handed.go
@@ -66,7 +66,7 @@
 	if g < 0 || !known || len(h.Tracks) == 0 || f.sess[h.ID] != nil {
 		return
 	}
-	x := &sess{id: h.ID, group: g, best: h.BestRung, place: rtsp.Place{Group: h.Group, Title: h.Title, Track: -1, Query: h.Query},
+	x := &sess{id: h.ID, group: g, best: h.BestRung, place: rtsp.Resource{Group: h.Group, Title: h.Title, Track: -1, Query: h.Query},
 		try: 1, asks: map[int]*slot{}, adopting: true}
 	for _, t := range h.Tracks {
 		x.tracks = append(x.tracks, track{t.Number, t.Low, t.High, t.Box})
@@ -89,7 +89,7 @@
 		c.sess, c.try, c.session, c.rung = x, 1, h.Session, h.Rung
 		c.stream.Store(x.stream)
 		f.atBox[x.id] = c
-		c.send(rtsp.Request(rtsp.GetParameter, c.url(x, -1)).With("Session", h.Session), func(m *rtsp.Message) {
+		c.send(rtsp.NewRequest(rtsp.GetParameter, c.url(x, -1)).WithHeader("Session", h.Session), func(m *rtsp.Message) {
 			if m != nil {
 				f.table.OpAnswered(x.id, 1, session.KeepAlive, 0, m.Status, report(m))
 			}
--- a/internal/front/migrate_test.go
+++ b/internal/front/migrate_test.go
@@ -49,15 +49,15 @@
 	if err := os.WriteFile(out, m.Script, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	terms, err := settings.ReadTerms(out)
+	terms, err := settings.ReadConfig(out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, 3, func(x *settings.Terms, site *box.Site) {
+	b := newBench(t, 3, func(x *settings.Config, site *box.Site) {
 		site.NoteEvery = 0
-		bounds := x.Bounds
+		bounds := x.Limits
 		*x = terms
-		x.Boxes, x.Bounds = nil, bounds // newBench has its own
+		x.Boxes, x.Limits = nil, bounds // newBench has its own
 	})
 	b.boxes[0].Hang()
 	b.boxes[1].Errors(1)
--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -21,9 +21,9 @@
 	url := "rtsp://" + b.addr + "/clips/vents"
 	var all []byte
 	all = b.setup("1", "/track0").Append(all)
-	all = rtsp.Request(rtsp.Setup, url+"/track1").With("CSeq", "2").With("Transport", "RTP/AVP/TCP;interleaved=6-7").Append(all)
-	all = rtsp.Request(rtsp.Play, url).With("CSeq", "3").Append(all)
-	all = rtsp.Request(rtsp.TearDown, url).With("CSeq", "4").Append(all)
+	all = rtsp.NewRequest(rtsp.Setup, url+"/track1").WithHeader("CSeq", "2").WithHeader("Transport", "RTP/AVP/TCP;interleaved=6-7").Append(all)
+	all = rtsp.NewRequest(rtsp.Play, url).WithHeader("CSeq", "3").Append(all)
+	all = rtsp.NewRequest(rtsp.TearDown, url).WithHeader("CSeq", "4").Append(all)
 	if _, err := c.Write(all); err != nil {
 		t.Fatal(err)
 	}
@@ -71,9 +71,9 @@
 	}
 	do := func(method, rng string, want int) *rtsp.Message {
 		cseq++
-		m := rtsp.Request(method, url).With("CSeq", fmt.Sprint(cseq)).With("Session", id)
+		m := rtsp.NewRequest(method, url).WithHeader("CSeq", fmt.Sprint(cseq)).WithHeader("Session", id)
 		if rng != "" {
-			m.With("Range", rng)
+			m.WithHeader("Range", rng)
 		}
 		r, err := c.RoundTrip(m, 5*time.Second, look)
 		if err != nil || r.Status != want {
@@ -102,7 +102,7 @@
 	do(rtsp.TearDown, "", 200)
 	do(rtsp.Play, "", rtsp.SessionNotFound)
 	cseq++
-	m := rtsp.Request(rtsp.Options, "*").With("CSeq", fmt.Sprint(cseq)).With("Connection", "close")
+	m := rtsp.NewRequest(rtsp.Options, "*").WithHeader("CSeq", fmt.Sprint(cseq)).WithHeader("Connection", "close")
 	if r, err := c.RoundTrip(m, 5*time.Second, look); err != nil || r.Header.Get("Connection") != "close" {
 		t.Errorf("%v %v", r, err)
 	}
@@ -117,7 +117,7 @@
 
 // Whatever frames are under way at a seek, RTP-Info names the first one after it by the numbers that the viewer gets.
 func TestSeekNamesItsFirstFrame(t *testing.T) {
-	b := newBench(t, 1, func(_ *settings.Terms, site *box.Site) { site.FPS = 1000 })
+	b := newBench(t, 1, func(_ *settings.Config, site *box.Site) { site.FPS = 1000 })
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -131,7 +131,7 @@
 		}
 	}
 	for n := range 50 {
-		m := rtsp.Request(rtsp.Play, url).With("CSeq", fmt.Sprint(2+n)).With("Session", id).With("Range", fmt.Sprintf("npt=%d-", n*37%200))
+		m := rtsp.NewRequest(rtsp.Play, url).WithHeader("CSeq", fmt.Sprint(2+n)).WithHeader("Session", id).WithHeader("Range", fmt.Sprintf("npt=%d-", n*37%200))
 		r, err := c.RoundTrip(m, 5*time.Second, look)
 		if err != nil || r.Status != 200 {
 			t.Fatal(r, err)
@@ -216,7 +216,7 @@
 			var all []*rtsp.Conn
 			for range 4 { // who ask together are answered from one question
 				x := b.dial()
-				x.Write(rtsp.Request(rtsp.Describe, "rtsp://"+b.addr+"/clips/vents").With("CSeq", "1").Append(nil))
+				x.Write(rtsp.NewRequest(rtsp.Describe, "rtsp://"+b.addr+"/clips/vents").WithHeader("CSeq", "1").Append(nil))
 				all = append(all, x)
 			}
 			for _, x := range all {
@@ -246,7 +246,7 @@
 		t.Fatal(r, err)
 	}
 	id := r.Session()
-	if r, err = c.RoundTrip(rtsp.Request(rtsp.Play, url).With("CSeq", "2").With("Session", id), 5*time.Second, nil); err != nil || r.Status != 200 {
+	if r, err = c.RoundTrip(rtsp.NewRequest(rtsp.Play, url).WithHeader("CSeq", "2").WithHeader("Session", id), 5*time.Second, nil); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	rr := []byte{0x80, 201, 0, 1, 0, 0, 0, 9}
@@ -269,7 +269,7 @@
 }
 
 func TestOnlyUsersEnter(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) {
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) {
 		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
@@ -286,7 +286,7 @@
 	}
 	c := b.dial()
 	for n := 1; ; n++ { // a guesser's connection is ended
-		m := b.setup(fmt.Sprint(n), "").With("Authorization", `Digest username="lena", realm="r", nonce="x"`)
+		m := b.setup(fmt.Sprint(n), "").WithHeader("Authorization", `Digest username="lena", realm="r", nonce="x"`)
 		r, err := c.RoundTrip(m, 5*time.Second, nil)
 		if err != nil {
 			break
--- a/internal/front/renew.go
+++ b/internal/front/renew.go
@@ -20,14 +20,14 @@
 var ErrOver = errors.New("the front has ended")
 
 // Renew has new terms take hold in service, all of them or none; the plan says which and why. Sessions go on.
-func (f *Front) Renew(t settings.Terms) (plan reload.Plan, err error) {
+func (f *Front) Renew(t settings.Config) (plan reload.Plan, err error) {
 	if !f.call(func() { plan = f.renew(t) }) {
 		return plan, ErrOver
 	}
 	return plan, nil
 }
 
-func (f *Front) renew(t settings.Terms) reload.Plan {
+func (f *Front) renew(t settings.Config) reload.Plan {
 	old := f.terms()
 	terms := reload.Change{Sections: changed(old, &t)}
 	terms.Sections = append(terms.Sections, f.usersChanged(&t)...)
@@ -45,22 +45,22 @@
 		f.gate, f.users = auth.New(t.Realm, t.Users, f.key), usersPrint(&t, f.key)
 	}
 	t.Users = nil // the gate has what it needs of them
-	t.Figures.Seed = old.Figures.Seed
+	t.Choice.Seed = old.Choice.Seed
 	f.current.Store(&t)
 	if p.Has(reload.UpdateLimits) {
-		f.keeper.SetMaxPerBox(t.Bounds.BoxConnections)
+		f.keeper.SetMaxPerBox(t.Limits.BoxConnections)
 	}
 	if p.Has(reload.ResetReporting) {
-		f.ear = delivery.New(t.Figures.NoteInterval)
+		f.ear = delivery.New(t.Choice.NoteInterval)
 	}
-	f.described.SetCells(t.Figures.Cells)
+	f.described.SetCells(t.Choice.Cells)
 	switch {
 	case p.Has(reload.RebuildChoice):
 		for _, x := range f.sess {
 			x.group = p.NewGroupIndex[x.group]
 		}
 		list := f.listed(true, t.Boxes)
-		f.table.Reload(session.Config{Figures: t.Figures, Limits: f.bounds(), GroupMap: p.NewGroupIndex}, list, p.DiscardStale)
+		f.table.Reload(session.Config{Figures: t.Choice, Limits: f.bounds(), GroupMap: p.NewGroupIndex}, list, p.DiscardStale)
 	default:
 		if p.Has(reload.UpdateLimits) {
 			f.table.SetLimits(f.bounds())
@@ -75,19 +75,19 @@
 }
 
 // changed names the parts in which terms differ, by the names of choice/reload; users are compared apart.
-func changed(a, b *settings.Terms) (list []reload.Section) {
-	x, y := &a.Figures, &b.Figures
+func changed(a, b *settings.Config) (list []reload.Section) {
+	x, y := &a.Choice, &b.Choice
 	for _, c := range []struct {
 		part   reload.Section
 		of, to any
 	}{
 		{"front(name)", a.Name, b.Name},
 		{"front(listen, tls_listen, admin)", [3]string{a.Listen, a.TLS.Listen, a.Admin}, [3]string{b.Listen, b.TLS.Listen, b.Admin}},
-		{"front(cert, key)", [2]string{a.TLS.Cert, a.TLS.Key}, [2]string{b.TLS.Cert, b.TLS.Key}},
+		{"front(cert, key)", [2]string{a.TLS.CertFile, a.TLS.KeyFile}, [2]string{b.TLS.CertFile, b.TLS.KeyFile}},
 		{"front(me, fronts)", [2]int{x.FrontIndex, x.Fronts}, [2]int{y.FrontIndex, y.Fronts}},
 		{"front(zone)", x.Zone, y.Zone},
-		{"front(state)", a.State, b.State},
-		{"front(log)", a.Log, b.Log},
+		{"front(state)", a.StateDir, b.StateDir},
+		{"front(log)", a.LogLevel, b.LogLevel},
 		{"front(redirect)", a.Redirect, b.Redirect},
 		{"box_tls", a.BoxTLS, b.BoxTLS},
 		{"ladder", x.Ladder, y.Ladder},
@@ -100,10 +100,10 @@
 			[5]float64{float64(y.MaxSetups), y.MaxRetryAfter, y.BaseRetries, y.RetriesPerSession, y.RetryWindow}},
 		{"cold", [4]float64{x.WarmUp, x.ColdShare, x.OverloadFactor, x.OverloadTime}, [4]float64{y.WarmUp, y.ColdShare, y.OverloadFactor, y.OverloadTime}},
 		{"reports", []any{x.Reporting, x.NoteLag, x.NoteInterval, x.FullThreshold, x.Probes}, []any{y.Reporting, y.NoteLag, y.NoteInterval, y.FullThreshold, y.Probes}},
-		{"drains", a.Grace, b.Grace},
+		{"drains", a.DrainGrace, b.DrainGrace},
 		{"title", a.Titles, b.Titles},
 		{"box", a.Boxes, b.Boxes},
-		{"limits", a.Bounds, b.Bounds},
+		{"limits", a.Limits, b.Limits},
 	} {
 		if !reflect.DeepEqual(c.of, c.to) {
 			list = append(list, c.part)
@@ -113,7 +113,7 @@
 }
 
 // usersPrint tells one set of users and their realm from another, without keeping passwords.
-func usersPrint(t *settings.Terms, key []byte) string {
+func usersPrint(t *settings.Config, key []byte) string {
 	h := hmac.New(sha256.New, key)
 	fmt.Fprintf(h, "%q", t.Realm)
 	for _, u := range t.Users {
@@ -122,7 +122,7 @@
 	return string(h.Sum(nil))
 }
 
-func (f *Front) usersChanged(t *settings.Terms) []reload.Section {
+func (f *Front) usersChanged(t *settings.Config) []reload.Section {
 	if usersPrint(t, f.key) == f.users {
 		return nil
 	}
--- a/internal/front/renew_test.go
+++ b/internal/front/renew_test.go
@@ -15,7 +15,7 @@
 // New terms under a crowd: every answer comes, what plays goes on without a gap under the new bounds, what waits at a box
 // gets its answer, and what can't change is refused whole.
 func TestNewTermsInService(t *testing.T) {
-	b := newBench(t, 3, func(terms *settings.Terms, _ *box.Site) { terms.Figures.Probes = true })
+	b := newBench(t, 3, func(terms *settings.Config, _ *box.Site) { terms.Choice.Probes = true })
 	ends := make(chan player.Seen, 40)
 	playing := make(chan struct{}, 40)
 	for i := range 20 {
@@ -51,18 +51,18 @@
 	}
 	b.eventually("all are taken", func() bool { return b.Sessions() == 26 })
 	terms := b.terms
-	terms.Figures.Groups = slices.Clone(terms.Figures.Groups)
-	terms.Figures.Groups[0].Top = 1 // what plays higher comes down
-	slices.Reverse(terms.Figures.Groups)
+	terms.Choice.Groups = slices.Clone(terms.Choice.Groups)
+	terms.Choice.Groups[0].Top = 1 // what plays higher comes down
+	slices.Reverse(terms.Choice.Groups)
 	terms.Groups = slices.Clone(terms.Groups)
 	slices.Reverse(terms.Groups)
-	terms.Bounds.Sessions = 500
+	terms.Limits.Sessions = 500
 	plan, err := b.Renew(terms)
 	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
 	wrong := terms
-	wrong.Listen, wrong.Bounds.Sessions = "127.0.0.1:1", 1
+	wrong.Listen, wrong.Limits.Sessions = "127.0.0.1:1", 1
 	if plan, err := b.Renew(wrong); err != nil || len(plan.Rejections) != 1 {
 		t.Errorf("another port: %+v %v", plan, err)
 	}
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -148,8 +148,8 @@
 		using.Store(&c)
 	}
 	use(cert1, key1)
-	b := newBench(t, 1, func(terms *settings.Terms, site *box.Site) {
-		terms.BoxTLS, terms.Figures.Probes = settings.Trust{Roots: file}, true
+	b := newBench(t, 1, func(terms *settings.Config, site *box.Site) {
+		terms.BoxTLS, terms.Choice.Probes = settings.TLSTrust{RootsFile: file}, true
 		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return using.Load(), nil }}
 	})
 	playing, done := make(chan struct{}), make(chan error, 1)
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -28,7 +28,7 @@
 type viewer struct {
 	f      *Front
 	conn   *rtsp.Conn
-	out    *relay.Out
+	out    *relay.Queue
 	ending atomic.Bool   // what is queued is the last
 	room   chan struct{} // one for each request without its response; the reader waits beyond
 
@@ -54,7 +54,7 @@
 	viewer   *viewer // nil while one that was handed over is not claimed
 	group    int
 	best     int // rung that it can use
-	place    rtsp.Place
+	place    rtsp.Resource
 	tracks   []track
 	stream   *relay.Stream // nil as long
 	asked    float64       // when
@@ -78,12 +78,12 @@
 
 // take begins a viewer's connection.
 func (f *Front) take(c net.Conn) {
-	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Bounds{}), out: relay.NewOut(f.terms().Bounds.Queue),
+	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Limits{}), out: relay.NewQueue(f.terms().Limits.Queue),
 		room: make(chan struct{}, limits.MaxPipelined), sess: map[choice.SessID]*sess{}}
 	f.work.Add(2)
 	go func() {
 		defer f.work.Done()
-		err := v.out.Run(c, time.Duration(f.terms().Bounds.WriteStall*1e9))
+		err := v.out.Run(c, time.Duration(f.terms().Limits.WriteStall*1e9))
 		if err == nil {
 			// Half closed first: input not read yet would turn the last answer into a reset.
 			if t, ok := c.(interface{ CloseWrite() error }); ok {
@@ -129,7 +129,7 @@
 
 // read takes requests until the connection ends.
 func (v *viewer) read() error {
-	idle := time.Duration((v.f.terms().Bounds.ViewerIdle + 5) * 1e9)
+	idle := time.Duration((v.f.terms().Limits.ViewerIdle + 5) * 1e9)
 	var second time.Time
 	frames := 0
 	for {
@@ -141,14 +141,14 @@
 		var bad *rtsp.MalformedError
 		if errors.As(err, &bad) {
 			v.f.count.malformed.Inc()
-			v.f.log.Info("malformed input of a viewer", zap.String("what", bad.What))
+			v.f.log.Info("malformed input of a viewer", zap.String("what", bad.Detail))
 			if bad.Status != 0 {
-				r := rtsp.Response(nil, bad.Status).With("Connection", "close")
+				r := rtsp.NewResponse(nil, bad.Status).WithHeader("Connection", "close")
 				if bad.CSeq != "" {
-					r.With("CSeq", bad.CSeq)
+					r.WithHeader("CSeq", bad.CSeq)
 				}
 				v.f.post(func() { v.last(r) })
-				relay.Discard(v.conn.Conn, time.Second)
+				relay.DiscardInput(v.conn.Conn, time.Second)
 			}
 			return err
 		}
@@ -188,7 +188,7 @@
 // report takes RTCP of the viewer's: a sign of life, and passed on to the box.
 func (v *viewer) report(channel byte, p []byte) {
 	for id, s := range v.sess {
-		to, lost, ok := s.stream.Back(channel, p)
+		to, lost, ok := s.stream.TranslateRTCP(channel, p)
 		if !ok {
 			continue
 		}
@@ -197,7 +197,7 @@
 			v.f.count.lost.Observe(lost)
 		}
 		if c := v.f.atBox[id]; c != nil && c.session != "" {
-			c.out.Message(rtsp.AppendFrame(nil, to, p))
+			c.out.PushMessage(rtsp.AppendFrame(nil, to, p))
 		}
 		return
 	}
@@ -207,7 +207,7 @@
 // last answers and ends the connection.
 func (v *viewer) last(r *rtsp.Message) {
 	if !v.closed {
-		v.out.Message(r.Append(nil))
+		v.out.PushMessage(r.Append(nil))
 		v.finish()
 	}
 }
@@ -224,7 +224,7 @@
 // respond fills a slot and writes what is ready, in the order of the requests.
 func (v *viewer) respond(s *slot, r *rtsp.Message) {
 	if strings.EqualFold(s.req.Header.Get("Connection"), "close") {
-		r.With("Connection", "close")
+		r.WithHeader("Connection", "close")
 	}
 	s.msg = r
 	for len(v.slots) > 0 && v.slots[0].msg != nil {
@@ -234,14 +234,14 @@
 		if v.closed {
 			continue
 		}
-		v.out.Message(m.Append(nil))
+		v.out.PushMessage(m.Append(nil))
 		if strings.EqualFold(m.Header.Get("Connection"), "close") {
 			v.finish()
 		}
 	}
 }
 
-func (v *viewer) status(s *slot, status int) { v.respond(s, rtsp.Response(s.req, status)) }
+func (v *viewer) status(s *slot, status int) { v.respond(s, rtsp.NewResponse(s.req, status)) }
 
 const public = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, GET_PARAMETER, SET_PARAMETER, TEARDOWN"
 
@@ -258,7 +258,7 @@
 		v.status(s, rtsp.BadRequest)
 		return
 	case m.Header.Get("Require") != "":
-		v.respond(s, rtsp.Response(m, rtsp.OptionNotSupported).With("Unsupported", m.Header.Get("Require")))
+		v.respond(s, rtsp.NewResponse(m, rtsp.OptionNotSupported).WithHeader("Unsupported", m.Header.Get("Require")))
 		return
 	}
 	if m.Method != rtsp.Options && !v.enters(s) {
@@ -267,7 +267,7 @@
 	switch m.Method {
 	case rtsp.Options:
 		v.alive(m)
-		v.respond(s, rtsp.Response(m, rtsp.OK).With("Public", public))
+		v.respond(s, rtsp.NewResponse(m, rtsp.OK).WithHeader("Public", public))
 	case rtsp.Describe:
 		v.describe(s)
 	case rtsp.Setup:
@@ -288,9 +288,9 @@
 			v.within(s, session.KeepAlive)
 		}
 	case rtsp.Announce, rtsp.Record, rtsp.Redirect:
-		v.respond(s, rtsp.Response(m, rtsp.MethodNotAllowed).With("Allow", public))
+		v.respond(s, rtsp.NewResponse(m, rtsp.MethodNotAllowed).WithHeader("Allow", public))
 	default:
-		v.respond(s, rtsp.Response(m, rtsp.NotImplemented).With("Public", public))
+		v.respond(s, rtsp.NewResponse(m, rtsp.NotImplemented).WithHeader("Public", public))
 	}
 }
 
@@ -300,13 +300,13 @@
 	if verdict == auth.Accepted {
 		return true
 	}
-	r := rtsp.Response(s.req, rtsp.Unauthorized)
+	r := rtsp.NewResponse(s.req, rtsp.Unauthorized)
 	r.Header["Www-Authenticate"] = v.f.gate.Challenge(v.f.now(), v.num, verdict == auth.StaleNonce)
 	if verdict == auth.Rejected {
 		v.f.count.unauthorized.Inc()
 		v.f.log.Info("wrong credentials", zap.Stringer("viewer", v.conn.RemoteAddr()))
 		if v.wrong++; auth.TooManyFailures(v.wrong) {
-			r.With("Connection", "close")
+			r.WithHeader("Connection", "close")
 		}
 	}
 	v.respond(s, r)
@@ -383,7 +383,7 @@
 // setup takes a SETUP: a request for a session, or a further track of one.
 func (v *viewer) setup(s *slot) {
 	f, m := v.f, s.req
-	p, err := rtsp.ParsePlace(m.URL)
+	p, err := rtsp.ParseURL(m.URL)
 	g := f.terms().GroupIndex(p.Group)
 	title, known := f.terms().Titles[p.Title]
 	if err != nil || g < 0 || !known {
@@ -391,9 +391,9 @@
 		return
 	}
 	specs, err := rtsp.ParseTransport(m.Header.Get("Transport"))
-	tr, ok := rtsp.OverTCP(specs)
+	tr, ok := rtsp.FindTCP(specs)
 	if err != nil || !ok {
-		v.respond(s, rtsp.Response(m, rtsp.UnsupportedTransport).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
+		v.respond(s, rtsp.NewResponse(m, rtsp.UnsupportedTransport).WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
 		return
 	}
 	n := max(p.Track, 0)
@@ -401,7 +401,7 @@
 		v.status(s, rtsp.NotFound)
 		return
 	}
-	t := track{n: n, low: tr.Low, high: tr.High}
+	t := track{n: n, low: tr.RTPChannel, high: tr.RTCPChannel}
 	if !tr.Interleaved {
 		if t.low, t.high, ok = v.free(); !ok {
 			v.status(s, rtsp.NotEnoughBandwidth)
@@ -442,13 +442,13 @@
 	x.viewer, v.sess[x.id] = v, x
 	x.stream = relay.NewStream(v.out, func(link, uplink float64) { f.post(func() { f.note(x, link, uplink) }) })
 	for _, t := range x.tracks {
-		x.stream.Add(t.box, &relay.Track{RTP: t.low, RTCP: t.high, Clock: media[t.n].clock})
+		x.stream.AddTrack(t.box, &relay.Track{RTPChannel: t.low, RTCPChannel: t.high, ClockRate: media[t.n].clock})
 	}
 }
 
 // joins finds the session that a SETUP adds a track to: the one it names, or one of the same presentation whose first
 // SETUP was pipelined just before.
-func (v *viewer) joins(m *rtsp.Message, p rtsp.Place) *sess {
+func (v *viewer) joins(m *rtsp.Message, p rtsp.Resource) *sess {
 	if id := m.Session(); id != "" {
 		return v.sess[choice.SessID(id)]
 	}
@@ -514,15 +514,15 @@
 
 // played answers a PLAY: where the media goes on from, and its first frames after it.
 func (x *sess) played(s *slot) *rtsp.Message {
-	r := rtsp.Response(s.req, rtsp.OK).With("Session", string(x.id))
+	r := rtsp.NewResponse(s.req, rtsp.OK).WithHeader("Session", string(x.id))
 	if x.answer != nil {
 		if v := x.answer.Header.Get("Range"); v != "" {
-			r.With("Range", v)
+			r.WithHeader("Range", v)
 		}
 		list, err := rtsp.ParseRTPInfo(x.answer.Header.Get("Rtp-Info"))
 		var out []rtsp.RTPInfo
 		for _, i := range list {
-			p, bad := rtsp.ParsePlace(i.URL)
+			p, bad := rtsp.ParseURL(i.URL)
 			if bad != nil {
 				continue
 			}
@@ -530,20 +530,20 @@
 				if t.n != max(p.Track, 0) {
 					continue
 				}
-				if seq, ts, ok := x.stream.Numbers(t.box, i.Seq, i.RTPTime); ok {
+				if seq, ts, ok := x.stream.TranslateRTPInfo(t.box, i.Seq, i.RTPTime); ok {
 					i.Seq, i.RTPTime = seq, ts // the stream goes on in the numbers that the viewer knows
 				}
-				i.URL = rtsp.Place{Host: x.place.Host, Group: x.place.Group, Title: x.place.Title, Track: t.n, Query: x.place.Query}.URL()
+				i.URL = rtsp.Resource{Host: x.place.Host, Group: x.place.Group, Title: x.place.Title, Track: t.n, Query: x.place.Query}.URL()
 				out = append(out, i)
 			}
 		}
 		if err == nil && len(out) > 0 {
-			r.With("RTP-Info", rtsp.FormatRTPInfo(out))
+			r.WithHeader("RTP-Info", rtsp.FormatRTPInfo(out))
 		}
 	}
 	return r
 }
 
 func (f *Front) sessionField(x *sess) string {
-	return rtsp.SessionField(string(x.id), time.Duration(f.terms().Bounds.ViewerIdle*1e9))
+	return rtsp.FormatSession(string(x.id), time.Duration(f.terms().Limits.ViewerIdle*1e9))
 }
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -100,7 +100,7 @@
 	num    uint64
 	net    net.Conn
 	rtsp   *rtsp.Conn
-	out    *relay.Out
+	out    *relay.Queue
 	in     chan *rtsp.Message
 	twist  func(*rtsp.Message) *rtsp.Message // what becomes of the next answer; nil is nothing
 	peer   string                            // the front's name, by User-Agent
@@ -217,7 +217,7 @@
 			if s.playing && !s.ended && s.lost == 0 && !told[s.conn.peer] {
 				told[s.conn.peer] = true
 				if low, ok := s.tracks[0]; ok {
-					s.conn.out.Frame(low+1, relay.AppendNote(nil, s.ssrc, b.said[0], b.said[1]), nil)
+					s.conn.out.PushFrame(low+1, relay.AppendLoadNote(nil, s.ssrc, b.said[0], b.said[1]), nil)
 					s.conn.out.Flush()
 				}
 			}
@@ -276,7 +276,7 @@
 	binary.BigEndian.PutUint32(p[8:], ssrc)
 	binary.BigEndian.PutUint64(p[12:], s.frame)
 	p[20] = byte(s.rung)
-	s.conn.out.Frame(channel, p[:12+n], nil)
+	s.conn.out.PushFrame(channel, p[:12+n], nil)
 }
 
 // bye tells the end of a title.
@@ -285,7 +285,7 @@
 		var p [8]byte
 		p[0], p[1], p[3] = 0x81, 203, 1
 		binary.BigEndian.PutUint32(p[4:], s.ssrc+uint32(n))
-		s.conn.out.Frame(low+1, p[:], nil)
+		s.conn.out.PushFrame(low+1, p[:], nil)
 	}
 }
 
@@ -347,7 +347,7 @@
 	}
 	switch {
 	case m.Method == rtsp.Setup && m.Session() == "":
-		p, _ := rtsp.ParsePlace(m.URL)
+		p, _ := rtsp.ParseURL(m.URL)
 		rung, err := strconv.Atoi(m.Header.Get("Rung"))
 		if err != nil {
 			rung = len(b.site.Ladder) - 1
@@ -373,8 +373,8 @@
 	if w := b.site.Witness; w != nil && m.Method == rtsp.Setup {
 		w.SetupAnswered(b.ID, c.num, m.CSeq(), b.site.Now(), r.Status, r.Session())
 	}
-	r.With("Load-Report", fmt.Sprintf("link=%.3f, uplink=%.3f, inflight=%d", b.said[0], b.said[1], len(b.streams)))
-	c.out.Message(r.Append(nil))
+	r.WithHeader("Load-Report", fmt.Sprintf("link=%.3f, uplink=%.3f, inflight=%d", b.said[0], b.said[1], len(b.streams)))
+	c.out.PushMessage(r.Append(nil))
 }
 
 // answer answers a request; false where the connection is to end.
@@ -406,27 +406,27 @@
 	case rtsp.Setup:
 		return b.setup(c, m)
 	case rtsp.Describe:
-		r := rtsp.Response(m, rtsp.OK).With("Content-Type", "application/sdp").With("Content-Base", m.URL+"/")
+		r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Content-Type", "application/sdp").WithHeader("Content-Base", m.URL+"/")
 		if r.Body = []byte(description); b.lies {
 			r.Body = []byte("v=0\r\nm=none")
 		}
 		b.reply(c, m, r)
 		return true
 	case rtsp.Options:
-		b.reply(c, m, rtsp.Response(m, rtsp.OK).With("Public", "OPTIONS, SETUP, PLAY, PAUSE, GET_PARAMETER, SET_PARAMETER, TEARDOWN"))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Public", "OPTIONS, SETUP, PLAY, PAUSE, GET_PARAMETER, SET_PARAMETER, TEARDOWN"))
 		return true
 	case rtsp.GetParameter:
 		if m.Session() == "" {
-			b.reply(c, m, rtsp.Response(m, rtsp.OK))
+			b.reply(c, m, rtsp.NewResponse(m, rtsp.OK))
 			return true
 		}
 	}
 	s := b.streams[m.Session()]
 	if s == nil {
-		b.reply(c, m, rtsp.Response(m, rtsp.SessionNotFound))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.SessionNotFound))
 		return true
 	}
-	r := rtsp.Response(m, rtsp.OK).With("Session", s.id)
+	r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", s.id)
 	switch m.Method {
 	case rtsp.Play:
 		if v := m.Header.Get("Range"); v != "" {
@@ -440,16 +440,16 @@
 			}
 		}
 		s.conn, s.playing, s.lost = c, true, 0
-		r.With("Range", rtsp.Range{Start: s.media, End: math.Inf(1)}.String())
+		r.WithHeader("Range", rtsp.Range{Start: s.media, End: math.Inf(1)}.String())
 		var info []rtsp.RTPInfo
 		for n := range s.tracks {
 			seq, ts := s.seq, s.base+uint32(math.Round(s.next*90000))
 			if n == 1 {
 				seq, ts = s.seqA, s.base+uint32(math.Round(s.next*48000))
 			}
-			info = append(info, rtsp.RTPInfo{URL: rtsp.Place{Host: b.Address, Group: s.group, Title: s.title, Track: n, Query: s.query}.URL(), Seq: seq, RTPTime: ts})
+			info = append(info, rtsp.RTPInfo{URL: rtsp.Resource{Host: b.Address, Group: s.group, Title: s.title, Track: n, Query: s.query}.URL(), Seq: seq, RTPTime: ts})
 		}
-		r.With("RTP-Info", rtsp.FormatRTPInfo(info))
+		r.WithHeader("RTP-Info", rtsp.FormatRTPInfo(info))
 	case rtsp.Pause:
 		s.playing = false
 	case rtsp.SetParameter:
@@ -480,21 +480,21 @@
 
 // setup answers a SETUP after the time that it takes. Called with the box locked; the wait is without.
 func (b *Box) setup(c *conn, m *rtsp.Message) bool {
-	p, err := rtsp.ParsePlace(m.URL)
+	p, err := rtsp.ParseURL(m.URL)
 	specs, bad := rtsp.ParseTransport(m.Header.Get("Transport"))
-	tr, ok := rtsp.OverTCP(specs)
+	tr, ok := rtsp.FindTCP(specs)
 	if err != nil || bad != nil || !ok || !tr.Interleaved {
-		b.reply(c, m, rtsp.Response(m, rtsp.UnsupportedTransport))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.UnsupportedTransport))
 		return true
 	}
 	if s := b.streams[m.Session()]; s != nil {
-		s.tracks[max(p.Track, 0)] = tr.Low
-		b.reply(c, m, rtsp.Response(m, rtsp.OK).With("Session", s.id).With("Transport", tr.String()))
+		s.tracks[max(p.Track, 0)] = tr.RTPChannel
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", s.id).WithHeader("Transport", tr.String()))
 		return true
 	}
 	if b.errors > 0 {
 		b.errors--
-		b.reply(c, m, rtsp.Response(m, rtsp.InternalError))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true
 	}
 	full := b.refuses || len(b.streams) >= b.site.Places
@@ -503,7 +503,7 @@
 	}
 	if full {
 		b.counts.Full++
-		b.reply(c, m, rtsp.Response(m, rtsp.NotEnoughBandwidth))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.NotEnoughBandwidth))
 		return true
 	}
 	rung, err := strconv.Atoi(m.Header.Get("Rung"))
@@ -512,7 +512,7 @@
 	}
 	b.serial++
 	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.serial), group: p.Group, title: p.Title, query: p.Query, conn: c, rung: rung,
-		vary: 1 + (2*b.rand.Float64()-1)*b.site.Vary, tracks: map[int]byte{max(p.Track, 0): tr.Low},
+		vary: 1 + (2*b.rand.Float64()-1)*b.site.Vary, tracks: map[int]byte{max(p.Track, 0): tr.RTPChannel},
 		seq: uint16(b.rand.Uint32()), seqA: uint16(b.rand.Uint32()), base: b.rand.Uint32(), ssrc: b.rand.Uint32()}
 	b.streams[s.id] = s // its place is taken from now
 	if wait := b.site.SetupTime * b.aged * (0.5 + b.rand.Float64()); wait > 0 {
@@ -531,7 +531,7 @@
 			return false
 		}
 	}
-	b.reply(c, m, rtsp.Response(m, rtsp.OK).With("Session", fmt.Sprintf("%s;timeout=60", s.id)).With("Transport", tr.String()))
+	b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", fmt.Sprintf("%s;timeout=60", s.id)).WithHeader("Transport", tr.String()))
 	return true
 }
 
--- a/internal/lab/box/faults.go
+++ b/internal/lab/box/faults.go
@@ -86,7 +86,7 @@
 const queue = 1 << 20
 
 func (b *Box) take(n net.Conn) {
-	c := &conn{b: b, net: n, rtsp: rtsp.NewConn(n, rtsp.Bounds{}), out: relay.NewOut(queue),
+	c := &conn{b: b, net: n, rtsp: rtsp.NewConn(n, rtsp.Limits{}), out: relay.NewQueue(queue),
 		in: make(chan *rtsp.Message, 32)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/box/mischief.go
+++ b/internal/lab/box/mischief.go
@@ -27,31 +27,31 @@
 		b.mu.Lock()
 		return true, b.down || c.closed
 	case 1: // the answer names another request
-		c.twist = func(r *rtsp.Message) *rtsp.Message { return r.With("CSeq", strconv.Itoa(r.CSeq()+1000)) }
+		c.twist = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("CSeq", strconv.Itoa(r.CSeq()+1000)) }
 	case 2: // or another session
 		if m.Session() != "" {
-			c.twist = func(r *rtsp.Message) *rtsp.Message { return r.With("Session", "another") }
+			c.twist = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("Session", "another") }
 		}
 	case 3: // it comes twice
 		c.twist = func(r *rtsp.Message) *rtsp.Message {
-			c.out.Message(r.Append(nil))
+			c.out.PushMessage(r.Append(nil))
 			return r
 		}
 	case 4: // frames come before it, one on a channel that was never set up
 		p := make([]byte, 40)
 		p[0], p[1] = 0x80, 96
 		binary.BigEndian.PutUint32(p[8:], 7)
-		c.out.Frame(77, p, nil)
-		c.out.Frame(0, p[:5], nil)
+		c.out.PushFrame(77, p, nil)
+		c.out.PushFrame(0, p[:5], nil)
 		c.out.Flush()
 	case 5: // an error
-		b.reply(c, m, rtsp.Response(m, rtsp.InternalError))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true, true
 	case 6: // the load report is nonsense
-		c.twist = func(r *rtsp.Message) *rtsp.Message { return r.With("Load-Report", "link=9e99, uplink=;;\"") }
+		c.twist = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("Load-Report", "link=9e99, uplink=;;\"") }
 	case 7: // full
 		b.counts.Full++
-		b.reply(c, m, rtsp.Response(m, rtsp.NotEnoughBandwidth))
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.NotEnoughBandwidth))
 		return true, true
 	case 8: // the connection breaks
 		reset(c.net)
@@ -59,7 +59,7 @@
 	case 9: // half an answer, and no more
 		c.twist = func(r *rtsp.Message) *rtsp.Message {
 			all := r.Append(nil)
-			c.out.Message(all[:len(all)/2])
+			c.out.PushMessage(all[:len(all)/2])
 			return nil
 		}
 	}
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -89,8 +89,8 @@
 	start := time.Now()
 	r := &run{d: d, ctx: ctx, log: o.Log, base: float64(start.UnixNano()) / 1e9, start: start, spoil: o.Sabotage, o: o,
 		kept: map[int]restore.Snapshot{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
-	f := &d.Terms.Figures
-	terms := witness.Terms{Groups: map[string]witness.Group{}, Grace: d.Terms.Grace, AnswerBy: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
+	f := &d.Terms.Choice
+	terms := witness.Terms{Groups: map[string]witness.Group{}, Grace: d.Terms.DrainGrace, AnswerBy: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
 		FallFactor: f.OverloadFactor, FallTime: f.OverloadTime, Spare: f.BaseRetries, Share: f.RetriesPerSession, Window: f.RetryWindow}
 	if len(f.MaxStreams) > 0 {
 		terms.Places = slices.Min(f.MaxStreams)
@@ -143,12 +143,12 @@
 }
 
 // termsOf are one front's terms as the list stands now.
-func (r *run) termsOf(i int) settings.Terms {
+func (r *run) termsOf(i int) settings.Config {
 	terms := r.d.Terms
-	terms.Name, terms.Figures.FrontIndex = frontName(i), i
+	terms.Name, terms.Choice.FrontIndex = frontName(i), i
 	// Zones take turns, so that each has its fronts.
-	terms.Figures.Zone = i % max(len(terms.Zones), 1)
-	terms.Figures.Seed = r.d.Seed*1000 + uint64(i) + 1
+	terms.Choice.Zone = i % max(len(terms.Zones), 1)
+	terms.Choice.Seed = r.d.Seed*1000 + uint64(i) + 1
 	r.mu.Lock()
 	terms.Boxes = slices.Clone(r.list)
 	r.mu.Unlock()
@@ -165,12 +165,12 @@
 	if err != nil {
 		return fmt.Errorf("front %d: %w", i, err)
 	}
-	zone := terms.Figures.Zone
+	zone := terms.Choice.Zone
 	r.spoil.terms(&terms)
 	o := front.Options{Log: r.log, Spoil: r.spoil.orders(r),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if kept, ok := r.kept[i]; ok {
-		x := terms.Figures
+		x := terms.Choice
 		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
 		o.Memory = &m
 	} else {
@@ -500,8 +500,8 @@
 	terms := r.termsOf(i)
 	r.spoil.terms(&terms)
 	p.reloads++ // the script's own goroutine alone
-	terms.Figures.MaxRetryAfter += float64(p.reloads%2) / 2
-	terms.Bounds.Sessions += p.reloads % 2
+	terms.Choice.MaxRetryAfter += float64(p.reloads%2) / 2
+	terms.Limits.Sessions += p.reloads % 2
 	plan, err := p.f.Renew(terms)
 	if err != nil || len(plan.Rejections) > 0 {
 		r.log.Info("a reload was not taken", zap.Strings("why", plan.Rejections), zap.Error(err))
--- a/internal/lab/day/sabotage.go
+++ b/internal/lab/day/sabotage.go
@@ -61,8 +61,8 @@
 }
 
 // terms spoils what a front is told of the rules.
-func (s Sabotage) terms(t *settings.Terms) {
-	f := &t.Figures
+func (s Sabotage) terms(t *settings.Config) {
+	f := &t.Choice
 	switch s {
 	case Cold:
 		f.WarmUp, f.OverloadTime = 0, 0
@@ -112,7 +112,7 @@
 // Setup sends it where it must not go, or at a rung that it must not have.
 func (s *spoiler) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
 	var is func(settings.Box) bool
-	now, warm := s.r.now(), s.r.d.Terms.Figures.WarmUp
+	now, warm := s.r.now(), s.r.d.Terms.Choice.WarmUp
 	switch s.s {
 	case Drains:
 		is = func(b settings.Box) bool { return b.State == choice.Draining }
--- a/internal/lab/measure/flat.go
+++ b/internal/lab/measure/flat.go
@@ -57,7 +57,7 @@
 
 // serve answers all requests and, between PLAY and TEARDOWN, sends frames of 1,400 bytes.
 func (f *flat) serve(n net.Conn) {
-	c := rtsp.NewConn(n, rtsp.Bounds{})
+	c := rtsp.NewConn(n, rtsp.Limits{})
 	var stop, stopped chan struct{}
 	halt := func() {
 		if stop != nil {
@@ -77,7 +77,7 @@
 			continue
 		}
 		halt() // one writes at a time
-		r := rtsp.Response(m, rtsp.OK).With("Session", "flat").With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
+		r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", "flat").WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
 		if _, err := n.Write(r.Append(nil)); err != nil {
 			return
 		}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -192,17 +192,17 @@
 		t.SetDeadline(time.Time{})
 		n = t
 	}
-	return &viewer{c: rtsp.NewConn(n, rtsp.Bounds{}), url: "rtsp://" + w.address + "/clips/vents"}, nil
+	return &viewer{c: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + w.address + "/clips/vents"}, nil
 }
 
 func (v *viewer) ask(method string, with ...string) error {
 	v.cseq++
-	m := rtsp.Request(method, v.url).With("CSeq", strconv.Itoa(v.cseq))
+	m := rtsp.NewRequest(method, v.url).WithHeader("CSeq", strconv.Itoa(v.cseq))
 	if v.session != "" {
-		m.With("Session", v.session)
+		m.WithHeader("Session", v.session)
 	}
 	for i := 0; i < len(with); i += 2 {
-		m.With(with[i], with[i+1])
+		m.WithHeader(with[i], with[i+1])
 	}
 	r, err := v.c.RoundTrip(m, 10*time.Second, nil)
 	if err != nil {
@@ -442,7 +442,7 @@
 					return
 				}
 				if m == nil {
-					bytes.Add(int64(len(f.Whole)))
+					bytes.Add(int64(len(f.Raw)))
 				}
 			}
 		})
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -18,9 +18,9 @@
 	}
 	defer src.close()
 	s := settings.Read("f", []byte(`front(name = "f", listen = "127.0.0.1:0")`+groupsFor(1)+`box(id = 1, cell = 0, address = "127.0.0.1:1")`), settings.FrontForms)
-	t := settings.FrontTerms(s)
-	if len(s.Mistakes) > 0 {
-		b.Fatal(s.Mistakes)
+	t := settings.FrontConfig(s)
+	if len(s.Diagnostics) > 0 {
+		b.Fatal(s.Diagnostics)
 	}
 	t.Boxes = []settings.Box{{Address: src.address, Listing: choice.Listing{ID: 1, State: choice.Ready, Weight: 1}}}
 	f, err := running.New(t, running.Options{})
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -112,7 +112,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { raw.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	p := &play{w: w, c: rtsp.NewConn(raw, rtsp.Bounds{})}
+	p := &play{w: w, c: rtsp.NewConn(raw, rtsp.Limits{})}
 	err = p.run(ctx)
 	if w.Witness != nil && w.Token != "" {
 		w.Witness.Left(w.Token, w.Now())
@@ -124,7 +124,7 @@
 }
 
 func (p *play) url(track int) string {
-	place := rtsp.Place{Host: p.w.Address, Group: p.w.Group, Title: p.w.Title, Track: track}
+	place := rtsp.Resource{Host: p.w.Address, Group: p.w.Group, Title: p.w.Title, Track: track}
 	if p.w.Token != "" {
 		place.Query = "viewer=" + p.w.Token
 	}
@@ -133,11 +133,11 @@
 
 func (p *play) request(method, url string) *rtsp.Message {
 	p.cseq++
-	m := rtsp.Request(method, url).With("CSeq", strconv.Itoa(p.cseq)).With("User-Agent", "rainhaven-play")
+	m := rtsp.NewRequest(method, url).WithHeader("CSeq", strconv.Itoa(p.cseq)).WithHeader("User-Agent", "rainhaven-play")
 	if p.offer != nil {
 		q := map[string]string{"uri": url, "nonce": p.offer["nonce"], "qop": "auth", "nc": fmt.Sprintf("%08x", p.cseq), "cnonce": "rainhaven"}
 		alg, realm := p.offer["algorithm"], p.offer["realm"]
-		m.With("Authorization", fmt.Sprintf(`Digest username="%s", realm="%s", nonce="%s", uri="%s", algorithm=%s, qop=auth, nc=%s, cnonce="%s", response="%s"`,
+		m.WithHeader("Authorization", fmt.Sprintf(`Digest username="%s", realm="%s", nonce="%s", uri="%s", algorithm=%s, qop=auth, nc=%s, cnonce="%s", response="%s"`,
 			p.w.User.Name, realm, q["nonce"], url, alg, q["nc"], q["cnonce"], auth.Response(alg, auth.HA1(alg, realm, *p.w.User), method, q)))
 	}
 	return m
@@ -163,7 +163,7 @@
 func (p *play) run(ctx context.Context) error {
 	if p.w.Describe || p.w.User != nil {
 		describe := func() (*rtsp.Message, error) {
-			return p.c.RoundTrip(p.request(rtsp.Describe, p.url(-1)).With("Accept", "application/sdp"), 5*time.Second, p.other)
+			return p.c.RoundTrip(p.request(rtsp.Describe, p.url(-1)).WithHeader("Accept", "application/sdp"), 5*time.Second, p.other)
 		}
 		r, err := describe()
 		if err == nil && r.Status == rtsp.Unauthorized && p.w.User != nil && p.challenged(r) {
@@ -177,17 +177,17 @@
 			return fmt.Errorf("DESCRIBE: %d %s", r.Status, r.Reason)
 		}
 	}
-	m := p.request(rtsp.Setup, p.url(0)).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
+	m := p.request(rtsp.Setup, p.url(0)).WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
 	if p.w.Bandwidth > 0 {
-		m.With("Bandwidth", strconv.Itoa(int(p.w.Bandwidth)))
+		m.WithHeader("Bandwidth", strconv.Itoa(int(p.w.Bandwidth)))
 	}
 	session, err := p.setup(m)
 	if err != nil {
 		return err
 	}
 	for n := 1; n < p.w.Tracks; n++ {
-		r, err := p.c.RoundTrip(p.request(rtsp.Setup, p.url(n)).With("Session", session).
-			With("Transport", fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", 2*n, 2*n+1)), 5*time.Second, p.other)
+		r, err := p.c.RoundTrip(p.request(rtsp.Setup, p.url(n)).WithHeader("Session", session).
+			WithHeader("Transport", fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", 2*n, 2*n+1)), 5*time.Second, p.other)
 		if err != nil {
 			return p.broke(err)
 		}
@@ -195,7 +195,7 @@
 			return fmt.Errorf("SETUP of track %d: %d %s", n, r.Status, r.Reason)
 		}
 	}
-	r, err := p.c.RoundTrip(p.request(rtsp.Play, p.url(-1)).With("Session", session).With("Range", "npt=0-"), 6*time.Second, p.other)
+	r, err := p.c.RoundTrip(p.request(rtsp.Play, p.url(-1)).WithHeader("Session", session).WithHeader("Range", "npt=0-"), 6*time.Second, p.other)
 	if err != nil {
 		return p.broke(err)
 	}
@@ -300,7 +300,7 @@
 			if u, err := url.Parse(m.Header.Get("Location")); m.Method == rtsp.Redirect && err == nil && u.Host != "" {
 				status, p.to = rtsp.OK, u.Host
 			}
-			if _, err := p.c.Write(rtsp.Response(m, status).Append(nil)); err != nil {
+			if _, err := p.c.Write(rtsp.NewResponse(m, status).Append(nil)); err != nil {
 				return p.broke(err)
 			}
 		case !m.IsRequest() && m.Status != rtsp.OK:
@@ -309,7 +309,7 @@
 		now := time.Now()
 		if now.Sub(alive) > aliveEvery {
 			alive = now
-			if _, err := p.c.Write(p.request(rtsp.GetParameter, p.url(-1)).With("Session", session).Append(nil)); err != nil {
+			if _, err := p.c.Write(p.request(rtsp.GetParameter, p.url(-1)).WithHeader("Session", session).Append(nil)); err != nil {
 				return p.broke(err)
 			}
 		}
@@ -322,7 +322,7 @@
 	}
 	p.seen.Ended, p.seen.SentTo = true, p.to
 	p.c.SetDeadline(time.Time{})
-	_, err := p.c.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).With("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
+	_, err := p.c.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).WithHeader("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
 	if err != nil && !p.bye {
 		return fmt.Errorf("leaving: %w", err)
 	}
--- a/internal/lab/player/rude.go
+++ b/internal/lab/player/rude.go
@@ -23,7 +23,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	url := rtsp.Place{Host: address, Group: group, Title: title, Track: -1}.URL()
+	url := rtsp.Resource{Host: address, Group: group, Title: title, Track: -1}.URL()
 	switch kind {
 	case 1: // half a request
 		fmt.Fprintf(c, "SETUP %s RTSP/1.0\r\nCSeq: 1\r\nTrans", url)
@@ -45,5 +45,5 @@
 		fmt.Fprintf(c, "SETUP %s RTSP/1.0\r\nCSeq: 1\r\nTransport: RTP/AVP;unicast;client_port=5000-5001\r\n\r\n", url)
 	case 8: // silence
 	}
-	relay.Discard(c, 300*time.Millisecond)
+	relay.DiscardInput(c, 300*time.Millisecond)
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -302,7 +302,7 @@
 
 // read takes what a node sends on a connection until that ends.
 func (c *clients) read(on *clientConn) {
-	in := rtsp.NewConn(on.Conn, rtsp.Bounds{})
+	in := rtsp.NewConn(on.Conn, rtsp.Limits{})
 	for {
 		m, _, err := in.Next()
 		if err != nil {
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -126,7 +126,7 @@
 		return false
 	}
 	defer c.Close()
-	m, err := rtsp.NewConn(c, rtsp.Bounds{}).RoundTrip(rtsp.Request(rtsp.Options, "rtsp://media/ping").With("CSeq", "3").With("Content-Length", "0"), time.Second, nil)
+	m, err := rtsp.NewConn(c, rtsp.Limits{}).RoundTrip(rtsp.NewRequest(rtsp.Options, "rtsp://media/ping").WithHeader("CSeq", "3").WithHeader("Content-Length", "0"), time.Second, nil)
 	return err == nil && m.Status == rtsp.OK
 }
 
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -195,7 +195,7 @@
 
 func (c *serverConn) read() {
 	s := c.s
-	in := rtsp.NewConn(c.Conn, rtsp.Bounds{})
+	in := rtsp.NewConn(c.Conn, rtsp.Limits{})
 	for {
 		m, _, err := in.Next()
 		if err != nil {
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -34,7 +34,7 @@
 	in := rtsp.NewConn(v.nc, bounds)
 	v.firstMessage()
 	for {
-		err := in.Await()
+		err := in.AwaitMessage()
 		if err == nil {
 			v.messageBegan()
 			var m *rtsp.Message
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -31,7 +31,7 @@
 )
 
 // bounds are the protocol's: no message exceeds 16 KiB. There are no frames.
-var bounds = rtsp.Bounds{Line: 4096, Headers: 40, Body: 16 << 10, Whole: 16 << 10, Frame: 1, Buffer: 16 << 10}
+var bounds = rtsp.Limits{LineBytes: 4096, HeaderLines: 40, BodyBytes: 16 << 10, MessageBytes: 16 << 10, FrameBytes: 1, BufferBytes: 16 << 10}
 
 // conn is a connection's sending side: what is queued is written by a goroutine of its own, in order.
 type conn struct {
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -156,7 +156,7 @@
 	if len(id) > 64 {
 		id = ""
 	}
-	return message(rtsp.Response(to, status), "", id).Append(nil)
+	return message(rtsp.NewResponse(to, status), "", id).Append(nil)
 }
 
 // served is the answer to a session's SETUP: the server's own description.
@@ -170,33 +170,33 @@
 func refusal(id string, status int, comeBack float64) []byte {
 	m := message(&rtsp.Message{Status: status, Header: rtsp.Header{}}, seqSetup, id)
 	if comeBack > 0 {
-		m.With(fieldLater, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+		m.WithHeader(fieldLater, strconv.Itoa(int(math.Ceil(comeBack*1000))))
 	}
 	return m.Append(nil)
 }
 
 // tearDown gives a SETUP up, or, with a cause, releases a session that stands.
 func tearDown(url, id string, cause int) []byte {
-	m := message(rtsp.Request(rtsp.TearDown, url), seqTearDown, id)
+	m := message(rtsp.NewRequest(rtsp.TearDown, url), seqTearDown, id)
 	if cause > 0 {
-		m.With(fieldReason, "cause="+strconv.Itoa(cause))
+		m.WithHeader(fieldReason, "cause="+strconv.Itoa(cause))
 	}
 	return m.Append(nil)
 }
 
 func setup(s *session, wait float64) []byte {
-	m := message(rtsp.Request(rtsp.Setup, s.url), seqSetup, s.id)
-	m.With(fieldClass, s.class)
-	m.With(fieldWait, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
-	m.With(fieldRung, strconv.Itoa(s.rung))
+	m := message(rtsp.NewRequest(rtsp.Setup, s.url), seqSetup, s.id)
+	m.WithHeader(fieldClass, s.class)
+	m.WithHeader(fieldWait, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
+	m.WithHeader(fieldRung, strconv.Itoa(s.rung))
 	m.Body = s.body
 	return m.Append(nil)
 }
 
 func newRung(s *session) []byte {
-	return message(rtsp.Request(rtsp.SetParameter, s.url), "4", s.id).With(fieldRung, strconv.Itoa(s.rung)).Append(nil)
+	return message(rtsp.NewRequest(rtsp.SetParameter, s.url), "4", s.id).WithHeader(fieldRung, strconv.Itoa(s.rung)).Append(nil)
 }
 
 func test(id string) []byte {
-	return message(rtsp.Request(rtsp.Options, root+"load"), seqOptions, id).Append(nil)
+	return message(rtsp.NewRequest(rtsp.Options, root+"load"), seqOptions, id).Append(nil)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -613,7 +613,7 @@
 			if len(m.Body) > 16<<10 {
 				t.Fatalf("a body of %d bytes", len(m.Body))
 			}
-			c.Astray()
+			c.OutOfSync()
 			if r := readReport(m); r.Link > 100 || r.Uplink > 100 {
 				t.Fatalf("%+v", r)
 			}
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -112,14 +112,14 @@
 	}
 	in := rtsp.NewConn(nc, bounds)
 	for err == nil {
-		if err = in.Await(); err != nil {
+		if err = in.AwaitMessage(); err != nil {
 			break
 		}
 		if !c.isEnding() {
 			nc.SetReadDeadline(time.Now().Add(whole))
 		}
 		var m *rtsp.Message
-		if m, _, err = in.Next(); err == nil && (m == nil || in.Astray()) {
+		if m, _, err = in.Next(); err == nil && (m == nil || in.OutOfSync()) {
 			err = errAstray
 		}
 		if err == nil {
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -41,7 +41,7 @@
 	p := &peer{c, t, make(chan *rtsp.Message, 4096), name}
 	go func() {
 		defer close(p.in)
-		r := rtsp.NewConn(c, rtsp.Bounds{})
+		r := rtsp.NewConn(c, rtsp.Limits{})
 		for {
 			m, _, err := r.Next()
 			if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -13,49 +13,49 @@
 	"time"
 )
 
-// ErrSlow ends an Out whose messages outgrew their bound.
-var ErrSlow = errors.New("relay: more messages wait than a peer may have")
+// ErrMessageBacklog ends a Queue whose messages outgrew their bound.
+var ErrMessageBacklog = errors.New("relay: more messages wait than a peer may have")
 
-// Out is what waits to be written to one connection: messages and frames in one order, with a bound on each. Frames
+// Queue is what waits to be written to one connection: messages and frames in one order, with a bound on each. Frames
 // past theirs are dropped whole and counted; messages past theirs end the connection.
-type Out struct {
-	mu       sync.Mutex
-	wake     sync.Cond
-	pending  []byte  // nil while nothing waits
-	buffer   *[]byte // where pending comes from
-	frames   int     // bytes of frames among pending
-	messages int     // bytes of messages among pending
-	most     int
-	closed   bool
-	flush    bool // write what is pending, then close
-	err      error
-	room     chan struct{} // filled as Run takes what waits
-	behind   bool          // a wait for room was in vain; until half of what may wait is free
-	Limited  atomic.Int64  // when frames last had to wait or were dropped, nanoseconds on the caller's clock
-	Dropped  atomic.Int64  // frames
-	Sent     atomic.Int64  // bytes
+type Queue struct {
+	mu            sync.Mutex
+	wake          sync.Cond
+	pending       []byte  // nil while nothing waits
+	buffer        *[]byte // where pending comes from
+	frames        int     // bytes of frames among pending
+	messages      int     // bytes of messages among pending
+	most          int
+	closed        bool
+	flush         bool // write what is pending, then close
+	err           error
+	room          chan struct{} // filled as Run takes what waits
+	behind        bool          // a wait for room was in vain; until half of what may wait is free
+	LastLimitedAt atomic.Int64  // when frames last had to wait or were dropped, nanoseconds on the caller's clock
+	DroppedFrames atomic.Int64  // frames
+	SentBytes     atomic.Int64  // bytes
 }
 
 const mostMessages = 64 << 10 // bytes of messages that wait; a pipelining viewer's eight answers take under 8 kB
 
-// NewOut makes a queue that holds so many bytes of frames at most, twice that while a write is under way.
-func NewOut(most int) *Out {
-	o := &Out{most: most, room: make(chan struct{}, 1)}
+// NewQueue makes a queue that holds so many bytes of frames at most, twice that while a write is under way.
+func NewQueue(most int) *Queue {
+	o := &Queue{most: most, room: make(chan struct{}, 1)}
 	o.wake.L = &o.mu
 	return o
 }
 
-// Message queues a message.
-func (o *Out) Message(b []byte) error {
+// PushMessage queues a message.
+func (o *Queue) PushMessage(b []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.flush {
 		return net.ErrClosed
 	}
 	if o.messages+len(b) > mostMessages {
-		o.closed, o.err = true, ErrSlow
+		o.closed, o.err = true, ErrMessageBacklog
 		o.wake.Signal()
-		return ErrSlow
+		return ErrMessageBacklog
 	}
 	o.begin()
 	o.messages += len(b)
@@ -65,15 +65,15 @@
 }
 
 // Flush has what is queued written. Frames wait for it, so that those that came together leave in one write.
-func (o *Out) Flush() { o.wake.Signal() }
+func (o *Queue) Flush() { o.wake.Signal() }
 
-// Frame queues a frame for the next Flush; edit, which may be nil, may change the copy's payload in place. It tells
+// PushFrame queues a frame for the next Flush; edit, which may be nil, may change the copy's payload in place. It tells
 // whether there was room.
-func (o *Out) Frame(channel byte, payload []byte, edit func(payload []byte)) bool {
+func (o *Queue) PushFrame(channel byte, payload []byte, edit func(payload []byte)) bool {
 	o.mu.Lock()
 	if o.closed || o.flush || o.frames+len(payload)+4 > o.most {
 		o.mu.Unlock()
-		o.Dropped.Add(1)
+		o.DroppedFrames.Add(1)
 		return false
 	}
 	o.begin()
@@ -92,10 +92,10 @@
 // processor's cache.
 const pace = 256 << 10
 
-// Room waits while much waits already, for the timer's time at most, and not at all where the last wait was in vain and
+// AwaitRoom waits while much waits already, for the timer's time at most, and not at all where the last wait was in vain and
 // little has gone since: a peer that keeps up slows its source down for a moment; one that doesn't first fills the
 // queue and then loses frames, and its source's other words are not held up. now is noted in Limited for the latter.
-func (o *Out) Room(n int, now int64, timer *time.Timer, wait time.Duration) {
+func (o *Queue) AwaitRoom(n int, now int64, timer *time.Timer, wait time.Duration) {
 	most := min(o.most, pace)
 	fits := func() bool {
 		o.mu.Lock()
@@ -103,7 +103,7 @@
 		if o.frames <= most/2 {
 			o.behind = false
 		} else if o.behind {
-			o.Limited.Store(now)
+			o.LastLimitedAt.Store(now)
 		}
 		return o.behind || o.closed || o.flush || o.frames+n <= most
 	}
@@ -120,14 +120,14 @@
 			o.mu.Lock()
 			o.behind = true
 			o.mu.Unlock()
-			o.Limited.Store(now)
+			o.LastLimitedAt.Store(now)
 			return
 		}
 	}
 }
 
 // Close ends the queue: what waits is dropped, Run returns.
-func (o *Out) Close() {
+func (o *Queue) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
@@ -139,15 +139,15 @@
 }
 
 // Finish ends the queue once what waits is written.
-func (o *Out) Finish() {
+func (o *Queue) Finish() {
 	o.mu.Lock()
 	o.flush = true
 	o.mu.Unlock()
 	o.wake.Signal()
 }
 
-// Waiting is how many bytes wait.
-func (o *Out) Waiting() int {
+// PendingBytes is how many bytes wait.
+func (o *Queue) PendingBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.pending)
@@ -158,7 +158,7 @@
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
 // begin takes a buffer for the first bytes after a write. Called locked.
-func (o *Out) begin() {
+func (o *Queue) begin() {
 	if o.pending == nil {
 		o.buffer = buffers.Get().(*[]byte)
 		o.pending = (*o.buffer)[:0]
@@ -167,7 +167,7 @@
 
 // Run writes what is queued to w until the queue is closed or a write fails, or takes longer than stall. It is the
 // goroutine that owns the connection's writing.
-func (o *Out) Run(w net.Conn, stall time.Duration) error {
+func (o *Queue) Run(w net.Conn, stall time.Duration) error {
 	for {
 		o.mu.Lock()
 		for len(o.pending) == 0 && !o.closed && !o.flush {
@@ -191,7 +191,7 @@
 			w.SetWriteDeadline(time.Now().Add(stall))
 		}
 		n, err := w.Write(out)
-		o.Sent.Add(int64(n))
+		o.SentBytes.Add(int64(n))
 		if err != nil {
 			o.Close()
 			return err
@@ -203,8 +203,8 @@
 
 // Track is one media track of a stream.
 type Track struct {
-	RTP, RTCP byte // channels at the viewer
-	Clock     uint32
+	RTPChannel, RTCPChannel byte // channels at the viewer
+	ClockRate               uint32
 
 	ssrc           uint32 // towards the viewer
 	known          bool
@@ -218,7 +218,7 @@
 
 // Stream is one session's way from its box to its viewer.
 type Stream struct {
-	out    *Out
+	out    *Queue
 	mu     sync.Mutex
 	tracks map[byte]*Track // by the box's RTP channel; as many as were set up
 	open   bool
@@ -226,10 +226,10 @@
 	heldN  int
 	notes  func(link, uplink float64)
 
-	at     atomic.Int64 // when the newest frame came in, nanoseconds on the front's clock
-	media  atomic.Int64 // microseconds of media up to it
-	Frames atomic.Int64
-	Stray  atomic.Int64 // frames on channels that were never set up
+	at          atomic.Int64 // when the newest frame came in, nanoseconds on the front's clock
+	media       atomic.Int64 // microseconds of media up to it
+	MediaFrames atomic.Int64
+	StrayFrames atomic.Int64 // frames on channels that were never set up
 }
 
 type heldFrame struct {
@@ -241,15 +241,15 @@
 const mostHeld = 64 << 10
 
 // NewStream makes a stream to a viewer's queue. notes hears each load note that comes with the media.
-func NewStream(out *Out, notes func(link, uplink float64)) *Stream {
+func NewStream(out *Queue, notes func(link, uplink float64)) *Stream {
 	return &Stream{out: out, tracks: map[byte]*Track{}, notes: notes}
 }
 
-// Out is the viewer's queue.
-func (s *Stream) Out() *Out { return s.out }
+// Queue is the viewer's queue.
+func (s *Stream) Queue() *Queue { return s.out }
 
-// Add puts a track on a box's channel pair that starts at low.
-func (s *Stream) Add(low byte, t *Track) {
+// AddTrack puts a track on a box's channel pair that starts at low.
+func (s *Stream) AddTrack(low byte, t *Track) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tracks[low] = t
@@ -274,9 +274,9 @@
 	return time.Duration(a), float64(s.media.Load()) / 1e6, a != 0
 }
 
-// Numbers makes the numbers that a box names for a track's next frame (RTP-Info) those that the viewer gets it under,
+// TranslateRTPInfo makes the numbers that a box names for a track's next frame (RTP-Info) those that the viewer gets it under,
 // whether that frame has come already or not; ok is false where the stream has no such track.
-func (s *Stream) Numbers(low byte, seq uint16, ts uint32) (uint16, uint32, bool) {
+func (s *Stream) TranslateRTPInfo(low byte, seq uint16, ts uint32) (uint16, uint32, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.tracks[low]
@@ -289,8 +289,8 @@
 	return seq + t.seq, ts + t.ts, true
 }
 
-// Frame takes a frame from the box, received at now. The payload is not kept. Out().Flush has it written.
-func (s *Stream) Frame(now time.Duration, channel byte, payload []byte) {
+// ForwardFrame takes a frame from the box, received at now. The payload is not kept. Queue().Flush has it written.
+func (s *Stream) ForwardFrame(now time.Duration, channel byte, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.open {
@@ -298,7 +298,7 @@
 			s.held = append(s.held, heldFrame{channel, append([]byte(nil), payload...)})
 			s.heldN += len(payload)
 		} else {
-			s.out.Dropped.Add(1)
+			s.out.DroppedFrames.Add(1)
 		}
 		return
 	}
@@ -310,18 +310,18 @@
 // pass sends a frame on. It tells whether it moved the media's time.
 func (s *Stream) pass(channel byte, payload []byte) bool {
 	if t := s.tracks[channel]; t != nil && len(payload) >= 12 {
-		s.Frames.Add(1)
+		s.MediaFrames.Add(1)
 		seq, ts := binary.BigEndian.Uint16(payload[2:]), binary.BigEndian.Uint32(payload[4:])
 		src := binary.BigEndian.Uint32(payload[8:])
 		seq, ts = t.rewrite(seq, ts, src)
 		ssrc := t.ssrc
 		// The sequence number moves on even where the frame is dropped: the viewer sees the loss as one.
-		s.out.Frame(t.RTP, payload, func(p []byte) {
+		s.out.PushFrame(t.RTPChannel, payload, func(p []byte) {
 			binary.BigEndian.PutUint16(p[2:], seq)
 			binary.BigEndian.PutUint32(p[4:], ts)
 			binary.BigEndian.PutUint32(p[8:], ssrc)
 		})
-		if us := t.reached * 1e6 / int64(max(t.Clock, 1)); us > s.media.Load() {
+		if us := t.reached * 1e6 / int64(max(t.ClockRate, 1)); us > s.media.Load() {
 			s.media.Store(us)
 		}
 		return true
@@ -330,14 +330,14 @@
 		s.control(t, payload)
 		return false
 	}
-	s.Stray.Add(1)
+	s.StrayFrames.Add(1)
 	return false
 }
 
 // leaps tells whether a source's numbers don't follow on its last ones.
 func (t *Track) leaps(seq uint16, ts uint32) bool {
 	d, dt := int16(seq+t.seq-t.lastSeq), int32(ts+t.ts-t.lastTS)
-	return d < -1000 || d > 1000 || dt < -int32(t.Clock) || dt > 10*int32(t.Clock)
+	return d < -1000 || d > 1000 || dt < -int32(t.ClockRate) || dt > 10*int32(t.ClockRate)
 }
 
 // rewrite makes a source's numbers the viewer's. A new source, or a leap within one, goes on where the last left off.
@@ -370,12 +370,12 @@
 	for len(p) >= 8 {
 		n := (int(binary.BigEndian.Uint16(p[2:])) + 1) * 4
 		if p[0]>>6 != 2 || n > len(p) || n < 8 {
-			s.Stray.Add(1)
+			s.StrayFrames.Add(1)
 			break
 		}
 		one := p[:n]
 		p = p[n:]
-		if link, uplink, ok := ParseNote(one); ok {
+		if link, uplink, ok := ParseLoadNote(one); ok {
 			if s.notes != nil {
 				s.notes(link, uplink)
 			}
@@ -392,19 +392,19 @@
 		}
 	}
 	if len(buf) > 0 {
-		s.out.Frame(t.RTCP, buf, nil)
+		s.out.PushFrame(t.RTCPChannel, buf, nil)
 	}
 }
 
-// Back makes a viewer's RTCP, which came on a channel of its, the box's: the channel there, and the sources that its
+// TranslateRTCP makes a viewer's RTCP, which came on a channel of its, the box's: the channel there, and the sources that its
 // reports are about. lost is the largest share lost that it tells, -1 where it tells none; ok is false where it belongs
 // to no track or is broken. The payload is changed in place.
-func (s *Stream) Back(channel byte, p []byte) (to byte, lost float64, ok bool) {
+func (s *Stream) TranslateRTCP(channel byte, p []byte) (to byte, lost float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost = -1
 	for low, t := range s.tracks {
-		if t.RTCP != channel {
+		if t.RTCPChannel != channel {
 			continue
 		}
 		for len(p) >= 4 {
@@ -426,15 +426,15 @@
 	return 0, -1, false
 }
 
-// Bye queues an RTCP BYE (RFC 3550, section 6.6) for each track: the stream is over.
-func (s *Stream) Bye() {
+// SendBye queues an RTCP BYE (RFC 3550, section 6.6) for each track: the stream is over.
+func (s *Stream) SendBye() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.tracks {
 		var b [8]byte
 		b[0], b[1], b[3] = 0x81, 203, 1
 		binary.BigEndian.PutUint32(b[4:], t.ssrc)
-		s.out.Frame(t.RTCP, b[:], nil)
+		s.out.PushFrame(t.RTCPChannel, b[:], nil)
 	}
 	s.out.Flush()
 	s.open = false
@@ -443,9 +443,9 @@
 // noteName marks an RTCP APP packet as a load note (RFC 3550, section 6.7).
 const noteName = "LOAD"
 
-// AppendNote writes a load note: an APP packet whose data are two 16.16 figures, what is asked over what is given of
+// AppendLoadNote writes a load note: an APP packet whose data are two 16.16 figures, what is asked over what is given of
 // the box's link and of its rack's uplink. A negative figure is not told.
-func AppendNote(b []byte, ssrc uint32, link, uplink float64) []byte {
+func AppendLoadNote(b []byte, ssrc uint32, link, uplink float64) []byte {
 	fix := func(x float64) uint32 {
 		if x < 0 || x > 60000 {
 			return 0xffffffff
@@ -459,8 +459,8 @@
 	return binary.BigEndian.AppendUint32(b, fix(uplink))
 }
 
-// ParseNote reads a load note. An untold figure is -1.
-func ParseNote(p []byte) (link, uplink float64, ok bool) {
+// ParseLoadNote reads a load note. An untold figure is -1.
+func ParseLoadNote(p []byte) (link, uplink float64, ok bool) {
 	if len(p) != 20 || p[0]>>6 != 2 || p[1] != 204 || string(p[8:12]) != noteName {
 		return 0, 0, false
 	}
@@ -474,8 +474,8 @@
 	return fix(p[12:]), fix(p[16:]), true
 }
 
-// Discard reads a connection to its end within a bound, so that a close is not turned into a reset.
-func Discard(c net.Conn, within time.Duration) {
+// DiscardInput reads a connection to its end within a bound, so that a close is not turned into a reset.
+func DiscardInput(c net.Conn, within time.Duration) {
 	c.SetReadDeadline(time.Now().Add(within))
 	io.Copy(io.Discard, io.LimitReader(c, 1<<20))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,9 +21,9 @@
 }
 
 // pair runs a queue into one end of a connection and reads the other.
-func pair(t testing.TB, most int) (*Out, *rtsp.Conn, <-chan error) {
+func pair(t testing.TB, most int) (*Queue, *rtsp.Conn, <-chan error) {
 	a, b := net.Pipe()
-	o, done := NewOut(most), make(chan error, 1)
+	o, done := NewQueue(most), make(chan error, 1)
 	go func() {
 		err := o.Run(a, time.Second)
 		a.Close()
@@ -33,26 +33,26 @@
 		o.Close()
 		b.Close()
 	})
-	return o, rtsp.NewConn(b, rtsp.Bounds{}), done
+	return o, rtsp.NewConn(b, rtsp.Limits{}), done
 }
 
 func TestOneContinuousStreamFromManySources(t *testing.T) {
 	o, in, _ := pair(t, 1<<20)
 	s := NewStream(o, nil)
-	s.Add(4, &Track{RTP: 0, RTCP: 1, Clock: 90000})
-	s.Frame(1, 4, packet(65534, 4294967000, 77)) // before PLAY is answered: kept
+	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
+	s.ForwardFrame(1, 4, packet(65534, 4294967000, 77)) // before PLAY is answered: kept
 	s.Open()
 	for i := range uint32(4) {
-		s.Frame(2, 4, packet(uint16(65535+i), 4294967000+3600*(i+1), 77))
+		s.ForwardFrame(2, 4, packet(uint16(65535+i), 4294967000+3600*(i+1), 77))
 	}
 	for i := range uint32(4) {
-		s.Frame(3, 4, packet(uint16(100+i), 5000+3600*i, 88)) // another source
+		s.ForwardFrame(3, 4, packet(uint16(100+i), 5000+3600*i, 88)) // another source
 	}
 	for i := range uint32(4) {
-		s.Frame(4, 4, packet(uint16(104+i), 5000+3600*4+90000*60+3600*i, 88)) // it leaps ahead
+		s.ForwardFrame(4, 4, packet(uint16(104+i), 5000+3600*4+90000*60+3600*i, 88)) // it leaps ahead
 	}
-	s.Frame(4, 9, packet(1, 1, 1)) // never set up
-	s.Bye()
+	s.ForwardFrame(4, 9, packet(1, 1, 1)) // never set up
+	s.SendBye()
 	o.Finish()
 	var seq uint16
 	var ts uint32
@@ -77,8 +77,8 @@
 	if _, _, err := in.Next(); err != io.EOF {
 		t.Errorf("after the end: %v", err)
 	}
-	if s.Stray.Load() != 1 {
-		t.Errorf("%d stray frames", s.Stray.Load())
+	if s.StrayFrames.Load() != 1 {
+		t.Errorf("%d stray frames", s.StrayFrames.Load())
 	}
 	if at, media, ok := s.Progress(); !ok || at != 4 || media < 0.47 || media > 0.49 {
 		t.Errorf("progress %v %v %v", at, media, ok)
@@ -87,27 +87,27 @@
 
 // The box's numbers for its next frame become the viewer's, whether that frame has overtaken the box's word or not.
 func TestNumbersOfTheNextFrame(t *testing.T) {
-	s := NewStream(NewOut(1<<20), nil)
-	s.Add(0, &Track{RTP: 0, RTCP: 1, Clock: 90000})
+	s := NewStream(NewQueue(1<<20), nil)
+	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	look := func(what string, seq uint16, ts uint32, wantSeq uint16, wantTS uint32) {
 		t.Helper()
-		if a, b, ok := s.Numbers(0, seq, ts); !ok || a != wantSeq || b != wantTS {
+		if a, b, ok := s.TranslateRTPInfo(0, seq, ts); !ok || a != wantSeq || b != wantTS {
 			t.Errorf("%s: %d %d, want %d %d", what, a, b, wantSeq, wantTS)
 		}
 	}
 	look("before any", 7, 900, 7, 900)
 	for i := range uint32(4) {
-		s.Frame(1, 0, packet(uint16(10+i), 1000+3600*i, 5))
+		s.ForwardFrame(1, 0, packet(uint16(10+i), 1000+3600*i, 5))
 	}
 	look("it goes on", 14, 15400, 14, 15400)
 	look("a seek", 14, 9_000_000, 14, 15400)
-	s.Frame(2, 0, packet(14, 9_000_000, 5))
+	s.ForwardFrame(2, 0, packet(14, 9_000_000, 5))
 	look("a seek whose first frame was quicker", 14, 9_000_000, 14, 15400)
-	s.Frame(2, 0, packet(15, 9_003_600, 5))
+	s.ForwardFrame(2, 0, packet(15, 9_003_600, 5))
 	look("whose first two were", 14, 9_000_000, 14, 15400)
 	look("back", 16, 100, 16, 22600)
-	if _, _, ok := s.Numbers(2, 1, 1); ok {
+	if _, _, ok := s.TranslateRTPInfo(2, 1, 1); ok {
 		t.Error("numbers of a track that was never set up")
 	}
 }
@@ -116,13 +116,13 @@
 	o, in, _ := pair(t, 1<<20)
 	var link, uplink float64
 	s := NewStream(o, func(l, u float64) { link, uplink = l, u })
-	s.Add(0, &Track{RTP: 6, RTCP: 7, Clock: 90000})
+	s.AddTrack(0, &Track{RTPChannel: 6, RTCPChannel: 7, ClockRate: 90000})
 	s.Open()
-	s.Frame(1, 0, packet(5, 100, 77))
+	s.ForwardFrame(1, 0, packet(5, 100, 77))
 	report := make([]byte, 28)
 	report[0], report[1], report[3] = 0x80, 200, 6
 	binary.BigEndian.PutUint32(report[4:], 77)
-	s.Frame(1, 1, AppendNote(report, 77, 0.75, -1))
+	s.ForwardFrame(1, 1, AppendLoadNote(report, 77, 0.75, -1))
 	o.Flush()
 	in.Next()
 	_, f, err := in.Next()
@@ -132,30 +132,30 @@
 	if link != 0.75 || uplink != -1 {
 		t.Errorf("note %v %v", link, uplink)
 	}
-	s.Frame(1, 1, []byte{0x80, 200, 0xff, 0xff, 0, 0, 0, 0}) // longer than it is
-	if s.Stray.Load() != 1 {
+	s.ForwardFrame(1, 1, []byte{0x80, 200, 0xff, 0xff, 0, 0, 0, 0}) // longer than it is
+	if s.StrayFrames.Load() != 1 {
 		t.Error("a broken report was taken")
 	}
 }
 
 func TestReportsGoBackToTheSourceOfNow(t *testing.T) {
-	s := NewStream(NewOut(1<<16), nil)
-	s.Add(4, &Track{RTP: 0, RTCP: 1, Clock: 90000})
+	s := NewStream(NewQueue(1<<16), nil)
+	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
-	s.Frame(1, 4, packet(1, 100, 77))
-	s.Frame(1, 4, packet(1, 100, 88)) // another source; the viewer still knows the first
+	s.ForwardFrame(1, 4, packet(1, 100, 77))
+	s.ForwardFrame(1, 4, packet(1, 100, 88)) // another source; the viewer still knows the first
 	rr := make([]byte, 32)
 	rr[0], rr[1], rr[3], rr[12] = 0x81, 201, 7, 64
 	binary.BigEndian.PutUint32(rr[8:], 77)
-	to, lost, ok := s.Back(1, rr)
+	to, lost, ok := s.TranslateRTCP(1, rr)
 	if !ok || to != 5 || lost != 0.25 || binary.BigEndian.Uint32(rr[8:]) != 88 {
 		t.Errorf("to %d, lost %v, %v, about %d", to, lost, ok, binary.BigEndian.Uint32(rr[8:]))
 	}
-	if _, _, ok := s.Back(9, rr); ok {
+	if _, _, ok := s.TranslateRTCP(9, rr); ok {
 		t.Error("a channel of no track")
 	}
 	rr[3] = 200
-	if _, _, ok := s.Back(1, rr); ok {
+	if _, _, ok := s.TranslateRTCP(1, rr); ok {
 		t.Error("a report longer than it is")
 	}
 }
@@ -163,25 +163,25 @@
 func TestSlowViewerLosesFramesOnly(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	o := NewOut(10000)
+	o := NewQueue(10000)
 	s := NewStream(o, nil)
-	s.Add(0, &Track{RTP: 0, RTCP: 1, Clock: 90000})
+	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	for i := range uint32(100) { // nobody reads
-		s.Frame(1, 0, packet(uint16(i), i*3600, 7, make([]byte, 988)...))
+		s.ForwardFrame(1, 0, packet(uint16(i), i*3600, 7, make([]byte, 988)...))
 	}
-	if w := o.Waiting(); w > 10000 {
+	if w := o.PendingBytes(); w > 10000 {
 		t.Errorf("%d bytes wait", w)
 	}
-	if d := o.Dropped.Load(); d != 91 {
+	if d := o.DroppedFrames.Load(); d != 91 {
 		t.Errorf("%d dropped", d)
 	}
-	if err := o.Message([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")); err != nil {
+	if err := o.PushMessage([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")); err != nil {
 		t.Error(err)
 	}
 	o.Finish()
 	go o.Run(a, time.Second)
-	in, n := rtsp.NewConn(b, rtsp.Bounds{}), 0
+	in, n := rtsp.NewConn(b, rtsp.Limits{}), 0
 	for {
 		m, _, err := in.Next()
 		if err != nil {
@@ -196,9 +196,9 @@
 		t.Errorf("%d frames before the message", n)
 	}
 	for range 3 {
-		o.Message(make([]byte, 30<<10))
+		o.PushMessage(make([]byte, 30<<10))
 	}
-	if err := o.Message(nil); err == nil {
+	if err := o.PushMessage(nil); err == nil {
 		t.Error("messages without bound")
 	}
 }
@@ -206,8 +206,8 @@
 func TestStalledViewerIsLeft(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	o := NewOut(10000)
-	o.Message([]byte("x"))
+	o := NewQueue(10000)
+	o.PushMessage([]byte("x"))
 	if err := o.Run(a, 5*time.Millisecond); err == nil {
 		t.Error("a write without end")
 	}
@@ -217,7 +217,7 @@
 // source itself skips and swaps within a window; media time never runs back.
 func TestAnySource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := &Track{Clock: 90000}
+		tr := &Track{ClockRate: 90000}
 		var last int64
 		for range rapid.IntRange(1, 200).Draw(t, "frames") {
 			seq := rapid.Uint16().Draw(t, "seq")
@@ -235,32 +235,32 @@
 }
 
 func FuzzControl(f *testing.F) {
-	f.Add(AppendNote(nil, 1, 0.5, 0.25))
+	f.Add(AppendLoadNote(nil, 1, 0.5, 0.25))
 	f.Add([]byte{0x81, 203, 0, 1, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		o := NewOut(1 << 16)
+		o := NewQueue(1 << 16)
 		s := NewStream(o, func(l, u float64) {
 			if l < 0 && l != -1 || u < 0 && u != -1 {
 				t.Fatalf("note %v %v", l, u)
 			}
 		})
-		s.Add(0, &Track{RTP: 0, RTCP: 1, Clock: 90000})
+		s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 		s.Open()
-		s.Frame(1, 0, packet(1, 1, 9))
-		s.Frame(1, 1, in)
-		s.Frame(1, 0, in)
-		s.Back(1, append([]byte(nil), in...))
+		s.ForwardFrame(1, 0, packet(1, 1, 9))
+		s.ForwardFrame(1, 1, in)
+		s.ForwardFrame(1, 0, in)
+		s.TranslateRTCP(1, append([]byte(nil), in...))
 	})
 }
 
 func BenchmarkFrame(b *testing.B) {
-	o := NewOut(1 << 20)
+	o := NewQueue(1 << 20)
 	x, y := net.Pipe()
 	go o.Run(x, 0)
 	go io.Copy(io.Discard, y)
 	defer o.Close()
 	s := NewStream(o, nil)
-	s.Add(0, &Track{RTP: 0, RTCP: 1, Clock: 90000})
+	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	p := packet(0, 0, 7, make([]byte, 1388)...)
 	b.SetBytes(int64(len(p)))
@@ -270,7 +270,7 @@
 		i++
 		binary.BigEndian.PutUint16(p[2:], uint16(i))
 		binary.BigEndian.PutUint32(p[4:], i*3600)
-		s.Frame(1, 0, p)
+		s.ForwardFrame(1, 0, p)
 		if i%40 == 0 {
 			o.Flush()
 		}
--- a/internal/rtsp/conn.go
+++ b/internal/rtsp/conn.go
@@ -16,24 +16,24 @@
 type Conn struct {
 	net.Conn
 	in     buffer
-	bounds Bounds
+	bounds Limits
 }
 
 // NewConn reads from c within bounds.
-func NewConn(c net.Conn, bounds Bounds) *Conn {
+func NewConn(c net.Conn, bounds Limits) *Conn {
 	bounds = bounds.orUsual()
-	return &Conn{Conn: c, in: buffer{r: c, most: bounds.Buffer}, bounds: bounds}
+	return &Conn{Conn: c, in: buffer{r: c, most: bounds.BufferBytes}, bounds: bounds}
 }
 
 // Frame is an interleaved frame (RFC 2326, section 10.12). Whole holds its four bytes of header and its payload,
 // and is valid until the next call of Next only.
 type Frame struct {
 	Channel byte
-	Whole   []byte
+	Raw     []byte
 }
 
 // Payload is the frame without its header.
-func (f Frame) Payload() []byte { return f.Whole[4:] }
+func (f Frame) Payload() []byte { return f.Raw[4:] }
 
 // AppendFrame appends a frame as it goes on the wire. The payload is at most 65535 bytes long.
 func AppendFrame(b []byte, channel byte, payload []byte) []byte {
@@ -55,7 +55,7 @@
 		}
 		line, err := c.readLine()
 		if err == errLine {
-			return nil, Frame{}, malformed(URITooLong, "a start line of over %d bytes", c.bounds.Line)
+			return nil, Frame{}, malformed(URITooLong, "a start line of over %d bytes", c.bounds.LineBytes)
 		}
 		if err != nil {
 			return nil, Frame{}, err
@@ -80,7 +80,7 @@
 		return Frame{}, within(err)
 	}
 	n := int(binary.BigEndian.Uint16(head[2:]))
-	if n > c.bounds.Frame {
+	if n > c.bounds.FrameBytes {
 		return Frame{}, malformed(0, "a frame of %d bytes", n)
 	}
 	whole, err := c.in.peek(n + 4)
@@ -88,11 +88,11 @@
 		return Frame{}, within(err)
 	}
 	c.in.discard(n + 4)
-	return Frame{Channel: whole[1], Whole: whole}, nil
+	return Frame{Channel: whole[1], Raw: whole}, nil
 }
 
-// More tells whether another whole frame was received already, which Next gives without reading.
-func (c *Conn) More() bool {
+// FrameBuffered tells whether another whole frame was received already, which Next gives without reading.
+func (c *Conn) FrameBuffered() bool {
 	b := c.in.b[c.in.from:c.in.to]
 	return len(b) >= 4 && b[0] == '$' && len(b) >= 4+int(binary.BigEndian.Uint16(b[2:]))
 }
@@ -124,9 +124,9 @@
 	}
 }
 
-// Astray tells whether what was received beyond the last message can't begin another one: then that message's length
+// OutOfSync tells whether what was received beyond the last message can't begin another one: then that message's length
 // was wrong, and what was taken for its body is not whole. Of a start that is not whole yet it tells what it can.
-func (c *Conn) Astray() bool {
+func (c *Conn) OutOfSync() bool {
 	b := bytes.TrimLeft(c.in.b[c.in.from:c.in.to], "\r\n")
 	if len(b) == 0 || b[0] == '$' {
 		return false
@@ -146,8 +146,8 @@
 	return len(word) > 32
 }
 
-// Await waits until a byte of a message was received; line ends between messages are skipped.
-func (c *Conn) Await() error {
+// AwaitMessage waits until a byte of a message was received; line ends between messages are skipped.
+func (c *Conn) AwaitMessage() error {
 	for {
 		first, err := c.in.peek(1)
 		if err != nil {
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -11,13 +11,13 @@
 
 // Transport is one transport specification (section 12.39).
 type Transport struct {
-	Protocol    string // RTP/AVP/TCP, or as given
-	Interleaved bool   // channels were named
-	Low, High   byte   // the channels: RTP and RTCP
-	SSRC        uint32
-	HasSSRC     bool
-	Append      bool
-	Record      bool
+	Protocol                string // RTP/AVP/TCP, or as given
+	Interleaved             bool   // channels were named
+	RTPChannel, RTCPChannel byte   // the channels: RTP and RTCP
+	SSRC                    uint32
+	HasSSRC                 bool
+	Append                  bool
+	Record                  bool
 }
 
 // ParseTransport reads a Transport field: its specifications in the sender's order of preference.
@@ -47,7 +47,7 @@
 				if h > 255 {
 					return nil, fmt.Errorf("transport: no channel for RTCP after 255")
 				}
-				t.Interleaved, t.Low, t.High = true, byte(l), byte(h)
+				t.Interleaved, t.RTPChannel, t.RTCPChannel = true, byte(l), byte(h)
 			case "ssrc":
 				n, err := strconv.ParseUint(value, 16, 32)
 				if err != nil {
@@ -65,8 +65,8 @@
 	return list, nil
 }
 
-// OverTCP finds the first specification that asks for RTP on this connection.
-func OverTCP(list []Transport) (Transport, bool) {
+// FindTCP finds the first specification that asks for RTP on this connection.
+func FindTCP(list []Transport) (Transport, bool) {
 	for _, t := range list {
 		if t.Protocol == "RTP/AVP/TCP" && !t.Record {
 			return t, true
@@ -76,7 +76,7 @@
 }
 
 func (t Transport) String() string {
-	s := fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", t.Low, t.High)
+	s := fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", t.RTPChannel, t.RTCPChannel)
 	if t.HasSSRC {
 		s += fmt.Sprintf(";ssrc=%08X", t.SSRC)
 	}
@@ -203,13 +203,13 @@
 	return list, nil
 }
 
-// SessionField writes a Session field with its timeout (section 12.37).
-func SessionField(id string, timeout time.Duration) string {
+// FormatSession writes a Session field with its timeout (section 12.37).
+func FormatSession(id string, timeout time.Duration) string {
 	return fmt.Sprintf("%s;timeout=%d", id, int(timeout.Seconds()))
 }
 
-// SessionTimeout is the timeout that a Session field names, 60 s where it names none.
-func SessionTimeout(v string) time.Duration {
+// ParseSessionTimeout is the timeout that a Session field names, 60 s where it names none.
+func ParseSessionTimeout(v string) time.Duration {
 	_, rest, _ := strings.Cut(v, ";")
 	if s, ok := strings.CutPrefix(strings.TrimSpace(rest), "timeout="); ok {
 		if n, err := strconv.Atoi(strings.TrimSpace(s)); err == nil && n > 0 && n < 86400 {
@@ -219,16 +219,16 @@
 	return 60 * time.Second
 }
 
-// Place is what a URL names: rtsp://host/<service group>/<title>[/track<n>][?query].
-type Place struct {
+// Resource is what a URL names: rtsp://host/<service group>/<title>[/track<n>][?query].
+type Resource struct {
 	Host, Group, Title string
 	Track              int    // -1 for the presentation
 	Query              string // as given: the viewer's own, passed on to boxes for tracing
 }
 
-// ParsePlace reads a URL by that form.
-func ParsePlace(raw string) (Place, error) {
-	p := Place{Track: -1}
+// ParseURL reads a URL by that form.
+func ParseURL(raw string) (Resource, error) {
+	p := Resource{Track: -1}
 	u, err := url.Parse(raw)
 	if err != nil || u.Scheme != "rtsp" && u.Scheme != "rtsps" || u.Host == "" {
 		return p, fmt.Errorf("%.60q is not an rtsp URL", raw)
@@ -251,7 +251,7 @@
 }
 
 // URL writes the place.
-func (p Place) URL() string {
+func (p Resource) URL() string {
 	s := "rtsp://" + p.Host + "/" + url.PathEscape(p.Group) + "/" + url.PathEscape(p.Title)
 	if p.Track >= 0 {
 		s += "/track" + strconv.Itoa(p.Track)
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -88,13 +88,13 @@
 	Body   []byte
 }
 
-// Request makes a request without header fields.
-func Request(method, url string) *Message {
+// NewRequest makes a request without header fields.
+func NewRequest(method, url string) *Message {
 	return &Message{Method: method, URL: url, Header: Header{}}
 }
 
-// Response makes the response to a request, with its CSeq.
-func Response(to *Message, status int) *Message {
+// NewResponse makes the response to a request, with its CSeq.
+func NewResponse(to *Message, status int) *Message {
 	m := &Message{Status: status, Header: Header{}}
 	if to != nil {
 		if c := to.Header.Get("Cseq"); c != "" {
@@ -107,8 +107,8 @@
 // IsRequest tells a request from a response.
 func (m *Message) IsRequest() bool { return m.Method != "" }
 
-// With sets a header field and returns the message.
-func (m *Message) With(name, value string) *Message {
+// WithHeader sets a header field and returns the message.
+func (m *Message) WithHeader(name, value string) *Message {
 	m.Header.Set(name, value)
 	return m
 }
@@ -177,32 +177,32 @@
 	return v
 }
 
-// Bounds limits what is read. A zero field means the figure of Usual.
-type Bounds struct {
-	Line    int // bytes of a start or header line
-	Headers int // lines of a header
-	Body    int // bytes
-	Frame   int // bytes of an interleaved frame's payload, at most 65535
-	Whole   int // bytes of a message's lines and body together
-	Buffer  int // bytes that are received ahead
+// Limits limits what is read. A zero field means the figure of Usual.
+type Limits struct {
+	LineBytes    int // bytes of a start or header line
+	HeaderLines  int // lines of a header
+	BodyBytes    int // bytes
+	FrameBytes   int // bytes of an interleaved frame's payload, at most 65535
+	MessageBytes int // bytes of a message's lines and body together
+	BufferBytes  int // bytes that are received ahead
 }
 
-// Usual holds the limits in force where none are set: a line of 4 kB holds any URL that players make, 64 header
+// DefaultLimits holds the limits in force where none are set: a line of 4 kB holds any URL that players make, 64 header
 // lines are three times what the fullest message of RFC 2326's examples has, and no description here passes 64 kB.
-var Usual = Bounds{Line: 4096, Headers: 64, Body: 64 << 10, Frame: 65535, Whole: 512 << 10, Buffer: mostBuffer}
+var DefaultLimits = Limits{LineBytes: 4096, HeaderLines: 64, BodyBytes: 64 << 10, FrameBytes: 65535, MessageBytes: 512 << 10, BufferBytes: mostBuffer}
 
-func (b Bounds) orUsual() Bounds {
+func (b Limits) orUsual() Limits {
 	or := func(v *int, usual int) {
 		if *v <= 0 {
 			*v = usual
 		}
 	}
-	or(&b.Line, Usual.Line)
-	or(&b.Headers, Usual.Headers)
-	or(&b.Body, Usual.Body)
-	or(&b.Frame, Usual.Frame)
-	or(&b.Whole, Usual.Whole)
-	or(&b.Buffer, Usual.Buffer)
+	or(&b.LineBytes, DefaultLimits.LineBytes)
+	or(&b.HeaderLines, DefaultLimits.HeaderLines)
+	or(&b.BodyBytes, DefaultLimits.BodyBytes)
+	or(&b.FrameBytes, DefaultLimits.FrameBytes)
+	or(&b.MessageBytes, DefaultLimits.MessageBytes)
+	or(&b.BufferBytes, DefaultLimits.BufferBytes)
 	return b
 }
 
@@ -211,13 +211,13 @@
 type MalformedError struct {
 	Status int
 	CSeq   string
-	What   string
+	Detail string
 }
 
-func (e *MalformedError) Error() string { return "malformed RTSP: " + e.What }
+func (e *MalformedError) Error() string { return "malformed RTSP: " + e.Detail }
 
 func malformed(status int, format string, args ...any) error {
-	return &MalformedError{Status: status, What: fmt.Sprintf(format, args...)}
+	return &MalformedError{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
 // startLine reads a request line or a status line.
@@ -281,7 +281,7 @@
 // readLine reads a line without its end: CR LF, or LF alone as section 15.1 has receivers take it. A line that a
 // deadline cut short stays whole for the next call.
 func (c *Conn) readLine() (string, error) {
-	line, err := c.in.line(c.bounds.Line)
+	line, err := c.in.line(c.bounds.LineBytes)
 	if err != nil {
 		if errors.Is(err, io.EOF) && len(line) > 0 {
 			err = io.ErrUnexpectedEOF
@@ -317,7 +317,7 @@
 		line, err := c.readLine()
 		whole += len(line)
 		if err == errLine {
-			return nil, fail(malformed(TooLarge, "a header line of over %d bytes", c.bounds.Line))
+			return nil, fail(malformed(TooLarge, "a header line of over %d bytes", c.bounds.LineBytes))
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -328,7 +328,7 @@
 		if line == "" {
 			break
 		}
-		if n >= c.bounds.Headers || whole > c.bounds.Whole {
+		if n >= c.bounds.HeaderLines || whole > c.bounds.MessageBytes {
 			return nil, fail(malformed(TooLarge, "%d header lines of %d bytes", n+1, whole))
 		}
 		if line[0] == ' ' || line[0] == '\t' { // a folded line continues the field before
@@ -336,8 +336,8 @@
 				return nil, fail(malformed(BadRequest, "a continued line before any field"))
 			}
 			v := m.Header[last]
-			if len(v[len(v)-1])+len(line) > c.bounds.Line {
-				return nil, fail(malformed(TooLarge, "a field of over %d bytes", c.bounds.Line))
+			if len(v[len(v)-1])+len(line) > c.bounds.LineBytes {
+				return nil, fail(malformed(TooLarge, "a field of over %d bytes", c.bounds.LineBytes))
 			}
 			v[len(v)-1] += " " + strings.TrimSpace(line)
 			continue
@@ -357,7 +357,7 @@
 		if err != nil || n < 0 || len(v) > 1 {
 			return nil, fail(malformed(BadRequest, "Content-Length %.20q", v[0]))
 		}
-		if n > c.bounds.Body || n > c.bounds.Whole-whole {
+		if n > c.bounds.BodyBytes || n > c.bounds.MessageBytes-whole {
 			return nil, fail(malformed(TooLarge, "a body of %d bytes", n))
 		}
 		m.Body = make([]byte, n)
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -20,7 +20,7 @@
 
 func (i input) Read(b []byte) (int, error) { return i.Reader.Read(b) }
 
-func reader(s string, b Bounds) *Conn {
+func reader(s string, b Limits) *Conn {
 	return NewConn(input{Reader: iotest.OneByteReader(strings.NewReader(s))}, b)
 }
 
@@ -29,7 +29,7 @@
 	in := "SETUP rtsp://h/g/t/track1 RTSP/1.0\r\nCSeq: 4\r\nTransport: RTP/AVP/TCP;unicast;\r\n interleaved=2-3\r\n\r\n" +
 		string(frame) + "\r\nRTSP/1.0 200 OK\r\ncseq: 9\r\nSession: abc;timeout=20\r\nContent-Length: 3\r\n\r\nxyz$\x01\x00\x02hi" +
 		"PLAY rtsp://h/g/t RTSP/1.0\nCSeq: 5\n\n"
-	c := reader(in, Bounds{})
+	c := reader(in, Limits{})
 	m, _, err := c.Next()
 	if err != nil || m.Method != Setup || m.CSeq() != 4 {
 		t.Fatalf("first: %+v %v", m, err)
@@ -38,18 +38,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if tr, ok := OverTCP(specs); !ok || !tr.Interleaved || tr.Low != 2 || tr.High != 3 {
+	if tr, ok := FindTCP(specs); !ok || !tr.Interleaved || tr.RTPChannel != 2 || tr.RTCPChannel != 3 {
 		t.Errorf("transport over a folded line: %+v", tr)
 	}
 	m, f, err := c.Next()
-	if m != nil || err != nil || f.Channel != 3 || len(f.Payload()) != 9000 || !bytes.Equal(f.Whole, frame) {
+	if m != nil || err != nil || f.Channel != 3 || len(f.Payload()) != 9000 || !bytes.Equal(f.Raw, frame) {
 		t.Fatalf("long frame: %v %v", m, err)
 	}
 	m, _, err = c.Next()
 	if err != nil || m.IsRequest() || m.Status != 200 || m.Session() != "abc" || string(m.Body) != "xyz" {
 		t.Fatalf("response: %+v %v", m, err)
 	}
-	if d := SessionTimeout(m.Header.Get("Session")); d != 20*time.Second {
+	if d := ParseSessionTimeout(m.Header.Get("Session")); d != 20*time.Second {
 		t.Errorf("session timeout %v", d)
 	}
 	if m, f, err = c.Next(); m != nil || err != nil || string(f.Payload()) != "hi" {
@@ -88,7 +88,7 @@
 		"ends in its header": {"$\x00", -1, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, err := reader(c.in, Bounds{}).Next()
+			m, _, err := reader(c.in, Limits{}).Next()
 			var bad *MalformedError
 			switch {
 			case err == nil:
@@ -102,14 +102,14 @@
 			}
 		})
 	}
-	if _, _, err := reader("$\x00\x02\x00"+long, Bounds{Frame: 511}).Next(); err == nil {
+	if _, _, err := reader("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
 		t.Error("a frame over the limit was taken")
 	}
 }
 
 func TestWrittenMessagesKeepToTheirLines(t *testing.T) {
-	m := Request(Options, "*").With("CSeq", "1").With("User-Agent", "x\r\nSession: stolen")
-	got, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Bounds{}).Next()
+	m := NewRequest(Options, "*").WithHeader("CSeq", "1").WithHeader("User-Agent", "x\r\nSession: stolen")
+	got, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 	if err != nil || got.Session() != "" || got.CSeq() != 1 {
 		t.Errorf("%+v %v", got, err)
 	}
@@ -134,15 +134,15 @@
 }
 
 func TestPlaces(t *testing.T) {
-	p, err := ParsePlace("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
+	p, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
 	if err != nil || p.Group != "fault-clips" || p.Title != "vent 1" || p.Track != 1 || p.Query != "viewer=7" {
 		t.Errorf("%+v %v", p, err)
 	}
-	if again, err := ParsePlace(p.URL()); err != nil || again != p {
+	if again, err := ParseURL(p.URL()); err != nil || again != p {
 		t.Errorf("%s: %+v %v", p.URL(), again, err)
 	}
 	for _, in := range []string{"http://h/a/b", "rtsp://h/a", "rtsp:///a/b", "rtsp://h/a/b/track", "rtsp://h/a/b/c/d", "*"} {
-		if p, err := ParsePlace(in); err == nil {
+		if p, err := ParseURL(in); err == nil {
 			t.Errorf("%q was taken as %+v", in, p)
 		}
 	}
@@ -153,7 +153,7 @@
 	f.Add([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3\r\n\r\nabc\r\n\r\n"))
 	f.Add([]byte("$\x00\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := NewConn(input{Reader: bytes.NewReader(in)}, Bounds{Line: 200, Headers: 10, Body: 300})
+		c := NewConn(input{Reader: bytes.NewReader(in)}, Limits{LineBytes: 200, HeaderLines: 10, BodyBytes: 300})
 		for {
 			m, _, err := c.Next()
 			if err != nil {
@@ -163,7 +163,7 @@
 				continue
 			}
 			// What was read comes out the same after it was written.
-			again, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Bounds{}).Next()
+			again, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 			if err != nil {
 				t.Fatalf("%q can't be read again: %v", m.Append(nil), err)
 			}
@@ -181,8 +181,8 @@
 	f.Add("rtsp://h:1/a%2fb/c/track3")
 	f.Fuzz(func(t *testing.T, v string) {
 		if list, err := ParseTransport(v); err == nil {
-			if tr, ok := OverTCP(list); ok && tr.Interleaved {
-				if back, err := ParseTransport(tr.String()); err != nil || back[0].Low != tr.Low || back[0].High != tr.High {
+			if tr, ok := FindTCP(list); ok && tr.Interleaved {
+				if back, err := ParseTransport(tr.String()); err != nil || back[0].RTPChannel != tr.RTPChannel || back[0].RTCPChannel != tr.RTCPChannel {
 					t.Fatalf("%q: %+v %v", v, back, err)
 				}
 			}
@@ -190,20 +190,20 @@
 		if r, err := ParseRange(v); err == nil && (r.Start < 0 || r.End < r.Start || math.IsNaN(r.Start)) {
 			t.Fatalf("%q: %+v", v, r)
 		}
-		if p, err := ParsePlace(v); err == nil {
-			if again, err := ParsePlace(p.URL()); err != nil || again.Group != p.Group || again.Title != p.Title {
+		if p, err := ParseURL(v); err == nil {
+			if again, err := ParseURL(p.URL()); err != nil || again.Group != p.Group || again.Title != p.Title {
 				t.Fatalf("%q: %q: %+v %v", v, p.URL(), again, err)
 			}
 		}
 		ParseRTPInfo(v)
 		ParseParameters([]byte(v))
-		SessionTimeout(v)
+		ParseSessionTimeout(v)
 	})
 }
 
 func BenchmarkFrames(b *testing.B) {
 	one := AppendFrame(nil, 0, make([]byte, 1400))
-	c := NewConn(input{Reader: &endless{bytes.Repeat(one, 40), 0}}, Bounds{})
+	c := NewConn(input{Reader: &endless{bytes.Repeat(one, 40), 0}}, Limits{})
 	b.SetBytes(int64(len(one)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -232,7 +232,7 @@
 		"OPTIONS * RTSP/1.0\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100):                                        true,
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100): false,
 	} {
-		c := NewConn(input{nil, strings.NewReader(in)}, Bounds{Whole: 256, Buffer: 512})
+		c := NewConn(input{nil, strings.NewReader(in)}, Limits{MessageBytes: 256, BufferBytes: 512})
 		if _, _, err := c.Next(); (err == nil) != ok {
 			t.Errorf("%.60q: %v", in, err)
 		}
@@ -246,8 +246,8 @@
 		"": false, "\r\n": false, "RTSP/1.0 200 OK\r\n": false, "RTSP": false, "RTSP/1.0": false, "TEARDOWN rtsp://x RTSP/1.0\r\n": false, "ANNOU": false, "SET_PARAM": false,
 		"=IN IP4\r\n": true, "m=video 1": true, "8": true, "31000 RTP/AVP": true, "\r\nc=IN": true, "RTSP/x.y 200": true, "NOT A START LINE\r\n": true,
 	} {
-		c := NewConn(input{nil, strings.NewReader(m + rest)}, Bounds{})
-		if _, _, err := c.Next(); err != nil || c.Astray() != astray {
+		c := NewConn(input{nil, strings.NewReader(m + rest)}, Limits{})
+		if _, _, err := c.Next(); err != nil || c.OutOfSync() != astray {
 			t.Errorf("%q is astray: %v, %v", rest, !astray, err)
 		}
 	}
--- a/internal/settings/terms.go
+++ b/internal/settings/config.go
@@ -8,17 +8,17 @@
 	"rainhaven/choice/limits"
 )
 
-// Terms are what one front runs by.
-type Terms struct {
-	Name   string // of the instance: in logs, metrics and towards boxes
-	Listen string // address for viewers
-	TLS    Pair   // for viewers that come over TLS; an empty Listen is none
-	BoxTLS Trust  // of boxes, which are then reached over TLS; empty Roots is none
-	State  string // folder that must exist, in which the instance has its own; empty keeps nothing
-	Log    string // least level; empty leaves it as the process began with
-	Admin  string // address for health and metrics; empty is none
+// Config are what one front runs by.
+type Config struct {
+	Name     string      // of the instance: in logs, metrics and towards boxes
+	Listen   string      // address for viewers
+	TLS      TLSListener // for viewers that come over TLS; an empty Listen is none
+	BoxTLS   TLSTrust    // of boxes, which are then reached over TLS; empty Roots is none
+	StateDir string      // folder that must exist, in which the instance has its own; empty keeps nothing
+	LogLevel string      // least level; empty leaves it as the process began with
+	Admin    string      // address for health and metrics; empty is none
 
-	Figures  choice.Config // Seed 0 is drawn at start
+	Choice   choice.Config // Seed 0 is drawn at start
 	Groups   []Group       // in the order of Figures.Groups
 	Titles   map[string]Title
 	Boxes    []Box
@@ -28,15 +28,15 @@
 	Zones    []string
 	Kinds    []string
 
-	Bounds limits.Bounds
-	Grace  float64 // seconds after which nothing new may reach a box that drains; the module needs none of it
+	Limits     limits.Bounds
+	DrainGrace float64 // seconds after which nothing new may reach a box that drains; the module needs none of it
 }
 
-// Pair is an address for TLS and the files of its certificate and key.
-type Pair struct{ Listen, Cert, Key string }
+// TLSListener is an address for TLS and the files of its certificate and key.
+type TLSListener struct{ Listen, CertFile, KeyFile string }
 
-// Trust is a file of certificates, and the name that one must be for.
-type Trust struct{ Roots, Name string }
+// TLSTrust is a file of certificates, and the name that one must be for.
+type TLSTrust struct{ RootsFile, ServerName string }
 
 // Group is what a front needs of a service group beside the module's terms.
 type Group struct {
@@ -58,7 +58,7 @@
 }
 
 // GroupIndex finds a service group by its name, -1 where there is none.
-func (t *Terms) GroupIndex(name string) int {
+func (t *Config) GroupIndex(name string) int {
 	for i, g := range t.Groups {
 		if g.Name == name {
 			return i
--- a/internal/settings/migrate.go
+++ b/internal/settings/migrate.go
@@ -11,27 +11,27 @@
 
 // Migration is a front's settings rewritten for another layout.
 type Migration struct {
-	Script  []byte   // flat: one call an entry, no loops, names or comments
-	Changed []string // what the layout set otherwise, in words
-	Left    []string // what could not be carried over, in words
+	Script      []byte   // flat: one call an entry, no loops, names or comments
+	Changed     []string // what the layout set otherwise, in words
+	NotMigrated []string // what could not be carried over, in words
 }
 
 // layoutForms are the forms of a layout: a front's, with nothing needed but keys, and those that a layout may have and
 // this program has no settings for.
 func layoutForms() (list []Form) {
 	for _, f := range FrontForms {
-		f.Needed, f.Fields = false, slices.Clone(f.Fields)
+		f.Required, f.Fields = false, slices.Clone(f.Fields)
 		for i := range f.Fields {
-			f.Fields[i].Needed = f.Fields[i].Name == f.Key
+			f.Fields[i].Required = f.Fields[i].Name == f.Key
 		}
 		list = append(list, f)
 	}
 	return append(list,
-		Form{Name: "everywhere", Once: true, Doc: "every box holds every title"},
+		Form{Name: "everywhere", AtMostOnce: true, Doc: "every box holds every title"},
 		Form{Name: "tenant", Key: "name", Doc: "one whose traffic beyond a share is worth little", Fields: []Field{
-			{Name: "name", Kind: Text, Needed: true, Doc: "its name"},
+			{Name: "name", Kind: Text, Required: true, Doc: "its name"},
 			{Name: "per_second", Kind: Number, Doc: "requests of its share, at all fronts together"}}},
-		Form{Name: "peers", Once: true, Doc: "fronts may send each other messages"})
+		Form{Name: "peers", AtMostOnce: true, Doc: "fronts may send each other messages"})
 }
 
 // Migrate rewrites a front's settings for a layout, both given as files. Mistakes of either, and of the outcome, are
@@ -41,9 +41,9 @@
 	if err != nil {
 		return m, err
 	}
-	before := FrontTerms(old)
-	if len(old.Mistakes) > 0 {
-		return m, old.Mistakes
+	before := FrontConfig(old)
+	if len(old.Diagnostics) > 0 {
+		return m, old.Diagnostics
 	}
 	over, err := ReadFile(layout, layoutForms(), instance)
 	if err != nil {
@@ -51,25 +51,25 @@
 	}
 	m.left(file, old, over, instance)
 	for _, f := range FrontForms {
-		for _, e := range over.All(f.Name) {
+		for _, e := range over.Entries(f.Name) {
 			m.overlay(f, old, over, e)
 		}
 	}
-	if _, ok := over.One("everywhere"); ok {
-		fleet, _ := old.One("fleet")
-		for _, e := range old.All("title") {
-			m.set("title "+e.Text("name"), e, Field{Name: "start_cell", Kind: Whole}, 0)
-			m.set("title "+e.Text("name"), e, Field{Name: "span", Kind: Whole}, fleet.Number("cells"))
+	if _, ok := over.Single("everywhere"); ok {
+		fleet, _ := old.Single("fleet")
+		for _, e := range old.Entries("title") {
+			m.set("title "+e.Text("name"), e, Field{Name: "start_cell", Kind: Integer}, 0)
+			m.set("title "+e.Text("name"), e, Field{Name: "span", Kind: Integer}, fleet.Number("cells"))
 		}
 	}
-	if len(over.Mistakes) > 0 {
-		return Migration{}, over.Mistakes
+	if len(over.Diagnostics) > 0 {
+		return Migration{}, over.Diagnostics
 	}
 	script := old.script()
 	after := Read(file+" for "+layout, script, FrontForms)
-	terms := FrontTerms(after)
-	if len(after.Mistakes) > 0 {
-		return Migration{}, after.Mistakes
+	terms := FrontConfig(after)
+	if len(after.Diagnostics) > 0 {
+		return Migration{}, after.Diagnostics
 	}
 	// Against a form or a kind of field that the writer does not know: what no layout changed must come out the same.
 	if len(m.Changed) == 0 && !reflect.DeepEqual(before, terms) {
@@ -80,7 +80,7 @@
 }
 
 // left lists what cannot be carried over.
-func (m *Migration) left(file string, old, over *Sheet, instance int) {
+func (m *Migration) left(file string, old, over *Document, instance int) {
 	if src, err := os.ReadFile(file); err == nil {
 		comments := 0
 		for _, line := range strings.Split(string(src), "\n") {
@@ -89,43 +89,43 @@
 			}
 		}
 		if comments > 0 {
-			m.Left = append(m.Left, fmt.Sprintf("%d lines of comments; names, loops and sums are written as what they came to", comments))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("%d lines of comments; names, loops and sums are written as what they came to", comments))
 		}
 		if other := read(file, src, FrontForms, instance+1); string(other.script()) != string(old.script()) {
-			m.Left = append(m.Left, fmt.Sprintf("what follows from the number of the instance: this is for instance %d alone", instance))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("what follows from the number of the instance: this is for instance %d alone", instance))
 		}
 	}
-	for _, e := range over.All("tenant") {
-		m.Left = append(m.Left, fmt.Sprintf("tenant %s and its share: a front has no setting for tenants, all are served alike", e.Text("name")))
+	for _, e := range over.Entries("tenant") {
+		m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("tenant %s and its share: a front has no setting for tenants, all are served alike", e.Text("name")))
 	}
-	if _, ok := over.One("peers"); ok {
-		m.Left = append(m.Left, "messages between fronts: a front sends none")
+	if _, ok := over.Single("peers"); ok {
+		m.NotMigrated = append(m.NotMigrated, "messages between fronts: a front sends none")
 	}
-	for _, g := range old.All("group") {
-		if g.Flag("paid") && !slices.ContainsFunc(over.All("group"), func(e Entry) bool {
+	for _, g := range old.Entries("group") {
+		if g.Bool("paid") && !slices.ContainsFunc(over.Entries("group"), func(e Entry) bool {
 			return e.Text("name") == g.Text("name") && e.Has("paid")
 		}) {
-			m.Left = append(m.Left, fmt.Sprintf("group %s stays paid, so it is never set up again; set paid = False in the layout where it may be", g.Text("name")))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("group %s stays paid, so it is never set up again; set paid = False in the layout where it may be", g.Text("name")))
 		}
 	}
 }
 
 // overlay sets the fields that a layout's call names in the old call of the same key.
-func (m *Migration) overlay(f Form, old, over *Sheet, e Entry) {
+func (m *Migration) overlay(f Form, old, over *Document, e Entry) {
 	name := f.Name
 	i := 0
 	if f.Key != "" {
 		key := func(e Entry) string { return e.value(f, f.Key) }
-		if i = slices.IndexFunc(old.All(f.Name), func(o Entry) bool { return key(o) == key(e) }); i < 0 {
-			over.Wrong(e.Line, "%s: there is no %s %s in the old settings", f.Name, f.Name, key(e))
+		if i = slices.IndexFunc(old.Entries(f.Name), func(o Entry) bool { return key(o) == key(e) }); i < 0 {
+			over.Errorf(e.Line, "%s: there is no %s %s in the old settings", f.Name, f.Name, key(e))
 			return
 		}
 		name += " " + key(e)
-	} else if len(old.All(f.Name)) == 0 {
+	} else if len(old.Entries(f.Name)) == 0 {
 		old.take(f, e.Line, nil) // with its defaults; what it needs beyond these the outcome's check asks for
-		old.Mistakes = nil
+		old.Diagnostics = nil
 	}
-	o := old.All(f.Name)[i]
+	o := old.Entries(f.Name)[i]
 	for _, x := range f.Fields {
 		if !e.Has(x.Name) || x.Name == f.Key {
 			continue
@@ -156,15 +156,15 @@
 	number := func(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 	var list []string
 	switch x.Kind {
-	case Number, Whole:
+	case Number, Integer:
 		return number(e.numbers[name])
-	case Flag:
-		return map[bool]string{true: "True", false: "False"}[e.Flag(name)]
-	case Numbers:
+	case Bool:
+		return map[bool]string{true: "True", false: "False"}[e.Bool(name)]
+	case NumberList:
 		for _, n := range e.lists[name] {
 			list = append(list, number(n))
 		}
-	case Texts:
+	case TextList:
 		for _, t := range e.words[name] {
 			list = append(list, strconv.Quote(t))
 		}
@@ -175,10 +175,10 @@
 }
 
 // script writes what a sheet holds, flat.
-func (s *Sheet) script() []byte {
+func (s *Document) script() []byte {
 	var out strings.Builder
 	for _, f := range FrontForms {
-		for _, e := range s.All(f.Name) {
+		for _, e := range s.Entries(f.Name) {
 			var fields []string
 			for _, x := range f.Fields {
 				if e.Has(x.Name) {
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func migrated(t *testing.T, old, layout string) (Migration, Terms, error) {
+func migrated(t *testing.T, old, layout string) (Migration, Config, error) {
 	t.Helper()
 	dir := t.TempDir()
 	names := [2]string{filepath.Join(dir, "old.star"), filepath.Join(dir, "layout.star")}
@@ -19,7 +19,7 @@
 	}
 	m, err := Migrate(names[0], names[1], 0)
 	s := Read("new.star", m.Script, FrontForms)
-	return m, FrontTerms(s), err
+	return m, FrontConfig(s), err
 }
 
 // Without a layout a script comes out flat and means the same.
@@ -28,12 +28,12 @@
 	if err != nil || len(m.Changed) > 0 {
 		t.Fatal(err, m.Changed)
 	}
-	want := FrontTerms(Read("old.star", []byte(good+`user(name = "ada", password = "q\"\\u")`), FrontForms))
+	want := FrontConfig(Read("old.star", []byte(good+`user(name = "ada", password = "q\"\\u")`), FrontForms))
 	if !reflect.DeepEqual(terms, want) {
 		t.Errorf("%+v\n%+v", terms, want)
 	}
-	if len(m.Left) != 1 || !strings.Contains(m.Left[0], "1 lines of comments") {
-		t.Error(m.Left)
+	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 lines of comments") {
+		t.Error(m.NotMigrated)
 	}
 }
 
@@ -54,13 +54,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := terms.Figures
+	f := terms.Choice
 	if f.Groups[1].AddedRateShare != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].AddedRateShare != 0 || f.FullThreshold != 1 || f.NoteInterval != 0 ||
-		f.MaxSetups != 5 || f.RetryWindow != 0 || terms.Grace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
+		f.MaxSetups != 5 || f.RetryWindow != 0 || terms.DrainGrace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
 		len(terms.Boxes) != 6 || !f.Groups[0].Paid {
 		t.Errorf("%+v", terms)
 	}
-	all := strings.Join(m.Left, "\n")
+	all := strings.Join(m.NotMigrated, "\n")
 	for _, part := range []string{"instance 0 alone", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
 		if !strings.Contains(all, part) {
 			t.Errorf("%q is not listed in\n%s", part, all)
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -13,19 +13,19 @@
 	"go.starlark.net/syntax"
 )
 
-// Mistake is one thing that is wrong in a script, and what would be right.
-type Mistake struct {
-	File string
-	Line int
-	What string
+// Diagnostic is one thing that is wrong in a script, and what would be right.
+type Diagnostic struct {
+	File    string
+	Line    int
+	Message string
 }
 
-func (m Mistake) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.What) }
+func (m Diagnostic) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Message) }
 
-// Mistakes are all of a script's.
-type Mistakes []Mistake
+// Diagnostics are all of a script's.
+type Diagnostics []Diagnostic
 
-func (m Mistakes) Error() string {
+func (m Diagnostics) Error() string {
 	lines := make([]string, len(m))
 	for i, x := range m {
 		lines[i] = x.Error()
@@ -39,11 +39,11 @@
 // The kinds of fields.
 const (
 	Number Kind = iota
-	Whole
+	Integer
 	Text
-	Flag
-	Numbers
-	Texts
+	Bool
+	NumberList
+	TextList
 )
 
 func (k Kind) String() string {
@@ -54,7 +54,7 @@
 type Field struct {
 	Name     string
 	Kind     Kind
-	Needed   bool
+	Required bool
 	Default  any     // float64, string, bool, or nil for the kind's zero
 	Min, Max float64 // of numbers; Max 0 means no bound
 	Doc      string
@@ -62,12 +62,12 @@
 
 // Form is a call that a script may make.
 type Form struct {
-	Name   string
-	Needed bool   // once at least
-	Once   bool   // once at most
-	Key    string // a field whose values must differ from call to call
-	Doc    string
-	Fields []Field
+	Name       string
+	Required   bool   // once at least
+	AtMostOnce bool   // once at most
+	Key        string // a field whose values must differ from call to call
+	Doc        string
+	Fields     []Field
 }
 
 // Entry is one call that a script made.
@@ -81,38 +81,38 @@
 }
 
 // Number, Int, Text, Flag, Numbers and Texts are a field's value, or its default.
-func (e Entry) Number(name string) float64    { return e.numbers[name] }
-func (e Entry) Int(name string) int           { return int(e.numbers[name]) }
-func (e Entry) Text(name string) string       { return e.texts[name] }
-func (e Entry) Flag(name string) bool         { return e.numbers[name] != 0 }
-func (e Entry) Numbers(name string) []float64 { return e.lists[name] }
-func (e Entry) Texts(name string) []string    { return e.words[name] }
+func (e Entry) Number(name string) float64       { return e.numbers[name] }
+func (e Entry) Int(name string) int              { return int(e.numbers[name]) }
+func (e Entry) Text(name string) string          { return e.texts[name] }
+func (e Entry) Bool(name string) bool            { return e.numbers[name] != 0 }
+func (e Entry) NumberList(name string) []float64 { return e.lists[name] }
+func (e Entry) TextList(name string) []string    { return e.words[name] }
 
 // Has tells whether a field was given.
 func (e Entry) Has(name string) bool { return e.set[name] }
 
-// Sheet is what a script said.
-type Sheet struct {
-	File     string
-	entries  map[string][]Entry
-	Mistakes Mistakes
+// Document is what a script said.
+type Document struct {
+	File        string
+	entries     map[string][]Entry
+	Diagnostics Diagnostics
 }
 
-// All gives the calls of a form, in the script's order.
-func (s *Sheet) All(form string) []Entry { return s.entries[form] }
+// Entries gives the calls of a form, in the script's order.
+func (s *Document) Entries(form string) []Entry { return s.entries[form] }
 
-// One gives the only call of a form; ok is false where there is none.
-func (s *Sheet) One(form string) (e Entry, ok bool) {
+// Single gives the only call of a form; ok is false where there is none.
+func (s *Document) Single(form string) (e Entry, ok bool) {
 	if l := s.entries[form]; len(l) > 0 {
 		return l[0], true
 	}
 	return Entry{numbers: map[string]float64{}}, false
 }
 
-// Wrong adds a mistake at a line.
-func (s *Sheet) Wrong(line int, format string, args ...any) {
-	if len(s.Mistakes) < mostMistakes {
-		s.Mistakes = append(s.Mistakes, Mistake{s.File, line, fmt.Sprintf(format, args...)})
+// Errorf adds a mistake at a line.
+func (s *Document) Errorf(line int, format string, args ...any) {
+	if len(s.Diagnostics) < mostMistakes {
+		s.Diagnostics = append(s.Diagnostics, Diagnostic{s.File, line, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -123,7 +123,7 @@
 )
 
 // ReadFile reads a script from a file for an instance. The error is the file's; mistakes are in the sheet.
-func ReadFile(file string, forms []Form, instance int) (*Sheet, error) {
+func ReadFile(file string, forms []Form, instance int) (*Document, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
@@ -132,11 +132,11 @@
 }
 
 // Read runs a script and takes the calls that its forms allow.
-func Read(file string, src []byte, forms []Form) *Sheet { return read(file, src, forms, 0) }
+func Read(file string, src []byte, forms []Form) *Document { return read(file, src, forms, 0) }
 
 // read is Read for one of many instances of one script, which knows its number by the name instance.
-func read(file string, src []byte, forms []Form, instance int) *Sheet {
-	s := &Sheet{File: file, entries: map[string][]Entry{}}
+func read(file string, src []byte, forms []Form, instance int) *Document {
+	s := &Document{File: file, entries: map[string][]Entry{}}
 	known, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
 	for _, f := range forms {
 		known[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
@@ -145,7 +145,7 @@
 				return nil, fmt.Errorf("over %d calls", mostEntries)
 			}
 			if len(args) > 0 {
-				s.Wrong(line, "%s takes named fields only, as in %s", f.Name, f.example())
+				s.Errorf(line, "%s takes named fields only, as in %s", f.Name, f.example())
 				return starlark.None, nil
 			}
 			s.take(f, line, kw)
@@ -160,7 +160,7 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &syn):
-		s.Wrong(int(syn.Pos.Line), "%s", syn.Msg)
+		s.Errorf(int(syn.Pos.Line), "%s", syn.Msg)
 	case errors.As(err, &eval):
 		line := 0
 		for _, fr := range eval.CallStack {
@@ -168,22 +168,22 @@
 				line = int(fr.Pos.Line)
 			}
 		}
-		s.Wrong(line, "%s", eval.Msg)
+		s.Errorf(line, "%s", eval.Msg)
 	default:
 		s.unresolved(err, forms)
 	}
-	if len(s.Mistakes) > 0 && len(s.entries) == 0 {
+	if len(s.Diagnostics) > 0 && len(s.entries) == 0 {
 		return s // it did not run at all: what is missing would only be noise
 	}
 	for _, f := range forms {
 		s.whole(f)
 	}
-	slices.SortStableFunc(s.Mistakes, func(a, b Mistake) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(s.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
 	return s
 }
 
 // unresolved names each unknown name of a script and the nearest one that there is.
-func (s *Sheet) unresolved(err error, forms []Form) {
+func (s *Document) unresolved(err error, forms []Form) {
 	names := make([]string, len(forms))
 	for i, f := range forms {
 		names[i] = f.Name
@@ -197,13 +197,13 @@
 		if _, name, ok := strings.Cut(what, "undefined: "); ok {
 			what = fmt.Sprintf("there is no %s%s", name, nearest(name, names))
 		}
-		s.Wrong(n, "%s", what)
+		s.Errorf(n, "%s", what)
 	}
 }
 
 func (f Form) example() string {
 	for _, x := range f.Fields {
-		if x.Needed {
+		if x.Required {
 			return fmt.Sprintf("%s(%s = ...)", f.Name, x.Name)
 		}
 	}
@@ -211,7 +211,7 @@
 }
 
 // take reads one call.
-func (s *Sheet) take(f Form, line int, kw []starlark.Tuple) {
+func (s *Document) take(f Form, line int, kw []starlark.Tuple) {
 	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, lists: map[string][]float64{},
 		words: map[string][]string{}, set: map[string]bool{}}
 	for _, x := range f.Fields {
@@ -234,17 +234,17 @@
 		name := string(pair[0].(starlark.String))
 		i := slices.Index(names, name)
 		if i < 0 {
-			s.Wrong(line, "%s has no field %s%s", f.Name, name, nearest(name, names))
+			s.Errorf(line, "%s has no field %s%s", f.Name, name, nearest(name, names))
 			continue
 		}
 		e.set[name] = true
 		if why := e.field(f.Fields[i], pair[1]); why != "" {
-			s.Wrong(line, "%s: %s %s", f.Name, name, why)
+			s.Errorf(line, "%s: %s %s", f.Name, name, why)
 		}
 	}
 	for _, x := range f.Fields {
-		if x.Needed && !e.set[x.Name] {
-			s.Wrong(line, "%s needs %s: %s, %s", f.Name, x.Name, x.Kind, x.Doc)
+		if x.Required && !e.set[x.Name] {
+			s.Errorf(line, "%s needs %s: %s, %s", f.Name, x.Name, x.Kind, x.Doc)
 		}
 	}
 	s.entries[f.Name] = append(s.entries[f.Name], e)
@@ -270,9 +270,9 @@
 		return ""
 	}
 	switch x.Kind {
-	case Number, Whole:
+	case Number, Integer:
 		n, ok := number(v)
-		if !ok || x.Kind == Whole && n != math.Trunc(n) {
+		if !ok || x.Kind == Integer && n != math.Trunc(n) {
 			return wrong
 		}
 		e.numbers[x.Name] = n
@@ -282,10 +282,10 @@
 		if !ok {
 			return wrong
 		}
-		if e.texts[x.Name] = t; x.Needed && t == "" {
+		if e.texts[x.Name] = t; x.Required && t == "" {
 			return "is empty; " + x.Doc + " belongs there"
 		}
-	case Flag:
+	case Bool:
 		b, ok := v.(starlark.Bool)
 		if !ok {
 			return wrong
@@ -293,7 +293,7 @@
 		if e.numbers[x.Name] = 0; bool(b) {
 			e.numbers[x.Name] = 1
 		}
-	case Numbers, Texts:
+	case NumberList, TextList:
 		list, ok := v.(starlark.Iterable)
 		if !ok {
 			return wrong
@@ -301,12 +301,12 @@
 		it := list.Iterate()
 		defer it.Done()
 		for one := starlark.Value(nil); it.Next(&one); {
-			if t, is := starlark.AsString(one); is && x.Kind == Texts {
+			if t, is := starlark.AsString(one); is && x.Kind == TextList {
 				e.words[x.Name] = append(e.words[x.Name], t)
 				continue
 			}
 			n, is := number(one)
-			if !is || x.Kind == Texts {
+			if !is || x.Kind == TextList {
 				return wrong
 			}
 			if why := bounds(n); why != "" {
@@ -314,7 +314,7 @@
 			}
 			e.lists[x.Name] = append(e.lists[x.Name], n)
 		}
-		if x.Needed && len(e.lists[x.Name])+len(e.words[x.Name]) == 0 {
+		if x.Required && len(e.lists[x.Name])+len(e.words[x.Name]) == 0 {
 			return "is empty; " + x.Doc + " belongs there"
 		}
 	}
@@ -322,13 +322,13 @@
 }
 
 // whole checks a form's calls together.
-func (s *Sheet) whole(f Form) {
+func (s *Document) whole(f Form) {
 	list := s.entries[f.Name]
-	if f.Needed && len(list) == 0 {
-		s.Wrong(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
+	if f.Required && len(list) == 0 {
+		s.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
 	}
-	if f.Once && len(list) > 1 {
-		s.Wrong(list[1].Line, "%s stands a second time; it was on line %d, and one of them must go", f.Name, list[0].Line)
+	if f.AtMostOnce && len(list) > 1 {
+		s.Errorf(list[1].Line, "%s stands a second time; it was on line %d, and one of them must go", f.Name, list[0].Line)
 	}
 	if f.Key == "" {
 		return
@@ -340,7 +340,7 @@
 			k = fmt.Sprint(e.numbers[f.Key])
 		}
 		if line, twice := seen[k]; twice {
-			s.Wrong(e.Line, "%s %s stands a second time; it was on line %d", f.Name, k, line)
+			s.Errorf(e.Line, "%s %s stands a second time; it was on line %d", f.Name, k, line)
 		} else if e.set[f.Key] {
 			seen[k] = e.Line
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,11 +25,11 @@
 
 func TestGoodSettings(t *testing.T) {
 	s := Read("good.star", []byte(good), FrontForms)
-	terms := FrontTerms(s)
-	if len(s.Mistakes) > 0 {
-		t.Fatal(s.Mistakes)
+	terms := FrontConfig(s)
+	if len(s.Diagnostics) > 0 {
+		t.Fatal(s.Diagnostics)
 	}
-	f := terms.Figures
+	f := terms.Choice
 	if f.FrontIndex != 1 || f.Fronts != 4 || f.Zone != 1 || len(terms.Boxes) != 6 || f.Groups[0].Top != 3 || f.Groups[1].Utility != 1 ||
 		f.MaxSetups != 3 || f.RetryWindow != 10 || f.Reporting != choice.ReportsInAnswers || !f.Probes || f.WarmUp != 10 {
 		t.Errorf("%+v", terms)
@@ -37,7 +37,7 @@
 	if b := terms.Boxes[1]; b.ID != 11 || b.Zone != 0 || b.State != choice.Ready || b.Address != "127.0.0.1:9001" {
 		t.Errorf("%+v", b)
 	}
-	if terms.Bounds.Sessions == 0 || terms.Groups[0].Rates[3] != 3500 || terms.Titles["vents"].Span != 3 {
+	if terms.Limits.Sessions == 0 || terms.Groups[0].Rates[3] != 3500 || terms.Titles["vents"].Span != 3 {
 		t.Errorf("%+v", terms)
 	}
 }
@@ -86,19 +86,19 @@
 				t.Fatal("the case changes nothing")
 			}
 			s := Read("f.star", []byte(src), FrontForms)
-			FrontTerms(s)
-			for _, m := range s.Mistakes {
+			FrontConfig(s)
+			for _, m := range s.Diagnostics {
 				if e := m.Error(); strings.HasPrefix(e, "f.star"+c.line) && strings.Contains(e, c.says) {
 					return
 				}
 			}
-			t.Errorf("want %s ... %s; got:\n%v", c.line, c.says, s.Mistakes)
+			t.Errorf("want %s ... %s; got:\n%v", c.line, c.says, s.Diagnostics)
 		})
 	}
 }
 
 func TestNoFile(t *testing.T) {
-	if _, err := ReadTerms("does-not-exist.star"); err == nil || !strings.Contains(err.Error(), "does-not-exist.star") {
+	if _, err := ReadConfig("does-not-exist.star"); err == nil || !strings.Contains(err.Error(), "does-not-exist.star") {
 		t.Error(err)
 	}
 }
@@ -112,9 +112,9 @@
 			return
 		}
 		s := Read("f.star", src, FrontForms)
-		FrontTerms(s)
-		for _, m := range s.Mistakes {
-			if m.What == "" || m.Line < 0 {
+		FrontConfig(s)
+		for _, m := range s.Diagnostics {
+			if m.Message == "" || m.Line < 0 {
 				t.Fatalf("%+v", m)
 			}
 		}
