--- a/cmd/rainhaven/fleet.go
+++ b/cmd/rainhaven/fleet.go
@@ -75,7 +75,7 @@
 			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 			defer signal.Stop(signals)
 			err = fleet.Run(fleet.Options{Executable: self, Script: script, Config: t, SocketPath: fleet.SocketPath(*folder), FrontLogs: os.Stderr, Log: log, Signals: signals})
-			var wrong settings.Mistakes
+			var wrong settings.Diagnostics
 			if err == nil || errors.As(err, &wrong) {
 				return err
 			}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -34,7 +34,7 @@
 	in := rtsp.NewConn(v.nc, messageBounds)
 	v.awaitFirstMessage()
 	for {
-		err := in.Await()
+		err := in.AwaitMessage()
 		if err == nil {
 			v.messageStarted()
 			var m *rtsp.Message
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -156,7 +156,7 @@
 	if len(id) > 64 {
 		id = ""
 	}
-	return addHeaders(rtsp.Response(to, status), "", id).Append(nil)
+	return addHeaders(rtsp.NewResponse(to, status), "", id).Append(nil)
 }
 
 // servedMessage is the answer to a session's SETUP: the server's own description.
@@ -170,33 +170,33 @@
 func refusalMessage(id string, status int, comeBack float64) []byte {
 	m := addHeaders(&rtsp.Message{Status: status, Header: rtsp.Header{}}, cseqSetup, id)
 	if comeBack > 0 {
-		m.With(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+		m.WithHeader(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(comeBack*1000))))
 	}
 	return m.Append(nil)
 }
 
 // teardownMessage gives a SETUP up, or, with a cause, releases a session that stands.
 func teardownMessage(url, id string, cause int) []byte {
-	m := addHeaders(rtsp.Request(rtsp.TearDown, url), cseqTearDown, id)
+	m := addHeaders(rtsp.NewRequest(rtsp.TearDown, url), cseqTearDown, id)
 	if cause > 0 {
-		m.With(headerReason, "cause="+strconv.Itoa(cause))
+		m.WithHeader(headerReason, "cause="+strconv.Itoa(cause))
 	}
 	return m.Append(nil)
 }
 
 func setupMessage(s *session, wait float64) []byte {
-	m := addHeaders(rtsp.Request(rtsp.Setup, s.url), cseqSetup, s.id)
-	m.With(headerClass, s.class)
-	m.With(headerPatience, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
-	m.With(headerRung, strconv.Itoa(s.rung))
+	m := addHeaders(rtsp.NewRequest(rtsp.Setup, s.url), cseqSetup, s.id)
+	m.WithHeader(headerClass, s.class)
+	m.WithHeader(headerPatience, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
+	m.WithHeader(headerRung, strconv.Itoa(s.rung))
 	m.Body = s.body
 	return m.Append(nil)
 }
 
 func rungMessage(s *session) []byte {
-	return addHeaders(rtsp.Request(rtsp.SetParameter, s.url), "4", s.id).With(headerRung, strconv.Itoa(s.rung)).Append(nil)
+	return addHeaders(rtsp.NewRequest(rtsp.SetParameter, s.url), "4", s.id).WithHeader(headerRung, strconv.Itoa(s.rung)).Append(nil)
 }
 
 func probeMessage(id string) []byte {
-	return addHeaders(rtsp.Request(rtsp.Options, mediaRoot+"load"), cseqOptions, id).Append(nil)
+	return addHeaders(rtsp.NewRequest(rtsp.Options, mediaRoot+"load"), cseqOptions, id).Append(nil)
 }
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -112,14 +112,14 @@
 	}
 	in := rtsp.NewConn(nc, messageBounds)
 	for err == nil {
-		if err = in.Await(); err != nil {
+		if err = in.AwaitMessage(); err != nil {
 			break
 		}
 		if !c.isClosing() {
 			nc.SetReadDeadline(time.Now().Add(serverMessageTimeout))
 		}
 		var m *rtsp.Message
-		if m, _, err = in.Next(); err == nil && (m == nil || in.Astray()) {
+		if m, _, err = in.Next(); err == nil && (m == nil || in.OutOfSync()) {
 			err = errTrailingData
 		}
 		if err == nil {
