--- a/cmd/rainhaven/node.go
+++ b/cmd/rainhaven/node.go
@@ -49,7 +49,7 @@
 				// Three fifths for the heap: the rest is for stacks, the program itself and what the kernel counts.
 				debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 5)
 			}
-			o := node.Options{Start: s, Reread: read, Log: log, Hangups: hangups, Ends: ends}
+			o := node.Options{Config: s, ReloadConfig: read, Log: log, ReloadSignals: hangups, TerminationSignals: ends}
 			if err := trials(&o); err != nil {
 				return err
 			}
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -62,11 +62,11 @@
 // accept takes clients' connections until the listener is closed.
 func (n *Node) accept(l net.Listener) {
 	defer n.wg.Done()
-	defer close(n.accepting)
-	for !n.places.isOver() {
-		if n.places.isFull() { // those that give way free some
-			n.tell(event{do: n.makeRoom})
-			n.places.pause()
+	defer close(n.acceptDone)
+	for !n.clientSlots.isOver() {
+		if n.clientSlots.isFull() { // those that give way free some
+			n.post(event{do: n.makeRoom})
+			n.clientSlots.pause()
 			continue
 		}
 		nc, err := l.Accept()
@@ -74,13 +74,13 @@
 			return
 		}
 		if err != nil { // descriptors are short
-			n.tell(event{do: n.makeRoom})
-			n.places.pause()
+			n.post(event{do: n.makeRoom})
+			n.clientSlots.pause()
 			continue
 		}
-		n.places.held.Add(1)
+		n.clientSlots.held.Add(1)
 		v := &client{conn: newConn(nc, n.log), readControl: newReadControl(nc)}
-		if !n.tell(event{do: func() { n.opened(v) }}) {
+		if !n.post(event{do: func() { n.opened(v) }}) {
 			v.close()
 			return
 		}
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -15,11 +15,11 @@
 	const sockets, many = 64, 120
 	most := int64(share.MaxViewerConns(sockets, 0) + share.AcceptSlack)
 	var open atomic.Int64
-	f := newFarm(t, sockets, func(f *farm) []*host {
-		f.clients = &open
+	f := newHarness(t, sockets, func(f *harness) []*fakeServer {
+		f.openClients = &open
 		return nil
 	})
-	f.see(func(*Node) {
+	f.inspect(func(*Node) {
 		for range many {
 			c, err := net.Dial("tcp", f.addr)
 			if err != nil {
@@ -33,7 +33,7 @@
 			t.Errorf("%d connections are held, %d may be", n, most)
 		}
 	})
-	v := f.client()
-	v.setup(id(1), "free", "")
-	v.want("503") // no server holds it
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	v.expect("503") // no server holds it
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -41,14 +41,14 @@
 			if m, _, err = in.Next(); err == nil && m != nil {
 				v.messageEnded()
 				at := n.clock()
-				if !n.tell(event{do: func() { n.heardClient(v, m, at) }}) {
+				if !n.post(event{do: func() { n.heardClient(v, m, at) }}) {
 					break
 				}
 				continue
 			}
 		}
 		if v.wasStopped(err) {
-			if n.tell(event{do: func() { n.readerStopped(v, in.Buffered() > 0) }}) && v.mayGoOn(n.ctx) {
+			if n.post(event{do: func() { n.readerStopped(v, in.Buffered() > 0) }}) && v.mayGoOn(n.ctx) {
 				continue
 			}
 			v.awaitFlush(n.ctx) // the last answer may not have been written yet
@@ -58,8 +58,8 @@
 		break
 	}
 	v.close()
-	n.places.free()
-	n.tell(event{do: func() { n.closedClient(v) }})
+	n.clientSlots.free()
+	n.post(event{do: func() { n.closedClient(v) }})
 }
 
 // readFailed has the loop end a connection from which nothing more can be read.
@@ -67,7 +67,7 @@
 	v.why = err
 	var bad *rtsp.MalformedError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		if n.tell(event{do: func() { n.sendingEnded(v) }}) {
+		if n.post(event{do: func() { n.sendingEnded(v) }}) {
 			v.awaitFlush(n.ctx)
 		}
 		return
@@ -76,7 +76,7 @@
 	if !late && !errors.As(err, &bad) && err != nil {
 		return
 	}
-	heard := n.tell(event{do: func() {
+	heard := n.post(event{do: func() {
 		if late {
 			n.overdue(v)
 		} else {
@@ -108,8 +108,8 @@
 
 // makeRoom closes clients' connections past their share of descriptors: those who give way first.
 func (n *Node) makeRoom() {
-	most := share.MaxViewerConns(n.start.Sockets, n.links())
-	n.places.setMost(most)
+	most := share.MaxViewerConns(n.config.Sockets, n.links())
+	n.clientSlots.setMost(most)
 	open, ending := 0, 0
 	for _, v := range n.clients {
 		if v.isEnding() || v.stopping != "" {
@@ -166,7 +166,7 @@
 
 // malformed answers what can't be read, and ends the connection: where its next message begins can't be known.
 func (n *Node) malformed(v *client, bad *rtsp.MalformedError) {
-	n.wrongs++
+	n.malformedCount++
 	status := rtsp.BadRequest
 	r := &rtsp.Message{Header: rtsp.Header{}}
 	if bad != nil {
@@ -195,9 +195,9 @@
 		if answer {
 			n.refuse(v, s.id, rtsp.InternalError, 0)
 		}
-		s.history.note(n.now, stepClientClosed, errText(v.why))
+		s.history.add(n.now, stepClientClosed, errText(v.why))
 		s.history.unusual = true
-		n.giveUp(s)
+		n.cancelRequest(s)
 	}
 }
 
@@ -210,12 +210,12 @@
 	n.abandon(v, false)
 	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
 	for _, b := range v.unsure(n.now, v.written) {
-		n.release(nil, b)
+		n.sendRelease(nil, b)
 	}
 	for _, s := range slices.Clone(v.held) {
 		s.client = nil
-		if s.answered < 0 || s.answered > v.written { // it never got its answer: nobody plays there
-			n.clientLeft(s)
+		if s.answerEnd < 0 || s.answerEnd > v.written { // it never got its answer: nobody plays there
+			n.endSessionForClient(s)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 
 // refuseWrong refuses a request that makes no sense, and closes connections that send many.
 func (n *Node) refuseWrong(v *client, m *rtsp.Message, status int) {
-	n.wrongs++
+	n.malformedCount++
 	v.send(response(m, status))
 	if v.Malformed++; v.TooManyMalformed() {
 		n.closeUnused(v, senseless)
@@ -264,25 +264,25 @@
 	}
 	v.RequestedSession = true
 	if a.at != "" {
-		n.handed(v, a)
+		n.acceptHandover(v, a)
 		return
 	}
 	if old := n.sessions[a.id]; old != nil {
 		// Two requests under one id: answers are matched by it, so on one connection both get the one.
 		if old.client == v && old.state != established {
 			n.guard.Answer(n.now, old.id, invariant.Failed)
-			n.giveUp(old)
+			n.cancelRequest(old)
 		}
 		n.refuseWrong(v, m, rtsp.BadRequest)
 		return
 	}
-	if v.TooManyPending(n.open) {
-		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.open))
+	if v.TooManyPending(n.openRequests) {
+		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.openRequests))
 		n.counts["past the bound"]++
 		v.send(response(m, rtsp.ServiceUnavailable))
 		return
 	}
-	n.ask(v, a, at)
+	n.acceptRequest(v, a, at)
 }
 
 // withdrawn takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
@@ -298,13 +298,13 @@
 	}
 	if s.state != established {
 		if s.client == v {
-			s.history.note(n.now, stepCancelled, "")
-			n.giveUp(s)
+			s.history.add(n.now, stepCancelled, "")
+			n.cancelRequest(s)
 			v.send(response(m, rtsp.OK))
 		}
 		return
 	}
-	s.history.note(n.now, stepCancelled, "")
-	n.clientLeft(s)
+	s.history.add(n.now, stepCancelled, "")
+	n.endSessionForClient(s)
 	v.send(response(m, rtsp.OK))
 }
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -19,7 +19,7 @@
 	}
 	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.EvictionRank(n.now)))
 	v.stopping = why
-	if n.trials.hasty() {
+	if n.trials.closesWithoutReader() {
 		v.cut()
 		return
 	}
@@ -30,7 +30,7 @@
 func (n *Node) readerStopped(v *client, partial bool) {
 	switch {
 	case v.closed:
-	case n.over:
+	case n.exiting:
 		v.stopped = true
 	case v.Pending == 0:
 		v.stopped = true
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close(); b.Close() })
-	b.SetDeadline(time.Now().Add(patience))
+	b.SetDeadline(time.Now().Add(testTimeout))
 	return a, b
 }
 
@@ -139,7 +139,7 @@
 	c := newConn(a, zap.NewNop())
 	defer c.close()
 	for k := range mostKept + 100 {
-		for end := time.Now().Add(patience); c.left() < int64(8*k-64<<10) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); c.left() < int64(8*k-64<<10) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 		if !c.sendKept(1, fmt.Appendf(nil, "%08d", k)) {
 			t.Fatalf("message %d was not taken", k)
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -37,46 +37,46 @@
 		{"on another connection, a late answer", "free", causeMoved, true, 200 * time.Millisecond, []string{"503"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var s1, s2 *host
-			f := newFarm(t, 256, func(f *farm) []*host {
-				s1, s2 = f.host("s-1"), f.host("s-2")
-				return []*host{s1, s2}
+			var s1, s2 *fakeServer
+			f := newHarness(t, 256, func(f *harness) []*fakeServer {
+				s1, s2 = f.startServer("s-1"), f.startServer("s-2")
+				return []*fakeServer{s1, s2}
 			})
-			v := f.client()
-			v.setup(id(1), c.class, "")
-			x, h := f.wanted(rtsp.Setup, s1, s2)
-			on := x.on
+			v := f.connect()
+			v.setup(testID(1), c.class, "")
+			x, h := f.expectAt(rtsp.Setup, s1, s2)
+			on := x.conn
 			if c.elsewhere {
-				v.setup(id(2), "paid", "")
-				for on == x.on { // the class's place at the same server, on a connection of its own
-					y, g := f.wanted(rtsp.Setup, s1, s2)
+				v.setup(testID(2), "paid", "")
+				for on == x.conn { // the class's place at the same server, on a connection of its own
+					y, g := f.expectAt(rtsp.Setup, s1, s2)
 					if g != h {
-						y.on.answer(y.m, 453, "")
+						y.conn.answer(y.msg, 453, "")
 						continue
 					}
-					on = y.on
+					on = y.conn
 				}
 			}
-			on.tearDown(id(1), c.cause)
+			on.tearDown(testID(1), c.cause)
 			if c.answer > 0 {
-				time.AfterFunc(c.answer, func() { x.on.answer(x.m, 200, given) })
+				time.AfterFunc(c.answer, func() { x.conn.answer(x.msg, 200, answerBody) })
 			}
 			for _, what := range c.wanted {
-				if m := v.wantWithin(refusedWithin, what); m.Session() != id(1) {
+				if m := v.expectWithin(refusedWithin, what); m.Session() != testID(1) {
 					t.Errorf("%s for %s", what, m.Session())
 				}
 			}
 			time.Sleep(c.answer + refusedWithin)
-			f.see(func(n *Node) {
-				if n.sessions[id(1)] != nil {
+			f.inspect(func(n *Node) {
+				if n.sessions[testID(1)] != nil {
 					t.Error("something is left of it")
 				}
 			})
-			v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-			v.want("200") // and nothing of the session's before it
-			for _, server := range []*host{s1, s2} {
-				for len(server.seen) > 0 {
-					if y := <-server.seen; y.m.Method == rtsp.Setup && y.m.Session() == id(1) {
+			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+			v.expect("200") // and nothing of the session's before it
+			for _, server := range []*fakeServer{s1, s2} {
+				for len(server.received) > 0 {
+					if y := <-server.received; y.msg.Method == rtsp.Setup && y.msg.Session() == testID(1) {
 						t.Errorf("%s gets a further SETUP", server.name)
 					}
 				}
@@ -88,17 +88,17 @@
 // A connection is closed as unused while its reader already has a request: the request is answered all the same, whichever
 // of the two the loop hears of first.
 func TestRequestReadAsItsConnectionIsClosed(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-	v.want("200")
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+	v.expect("200")
 	f.held(
-		func() { v.setup(id(1), "free", "") },
+		func() { v.setup(testID(1), "free", "") },
 		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
 	)
-	x, _ := f.wanted(rtsp.Setup, s1)
-	x.on.answer(x.m, 200, given)
-	v.want("200")
+	x, _ := f.expectAt(rtsp.Setup, s1)
+	x.conn.answer(x.msg, 200, answerBody)
+	v.expect("200")
 }
 
 // The node ends while readers still take requests: each that was read from a connection before its close is answered, also
@@ -106,31 +106,31 @@
 func TestExitHearsEveryReader(t *testing.T) {
 	var clients []*peer
 	read := map[string]bool{}
-	f := newFarm(t, 256, func(f *farm) []*host {
-		f.logged = func(what string) {
+	f := newHarness(t, 256, func(f *harness) []*fakeServer {
+		f.onLog = func(what string) {
 			if what != "exit" && what != "over" {
 				return
 			}
 			v, had := clients[len(read)], len(f.node.events)
-			v.setup(id(len(read)), "free", "")
+			v.setup(testID(len(read)), "free", "")
 			for end := time.Now().Add(100 * time.Millisecond); len(f.node.events) == had && time.Now().Before(end); {
 				time.Sleep(100 * time.Microsecond)
 			}
 			read[what] = len(f.node.events) > had
 		}
-		return []*host{f.host("s-1")}
+		return []*fakeServer{f.startServer("s-1")}
 	})
-	clients = []*peer{f.client(), f.client()}
-	f.until("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
+	clients = []*peer{f.connect(), f.connect()}
+	f.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
 	f.terminate()
-	f.ends <- syscall.SIGTERM
-	f.over <- <-f.over
+	f.terminationSignals <- syscall.SIGTERM
+	f.exitCode <- <-f.exitCode
 	if !read["exit"] { // else the test shows nothing
 		t.Error("the request at the exit was not read")
 	}
 	for k, what := range []string{"exit", "over"} {
-		if m := clients[k].next(); read[what] && said(m) != "503" {
-			t.Errorf("read at %q: %s where 503 is due", what, said(m))
+		if m := clients[k].next(); read[what] && messageKind(m) != "503" {
+			t.Errorf("read at %q: %s where 503 is due", what, messageKind(m))
 		}
 	}
 }
@@ -138,21 +138,21 @@
 // A server's release comes on a connection that the node is closing, as a SETUP on it was not answered in time: the session
 // has ended all the same, and its client is told.
 func TestReleaseOnAConnectionThatIsClosed(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "free", "")
-	x := f.serve(s1, v)
-	v.setup(id(2), "free", "")
-	y, _ := f.wanted(rtsp.Setup, s1)
-	if y.on != x.on {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	x := f.serveNext(s1, v)
+	v.setup(testID(2), "free", "")
+	y, _ := f.expectAt(rtsp.Setup, s1)
+	if y.conn != x.conn {
 		t.Fatal("the second SETUP came over another connection")
 	}
-	var first *link
-	f.see(func(n *Node) { first = n.byID["s-1"].conns[0] })
-	v.want("503") // after its wait
-	f.until("the connection is being closed", func(*Node) bool { return first.closed })
-	x.on.tearDown(id(1), causeOver)
-	if m := v.wantWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != id(1) {
+	var first *serverConn
+	f.inspect(func(n *Node) { first = n.serversByID["s-1"].conns[0] })
+	v.expect("503") // after its wait
+	f.waitFor("the connection is being closed", func(*Node) bool { return first.closed })
+	x.conn.tearDown(testID(1), causeOver)
+	if m := v.expectWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != testID(1) {
 		t.Errorf("the end of %s", m.Session())
 	}
 }
@@ -162,20 +162,20 @@
 func TestHalfCloseBehindARequest(t *testing.T) {
 	for _, class := range []string{"free", "paid"} {
 		t.Run(class, func(t *testing.T) {
-			f, s1 := single(t, 256)
-			v := f.client()
-			v.setup(id(1), class, "")
-			x, _ := f.wanted(rtsp.Setup, s1)
+			f, s1 := newSingleServerHarness(t, 256)
+			v := f.connect()
+			v.setup(testID(1), class, "")
+			x, _ := f.expectAt(rtsp.Setup, s1)
 			v.Conn.(*net.TCPConn).CloseWrite()
-			if m := v.wantWithin(100*time.Millisecond, "500"); m.Session() != id(1) {
+			if m := v.expectWithin(100*time.Millisecond, "500"); m.Session() != testID(1) {
 				t.Errorf("the answer of %s", m.Session())
 			}
-			v.want("closed")
-			if y, _ := f.wanted(rtsp.TearDown, s1); y.m.Session() != id(1) {
-				t.Errorf("%s is given up", y.m.Session())
+			v.expect("closed")
+			if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
+				t.Errorf("%s is given up", y.msg.Session())
 			}
-			x.on.answer(x.m, 200, given)
-			f.until("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
+			x.conn.answer(x.msg, 200, answerBody)
+			f.waitFor("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 		})
 	}
 }
@@ -183,32 +183,32 @@
 // A connection is reset under a SETUP, whose session may stand at its server all the same: the server is told that nobody wants it,
 // over a new connection where there is none.
 func TestResetAttemptIsWithdrawn(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "free", "")
-	x, _ := f.wanted(rtsp.Setup, s1)
-	x.on.Conn.(*net.TCPConn).SetLinger(0)
-	x.on.Close()
-	v.want("503")
-	y, _ := f.wanted(rtsp.TearDown, s1)
-	if y.m.Session() != id(1) || y.on == x.on {
-		t.Errorf("%s is withdrawn", y.m.Session())
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	x, _ := f.expectAt(rtsp.Setup, s1)
+	x.conn.Conn.(*net.TCPConn).SetLinger(0)
+	x.conn.Close()
+	v.expect("503")
+	y, _ := f.expectAt(rtsp.TearDown, s1)
+	if y.msg.Session() != testID(1) || y.conn == x.conn {
+		t.Errorf("%s is withdrawn", y.msg.Session())
 	}
 }
 
 // A request is read and answered as its connection is closed as unused, and the answer has not been written when the reader has
 // stopped: it leaves before the close.
 func TestAnswerNotWrittenAsItsConnectionIsClosed(t *testing.T) {
-	f := newFarm(t, 256, func(f *farm) []*host {
-		f.slow = 50 * time.Millisecond
+	f := newHarness(t, 256, func(f *harness) []*fakeServer {
+		f.writeDelay = 50 * time.Millisecond
 		return nil
 	})
-	v := f.client()
-	v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-	v.want("200")
+	v := f.connect()
+	v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+	v.expect("200")
 	f.held(
-		func() { v.setup(id(1), "free", "") },
+		func() { v.setup(testID(1), "free", "") },
 		func() { f.node.clients[0].LastUsed = -100; f.node.sweep(); f.node.events <- event{do: func() {}} },
 	)
-	v.want("503") // no server holds it; the connection is closed or not, as the two come in one batch or in two
+	v.expect("503") // no server holds it; the connection is closed or not, as the two come in one batch or in two
 }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -8,27 +8,30 @@
 
 // SIGKILL comes 0.15 s after the drain's end at the earliest (share.DrainSeconds): all three together take less.
 const (
-	// flush is how long answers that are queued at the exit may take to leave.
-	flush = 50 * time.Millisecond
-	// stopReading is how long the readers of clients' connections may take to hand over what they have read.
-	stopReading = 30 * time.Millisecond
-	// forceClose is how long, once all is answered, a client that does not read may hold up the exit.
-	forceClose = 40 * time.Millisecond
+	// flushTimeout is how long answers that are queued at the exit may take to leave.
+	flushTimeout = 50 * time.Millisecond
+	// stopReadersTimeout is how long the readers of clients' connections may take to hand over what they have read.
+	stopReadersTimeout = 30 * time.Millisecond
+	// forceCloseTimeout is how long, once all is answered, a client that does not read may hold up the exit.
+	forceCloseTimeout = 40 * time.Millisecond
 )
 
-// finish answers what is open at the exit and closes the clients' connections. What was read and ends without its answer is
+// shutDown answers what is open at the exit and closes the clients' connections. What was read and ends without its answer is
 // lost, so it hears from every reader before the last answers: first all that is open is answered, while requests still
 // come, then each reader stops and hands over what it has, then that is answered too and the connections are closed.
-func (n *Node) finish() {
-	n.tick()
+func (n *Node) shutDown() {
+	n.updateClock()
 	n.front.SetTime(n.now)
 	n.front.Stop()
-	n.serveUntil(flush, func() bool { n.answerOpen(); return n.flushed() && len(n.events) == 0 && n.accepted() })
+	n.serveUntil(flushTimeout, func() bool {
+		n.answerOpenRequests()
+		return n.clientsFlushed() && len(n.events) == 0 && n.acceptStopped()
+	})
 	for _, v := range n.clients {
 		v.stop(true)
 	}
-	n.serveUntil(stopReading, func() bool { n.answerOpen(); return n.readersStopped() && len(n.events) == 0 })
-	n.closeAll()
+	n.serveUntil(stopReadersTimeout, func() bool { n.answerOpenRequests(); return n.readersStopped() && len(n.events) == 0 })
+	n.closeClients()
 	n.guard.ProcessEnded()
 	for reason, times := range n.guard.Counts() {
 		n.counts["violation "+reason] = times
@@ -44,10 +47,10 @@
 	for !done() {
 		select {
 		case e := <-n.events:
-			n.tick()
+			n.updateClock()
 			n.front.SetTime(n.now)
 			e.do()
-			n.settle()
+			n.reconcile()
 		case <-look.C:
 		case <-timeout.C:
 			return
@@ -55,12 +58,12 @@
 	}
 }
 
-// answerOpen gives up every attempt that is out; the module words the answers.
-func (n *Node) answerOpen() {
-	if n.open == 0 {
+// answerOpenRequests gives up every attempt that is out; the module words the answers.
+func (n *Node) answerOpenRequests() {
+	if n.openRequests == 0 {
 		return
 	}
-	n.tick()
+	n.updateClock()
 	var open []*session
 	for _, s := range n.sessions {
 		if s.state == attempting {
@@ -69,23 +72,23 @@
 	}
 	slices.SortFunc(open, func(a, b *session) int { return strings.Compare(a.id, b.id) })
 	for _, s := range open {
-		n.timedOut(s)
+		n.setupTimedOut(s)
 	}
-	n.settle()
+	n.reconcile()
 }
 
-// accepted tells whether no further connection will be accepted.
-func (n *Node) accepted() bool {
+// acceptStopped tells whether no further connection will be acceptStopped.
+func (n *Node) acceptStopped() bool {
 	select {
-	case <-n.accepting:
+	case <-n.acceptDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// flushed tells whether all that was queued for clients has been written.
-func (n *Node) flushed() bool {
+// clientsFlushed tells whether all that was queued for clients has been written.
+func (n *Node) clientsFlushed() bool {
 	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.isFlushed() })
 }
 
@@ -93,13 +96,13 @@
 	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.stopped })
 }
 
-// closeAll closes the clients' connections once what is queued on them was written.
-func (n *Node) closeAll() {
+// closeClients closes the clients' connections once what is queued on them was written.
+func (n *Node) closeClients() {
 	for _, v := range n.clients {
 		n.guard.Close(v.peer(), v.Pending, v.stopped)
 		v.end()
 	}
-	late := time.After(forceClose)
+	late := time.After(forceCloseTimeout)
 	for _, v := range n.clients {
 		select {
 		case <-v.ended:
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -5,24 +5,24 @@
 	"rainhaven/internal/invariant"
 )
 
-// budget is the platform's budget of further attempts, as the settings state it.
-func (n *Node) budget() invariant.Budget {
-	f := n.start.Figures
+// retryBudget is the platform's retryBudget of further attempts, as the settings state it.
+func (n *Node) retryBudget() invariant.Budget {
+	f := n.config.Figures
 	return invariant.Budget{BaseAllowance: f.BaseRetries, RequestShare: f.RetriesPerSession, WindowSeconds: f.RetryWindow}
 }
 
-// violated logs a violation; the guard counts it.
-func (n *Node) violated(v invariant.Violation) {
+// logViolation logs a violation; the guard counts it.
+func (n *Node) logViolation(v invariant.Violation) {
 	n.log.Error("invariant violated: "+v.Reason.String(), str("request", v.Request), str("detail", v.Detail))
 }
 
-// unrun tells whether an outcome proves that its attempt had no effect.
-func unrun(o choice.Outcome) bool {
+// provesNoEffect tells whether an outcome proves that its attempt had no effect.
+func provesNoEffect(o choice.Outcome) bool {
 	return o == choice.Full || o == choice.NoConnection || o == choice.Unsent
 }
 
-// refusalKind is what a refusing status promises: 453, 454 and 503 that nothing ran.
-func refusalKind(status int) invariant.AnswerKind {
+// answerKind is what a refusing status promises: 453, 454 and 503 that nothing ran.
+func answerKind(status int) invariant.AnswerKind {
 	switch status {
 	case 453, 454, 503:
 		return invariant.Refused
@@ -32,10 +32,10 @@
 
 // refuse writes the final answer that refuses an open request, unless it has had one.
 func (n *Node) refuse(v *client, id string, status int, comeBack float64) {
-	if !n.guard.Answer(n.now, id, refusalKind(status)) || v == nil || n.spoils(SabotageAnswer, id) {
+	if !n.guard.Answer(n.now, id, answerKind(status)) || v == nil || n.sabotages(SabotageAnswer, id) {
 		return
 	}
-	if n.spoils(SabotageTwice, id) {
+	if n.sabotages(SabotageTwice, id) {
 		v.send(refusal(id, status, comeBack))
 	}
 	if from, _ := v.send(refusal(id, status, comeBack)); from < 0 {
--- a/internal/node/history.go
+++ b/internal/node/history.go
@@ -35,10 +35,10 @@
 }
 
 const (
-	// mostSteps is how many steps of one request are kept.
-	mostSteps = 16
-	// quickRelease is how soon after its answer a session's end is worth a line in the log.
-	quickRelease = 0.25
+	// maxSteps is how many steps of one request are kept.
+	maxSteps = 16
+	// quickReleaseSeconds is how soon after its answer a session's end is worth a line in the log.
+	quickReleaseSeconds = 0.25
 )
 
 // history is what happened to one request, in order. It is logged in one line where the request ended otherwise than
@@ -48,9 +48,9 @@
 	unusual bool   // worth a line in the log
 }
 
-// note adds a step.
-func (h *history) note(at float64, kind stepKind, detail string) {
-	if len(h.steps) < mostSteps {
+// add adds a step.
+func (h *history) add(at float64, kind stepKind, detail string) {
+	if len(h.steps) < maxSteps {
 		h.steps = append(h.steps, step{at, kind, detail})
 	}
 }
@@ -93,8 +93,8 @@
 	return strconv.Itoa(int(o))
 }
 
-// writtenDetail tells whether an answer that ends at a place of its client's connection has left.
-func writtenDetail(v *client, ends int64) string {
+// answerDetail tells whether an answer that ends at a place of its client's connection has left.
+func answerDetail(v *client, ends int64) string {
 	switch {
 	case ends < 0:
 		return "200 not taken by the connection"
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -73,13 +73,13 @@
 	if !validID(a.id) || len(m.Header["Session"]) > 1 {
 		return a, fmt.Errorf("session id %.30q", a.id)
 	}
-	for a.group = 0; a.group < len(n.start.Groups) && n.start.Groups[a.group] != a.class; a.group++ {
+	for a.group = 0; a.group < len(n.config.Groups) && n.config.Groups[a.group] != a.class; a.group++ {
 	}
-	if a.group == len(n.start.Groups) {
+	if a.group == len(n.config.Groups) {
 		return a, fmt.Errorf("class %.30q", a.class)
 	}
-	a.class = n.start.Groups[a.group]
-	figures := n.start.Figures
+	a.class = n.config.Groups[a.group]
+	figures := n.config.Figures
 	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(root):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
 	for _, pair := range strings.Split(m.Header.Get(fieldFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,12 +18,12 @@
 )
 
 func TestServedAndReleased(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "paid", "")
-	x, _ := f.wanted(rtsp.Setup, s1)
-	m := x.m
-	if m.URL != "rtsp://media/t1" || m.Session() != id(1) || m.Header.Get("Subject") != "paid" || string(m.Body) != sdp || m.Header.Get("X-Facts") != "" {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "paid", "")
+	x, _ := f.expectAt(rtsp.Setup, s1)
+	m := x.msg
+	if m.URL != "rtsp://media/t1" || m.Session() != testID(1) || m.Header.Get("Subject") != "paid" || string(m.Body) != requestBody || m.Header.Get("X-Facts") != "" {
 		t.Errorf("passed on as %+v %q", m.Header, m.Body)
 	}
 	if q := m.Header.Get("X-Quality"); q < "1" || q > "4" {
@@ -32,32 +32,32 @@
 	if p, _ := strconv.Atoi(m.Header.Get("X-Patience")); p < 500 || p > 1488 { // what the client waits, less the margin and what has gone by
 		t.Errorf("waits %d ms", p)
 	}
-	x.on.say("RTSP/1.0 100 Trying\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", id(1))
-	x.on.answer(m, 200, given)
-	if a := v.want("200"); string(a.Body) != given || a.Session() != id(1) || a.CSeq() != 1 {
+	x.conn.sendf("RTSP/1.0 100 Trying\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(1))
+	x.conn.answer(m, 200, answerBody)
+	if a := v.expect("200"); string(a.Body) != answerBody || a.Session() != testID(1) || a.CSeq() != 1 {
 		t.Errorf("answered %+v %q", a.Header, a.Body)
 	}
-	f.see(func(n *Node) {
-		if s := n.sessions[id(1)]; s == nil || s.state != established || n.open != 0 || len(n.servers[0].held) != 1 {
+	f.inspect(func(n *Node) {
+		if s := n.sessions[testID(1)]; s == nil || s.state != established || n.openRequests != 0 || len(n.servers[0].sessions) != 1 {
 			t.Error("it does not stand")
 		}
 	})
-	x.on.tearDown(id(1), 16)
-	x.on.tearDown(id(1), 16) // told twice
-	if r := v.want(rtsp.TearDown); r.Header.Get("Reason") != "cause=16" || r.Session() != id(1) {
+	x.conn.tearDown(testID(1), 16)
+	x.conn.tearDown(testID(1), 16) // told twice
+	if r := v.expect(rtsp.TearDown); r.Header.Get("Reason") != "cause=16" || r.Session() != testID(1) {
 		t.Errorf("released with %+v", r.Header)
 	}
-	v.setup(id(2), "free", "")
-	x, _ = f.wanted(rtsp.Setup, s1)
-	x.on.answer(x.m, 200, given)
-	v.want("200") // and no second release before it
-	v.tearDown(id(2), 0)
-	y, _ := f.wanted(rtsp.TearDown, s1)
-	if cause(y.m) != causeMoved {
-		t.Errorf("cut with %+v", y.m.Header)
-	}
-	f.until("all is forgotten", func(n *Node) bool {
-		return len(n.sessions) == 0 && n.open == 0 && len(n.servers[0].held) == 0
+	v.setup(testID(2), "free", "")
+	x, _ = f.expectAt(rtsp.Setup, s1)
+	x.conn.answer(x.msg, 200, answerBody)
+	v.expect("200") // and no second release before it
+	v.tearDown(testID(2), 0)
+	y, _ := f.expectAt(rtsp.TearDown, s1)
+	if cause(y.msg) != causeMoved {
+		t.Errorf("cut with %+v", y.msg.Header)
+	}
+	f.waitFor("all is forgotten", func(n *Node) bool {
+		return len(n.sessions) == 0 && n.openRequests == 0 && len(n.servers[0].sessions) == 0
 	})
 }
 
@@ -66,152 +66,158 @@
 	for name, c := range map[string]struct {
 		class, want string
 		again       bool // a second server is asked, and serves
-		do          func(x heard, h *host)
+		do          func(x receivedMessage, h *fakeServer)
 	}{
-		"full":               {"paid", "200", true, func(x heard, _ *host) { x.on.answer(x.m, 453, "") }},
-		"moot":               {"paid", "200", true, func(x heard, _ *host) { x.on.answer(x.m, 454, "") }},
-		"error":              {"free", "200", true, func(x heard, _ *host) { x.on.answer(x.m, 500, "") }},
-		"paid, error":        {"paid", "500", false, func(x heard, _ *host) { x.on.answer(x.m, 500, "") }},
-		"broken on its way":  {"free", "200", true, func(x heard, _ *host) { x.on.answer(x.m, 504, "") }},
-		"paid, broken":       {"paid", "500", false, func(x heard, _ *host) { x.on.answer(x.m, 504, "") }},
-		"another status":     {"paid", "500", false, func(x heard, _ *host) { x.on.answer(x.m, 302, "") }},
-		"released before":    {"paid", "500", false, func(x heard, _ *host) { x.on.tearDown(x.m.Session(), 41) }},
-		"cut":                {"free", "200", true, func(x heard, _ *host) { x.on.Close() }},
-		"paid, cut":          {"paid", "500", false, func(x heard, _ *host) { x.on.Close() }},
-		"dies":               {"paid", "500", false, func(_ heard, h *host) { h.kill() }},
-		"silent":             {"free", "200", true, func(heard, *host) {}},
-		"noise":              {"free", "200", true, func(x heard, _ *host) { x.on.say("\x00\xffgarbage\r\n\r\n") }},
-		"paid, noise":        {"paid", "500", false, func(x heard, _ *host) { x.on.say("RTSP/1.0 2x0 OK\r\n\r\n") }},
-		"a line without end": {"free", "200", true, func(x heard, _ *host) { x.on.say("%s", strings.Repeat("x", 8000)) }},
-		"claims 3 GB": {"free", "200", true, func(x heard, _ *host) {
-			x.on.say("RTSP/1.0 200 OK\r\nSession: %s\r\nContent-Length: 3221225472\r\n\r\nx", x.m.Session())
+		"full":               {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 453, "") }},
+		"moot":               {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 454, "") }},
+		"error":              {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
+		"paid, error":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
+		"broken on its way":  {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
+		"paid, broken":       {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
+		"another status":     {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 302, "") }},
+		"released before":    {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.tearDown(x.msg.Session(), 41) }},
+		"cut":                {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
+		"paid, cut":          {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
+		"dies":               {"paid", "500", false, func(_ receivedMessage, h *fakeServer) { h.kill() }},
+		"silent":             {"free", "200", true, func(receivedMessage, *fakeServer) {}},
+		"noise":              {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("\x00\xffgarbage\r\n\r\n") }},
+		"paid, noise":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 2x0 OK\r\n\r\n") }},
+		"a line without end": {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("%s", strings.Repeat("x", 8000)) }},
+		"claims 3 GB": {"free", "200", true, func(x receivedMessage, _ *fakeServer) {
+			x.conn.sendf("RTSP/1.0 200 OK\r\nSession: %s\r\nContent-Length: 3221225472\r\n\r\nx", x.msg.Session())
 		}},
-		"length too short": {"paid", "500", false, func(x heard, _ *host) {
-			x.on.say("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 30\r\n\r\n%s", x.m.Session(), given)
+		"length too short": {"paid", "500", false, func(x receivedMessage, _ *fakeServer) {
+			x.conn.sendf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 30\r\n\r\n%s", x.msg.Session(), answerBody)
 		}},
-		"length too long": {"free", "200", true, func(x heard, _ *host) {
-			x.on.say("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 900\r\n\r\n%s", x.m.Session(), given)
+		"length too long": {"free", "200", true, func(x receivedMessage, _ *fakeServer) {
+			x.conn.sendf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 900\r\n\r\n%s", x.msg.Session(), answerBody)
 		}},
-		"no description": {"free", "200", true, func(x heard, _ *host) { x.on.answer(x.m, 200, "") }},
-		"stops short":    {"free", "200", true, func(x heard, _ *host) { x.on.say("RTSP/1.0 200 OK\r\nSess") }},
-		"a second copy":  {"paid", "200", false, func(x heard, _ *host) { x.on.answer(x.m, 200, given); x.on.answer(x.m, 200, given) }},
-		"unknown id in front": {"paid", "200", false, func(x heard, _ *host) {
-			x.on.say("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", id(99))
-			x.on.answer(x.m, 200, given)
+		"no description": {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 200, "") }},
+		"stops short":    {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 200 OK\r\nSess") }},
+		"a second copy": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
+			x.conn.answer(x.msg, 200, answerBody)
+			x.conn.answer(x.msg, 200, answerBody)
+		}},
+		"unknown id in front": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
+			x.conn.sendf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(99))
+			x.conn.answer(x.msg, 200, answerBody)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var s [2]*host
-			f := newFarm(t, 256, func(f *farm) []*host { s = [2]*host{f.host("s-1"), f.host("s-2")}; return s[:] })
-			v := f.client()
-			v.setup(id(1), c.class, "")
-			x, h := f.wanted(rtsp.Setup, s[0], s[1])
+			var s [2]*fakeServer
+			f := newHarness(t, 256, func(f *harness) []*fakeServer {
+				s = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
+				return s[:]
+			})
+			v := f.connect()
+			v.setup(testID(1), c.class, "")
+			x, h := f.expectAt(rtsp.Setup, s[0], s[1])
 			c.do(x, h)
 			if c.again {
 				other := s[0]
 				if h == other {
 					other = s[1]
 				}
-				y, _ := f.wanted(rtsp.Setup, other)
-				y.on.answer(y.m, 200, given)
+				y, _ := f.expectAt(rtsp.Setup, other)
+				y.conn.answer(y.msg, 200, answerBody)
 			}
-			if a := v.want(c.want); c.want == "200" && string(a.Body) != given {
+			if a := v.expect(c.want); c.want == "200" && string(a.Body) != answerBody {
 				t.Errorf("a description that no server gave: %q", a.Body)
 			}
 			// Another session goes on as if nothing had been, and nothing else was said on the first.
-			v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", id(50))
-			if a := v.want("200"); a.Session() != id(50) {
+			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
+			if a := v.expect("200"); a.Session() != testID(50) {
 				t.Errorf("%s said twice", a.Session())
 			}
-			f.until("no request is open", func(n *Node) bool { return n.open == 0 })
+			f.waitFor("no request is open", func(n *Node) bool { return n.openRequests == 0 })
 		})
 	}
 }
 
 // Nothing listens at the only server: nothing ran, so a paid session may be told to come again.
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	f, s1 := single(t, 256)
+func TestConnectionRefused(t *testing.T) {
+	f, s1 := newSingleServerHarness(t, 256)
 	s1.kill()
-	v := f.client()
-	v.setup(id(1), "paid", "")
-	v.want("503")
+	v := f.connect()
+	v.setup(testID(1), "paid", "")
+	v.expect("503")
 }
 
 // An idle connection that was cut meanwhile: the SETUP that meets it goes over a new one, as not a byte of it left.
 func TestSetupOverACutConnection(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "paid", "")
-	x := f.serve(s1, v)
-	x.on.Conn.(*net.TCPConn).SetLinger(0)
-	x.on.Close()
-	f.until("the cut is seen and a new connection is up", func(n *Node) bool {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "paid", "")
+	x := f.serveNext(s1, v)
+	x.conn.Conn.(*net.TCPConn).SetLinger(0)
+	x.conn.Close()
+	f.waitFor("the cut is seen and a new connection is up", func(n *Node) bool {
 		c := n.servers[0].conns
-		return len(c) == 1 && c[0].up && len(n.servers[0].held) == 1
+		return len(c) == 1 && c[0].up && len(n.servers[0].sessions) == 1
 	})
-	v.setup(id(2), "paid", "")
-	y := f.serve(s1, v)
-	y.on.tearDown(id(1), 16) // no connection owns a session that stands
-	if r := v.want(rtsp.TearDown); r.Session() != id(1) {
+	v.setup(testID(2), "paid", "")
+	y := f.serveNext(s1, v)
+	y.conn.tearDown(testID(1), 16) // no connection owns a session that stands
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("%s was released", r.Session())
 	}
 }
 
-func TestGivenUp(t *testing.T) {
+func TestCancelledRequests(t *testing.T) {
 	t.Run("and answered after", func(t *testing.T) {
-		f, s1 := single(t, 256)
-		v := f.client()
-		v.setup(id(1), "free", "")
-		x, _ := f.wanted(rtsp.Setup, s1)
-		v.tearDown(id(1), 0)
-		y, _ := f.wanted(rtsp.TearDown, s1)
-		if cause(y.m) != 0 {
+		f, s1 := newSingleServerHarness(t, 256)
+		v := f.connect()
+		v.setup(testID(1), "free", "")
+		x, _ := f.expectAt(rtsp.Setup, s1)
+		v.tearDown(testID(1), 0)
+		y, _ := f.expectAt(rtsp.TearDown, s1)
+		if cause(y.msg) != 0 {
 			t.Error("a SETUP that is out is given up, not released")
 		}
-		x.on.answer(x.m, 200, given)
-		if z, _ := f.wanted(rtsp.TearDown, s1); cause(z.m) != causeMoved || z.m.Session() != id(1) {
-			t.Errorf("what stands unasked is left: %+v", z.m.Header)
+		x.conn.answer(x.msg, 200, answerBody)
+		if z, _ := f.expectAt(rtsp.TearDown, s1); cause(z.msg) != causeMoved || z.msg.Session() != testID(1) {
+			t.Errorf("what stands unasked is left: %+v", z.msg.Header)
 		}
-		if m := v.want("200"); m.CSeq() != 2 {
+		if m := v.expect("200"); m.CSeq() != 2 {
 			t.Error("an answer that is not owed")
 		}
-		f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.past) == 0 && n.open == 0 })
+		f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
 	})
 	t.Run("by closing", func(t *testing.T) {
-		f, s1 := single(t, 256)
-		v := f.client()
-		v.setup(id(1), "free", "")
-		f.wanted(rtsp.Setup, s1)
+		f, s1 := newSingleServerHarness(t, 256)
+		v := f.connect()
+		v.setup(testID(1), "free", "")
+		f.expectAt(rtsp.Setup, s1)
 		v.Close()
-		f.wanted(rtsp.TearDown, s1)
-		f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 && len(n.clients) == 0 })
+		f.expectAt(rtsp.TearDown, s1)
+		f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
 	})
 	t.Run("hundreds at once", func(t *testing.T) {
-		f, s1 := single(t, 256)
-		v := f.client()
+		f, s1 := newSingleServerHarness(t, 256)
+		v := f.connect()
 		for k := range 300 {
-			v.setup(id(k), "free", "")
+			v.setup(testID(k), "free", "")
 		}
 		for k := range 300 {
-			v.tearDown(id(k), 0)
+			v.tearDown(testID(k), 0)
 		}
-		f.until("forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.open == 0 })
-		w := f.client()
-		w.setup(id(1000), "free", "")
+		f.waitFor("forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
+		w := f.connect()
+		w.setup(testID(1000), "free", "")
 		for {
-			x := <-s1.seen
-			if x.m.Method == rtsp.Setup && x.m.Session() == id(1000) {
-				x.on.answer(x.m, 200, given)
+			x := <-s1.received
+			if x.msg.Method == rtsp.Setup && x.msg.Session() == testID(1000) {
+				x.conn.answer(x.msg, 200, answerBody)
 				break
 			}
 		}
-		w.want("200")
+		w.expect("200")
 	})
 }
 
 // Bad clients are refused or closed, nothing of theirs is served, and usual ones notice nothing.
 func TestBadClients(t *testing.T) {
-	head := "SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + id(7) + "\r\nSubject: free\r\n"
+	head := "SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + testID(7) + "\r\nSubject: free\r\n"
 	for name, c := range map[string]struct{ say, want string }{
 		"noise":               {"\x00\x01\x02 nonsense\r\n\r\n", "400"},
 		"endless line":        {strings.Repeat("a", 9000), "414"},
@@ -219,7 +225,7 @@
 		"60 MB":               {head + "X-Patience: 1500\r\nContent-Length: 62914560\r\n\r\nxxxx", "413"},
 		"negative length":     {head + "Content-Length: -5\r\n\r\n", "400"},
 		"length is no number": {head + "Content-Length: many\r\n\r\n", "400"},
-		"unknown class":       {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + id(7) + "\r\nSubject: royal\r\nX-Patience: 9\r\n\r\n", "400"},
+		"unknown class":       {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + testID(7) + "\r\nSubject: royal\r\nX-Patience: 9\r\n\r\n", "400"},
 		"no id":               {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSubject: free\r\nX-Patience: 9\r\n\r\n", "400"},
 		"patience 1e99":       {head + "X-Patience: 1e99\r\n\r\n", "400"},
 		"patience below 0":    {head + "X-Patience: -1\r\n\r\n", "400"},
@@ -235,46 +241,46 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s1 := single(t, 256)
-			v := f.client()
-			v.say("%s", c.say)
-			v.want(c.want)
-			f.until("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
-			w := f.client()
-			w.setup(id(8), "free", "")
-			for x := range s1.seen {
-				if x.m.Session() == id(8) {
-					x.on.answer(x.m, 200, given)
+			f, s1 := newSingleServerHarness(t, 256)
+			v := f.connect()
+			v.sendf("%s", c.say)
+			v.expect(c.want)
+			f.waitFor("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+			w := f.connect()
+			w.setup(testID(8), "free", "")
+			for x := range s1.received {
+				if x.msg.Session() == testID(8) {
+					x.conn.answer(x.msg, 200, answerBody)
 					break
 				}
 			}
-			w.want("200")
+			w.expect("200")
 		})
 	}
 }
 
 // Another connection that names an open request's id is refused, and the request goes on.
-func TestAnothersID(t *testing.T) {
-	f, s1 := single(t, 256)
-	v, w := f.client(), f.client()
-	v.setup(id(1), "paid", "")
-	x, _ := f.wanted(rtsp.Setup, s1)
-	w.setup(id(1), "paid", "")
-	w.want("400")
-	x.on.answer(x.m, 200, given)
-	v.want("200")
+func TestSessionIDOpenOnAnotherConnection(t *testing.T) {
+	f, s1 := newSingleServerHarness(t, 256)
+	v, w := f.connect(), f.connect()
+	v.setup(testID(1), "paid", "")
+	x, _ := f.expectAt(rtsp.Setup, s1)
+	w.setup(testID(1), "paid", "")
+	w.expect("400")
+	x.conn.answer(x.msg, 200, answerBody)
+	v.expect("200")
 }
 
 // Hundreds of connections that say nothing give way, and a usual client is served beside them.
-func TestSilentConnectionsGiveWay(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "free", "")
-	x, _ := f.wanted(rtsp.Setup, s1)
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	x, _ := f.expectAt(rtsp.Setup, s1)
 	for range 300 {
-		f.client()
+		f.connect()
 	}
-	f.until("they are bounded", func(n *Node) bool {
+	f.waitFor("they are bounded", func(n *Node) bool {
 		open := 0
 		for _, v := range n.clients {
 			if !v.isEnding() {
@@ -283,140 +289,143 @@
 		}
 		return open <= share.MaxViewerConns(256, 0)
 	})
-	x.on.answer(x.m, 200, given)
-	v.want("200")
-	w := f.client()
-	w.setup(id(2), "free", "")
-	f.serve(s1, w)
-	f.until("the silent are gone", func(n *Node) bool { return len(n.clients) == 2 })
+	x.conn.answer(x.msg, 200, answerBody)
+	v.expect("200")
+	w := f.connect()
+	w.setup(testID(2), "free", "")
+	f.serveNext(s1, w)
+	f.waitFor("the silent are gone", func(n *Node) bool { return len(n.clients) == 2 })
 }
 
 // Connections that only test, and hold every place, give way to a usual client's new one, which has said nothing yet.
-func TestNewConnectionIsNotTheOneThatGivesWay(t *testing.T) {
-	f, s1 := single(t, 64)
+func TestNewConnectionIsNotEvicted(t *testing.T) {
+	f, s1 := newSingleServerHarness(t, 64)
 	for range share.MaxViewerConns(64, 0) + 5 {
-		v := f.client()
-		v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-		v.want("200")
-	}
-	w := f.client()
-	f.until("it is taken", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
-	w.setup(id(1), "free", "")
-	f.serve(s1, w)
+		v := f.connect()
+		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+		v.expect("200")
+	}
+	w := f.connect()
+	f.waitFor("it is taken", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
+	w.setup(testID(1), "free", "")
+	f.serveNext(s1, w)
 }
 
 // Requests past a connection's bound are told at once to come again, which is true: nothing of them ran.
-func TestRequestsPastTheBound(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
+func TestRequestsOverTheLimit(t *testing.T) {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
 	for k := range share.MaxPendingPerConn + 1 {
-		v.setup(id(k), "free", "")
+		v.setup(testID(k), "free", "")
 	}
-	if m := v.want("503"); m.Session() != id(share.MaxPendingPerConn) {
+	if m := v.expect("503"); m.Session() != testID(share.MaxPendingPerConn) {
 		t.Errorf("%s was refused", m.Session())
 	}
 	for range share.MaxPendingPerConn {
-		x, _ := f.wanted(rtsp.Setup, s1)
-		x.on.answer(x.m, 200, given)
+		x, _ := f.expectAt(rtsp.Setup, s1)
+		x.conn.answer(x.msg, 200, answerBody)
 	}
 	for range share.MaxPendingPerConn {
-		v.want("200")
+		v.expect("200")
 	}
 }
 
 func TestServerLost(t *testing.T) {
 	t.Run("its process dies", func(t *testing.T) {
-		f, s1 := single(t, 256)
-		v := f.client()
-		v.setup(id(1), "paid", "")
-		f.serve(s1, v)
+		f, s1 := newSingleServerHarness(t, 256)
+		v := f.connect()
+		v.setup(testID(1), "paid", "")
+		f.serveNext(s1, v)
 		s1.kill()
-		if r := v.want(rtsp.TearDown); cause(r) != causeCut {
+		if r := v.expect(rtsp.TearDown); cause(r) != causeCut {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
 	t.Run("it is silent", func(t *testing.T) {
-		f, s1 := single(t, 256)
-		v := f.client()
-		v.setup(id(1), "paid", "")
-		f.serve(s1, v)
-		s1.deaf.Store(true) // its connections stay open
+		f, s1 := newSingleServerHarness(t, 256)
+		v := f.connect()
+		v.setup(testID(1), "paid", "")
+		f.serveNext(s1, v)
+		s1.ignoreProbes.Store(true) // its connections stay open
 		// What could not be released is owed its end within 8 s.
-		if r := v.wantWithin(8*time.Second, rtsp.TearDown); cause(r) != causeCut {
+		if r := v.expectWithin(8*time.Second, rtsp.TearDown); cause(r) != causeCut {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
 }
 
 func TestHandedOver(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "paid", ";at:s-1")
-	v.setup(id(1), "paid", ";at:s-1")
-	v.setup(id(2), "paid", ";at:s-1")
-	f.until("both stand", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].held) == 2 })
-	f.until("a connection is open to hear their releases", func(n *Node) bool {
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "paid", ";at:s-1")
+	v.setup(testID(1), "paid", ";at:s-1")
+	v.setup(testID(2), "paid", ";at:s-1")
+	f.waitFor("both stand", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
+	f.waitFor("a connection is open to hear their releases", func(n *Node) bool {
 		return len(n.servers[0].conns) == 1 && n.servers[0].conns[0].up
 	})
-	p := s1.first()
-	p.say("ANNOUNCE rtsp://media/t1 RTSP/1.0\r\nSession: %s\r\nX-Note: at_rung\r\nX-Reading: 3\r\nContent-Length: 0\r\n\r\n", id(2))
-	p.tearDown(id(1), 16)
-	if r := v.want(rtsp.TearDown); r.Session() != id(1) { // and no answer to any of the three
+	p := s1.firstConn()
+	p.sendf("ANNOUNCE rtsp://media/t1 RTSP/1.0\r\nSession: %s\r\nX-Note: at_rung\r\nX-Reading: 3\r\nContent-Length: 0\r\n\r\n", testID(2))
+	p.tearDown(testID(1), 16)
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) { // and no answer to any of the three
 		t.Errorf("released %s", r.Session())
 	}
-	v.setup(id(3), "paid", ";at:s-9") // gone meanwhile
-	if r := v.want(rtsp.TearDown); r.Session() != id(3) {
+	v.setup(testID(3), "paid", ";at:s-9") // gone meanwhile
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(3) {
 		t.Errorf("released %s", r.Session())
 	}
-	f.see(func(n *Node) { // what is kept of it is small
-		if s := n.sessions[id(2)]; s == nil || s.body != nil {
+	f.inspect(func(n *Node) { // what is kept of it is small
+		if s := n.sessions[testID(2)]; s == nil || s.body != nil {
 			t.Error("a handed session keeps its description")
 		}
-		n.start.MemoryMB = 0
+		n.config.MemoryMB = 0
 	})
-	w := f.client()
+	w := f.connect()
 	for k := range share.MaxHandedOver(0) + 5 { // claims without end: those past the bound are released at once
-		w.setup(id(100+k), "free", ";at:s-1")
-	}
-	w.want(rtsp.TearDown)
-	f.until("bounded", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
-	f.see(func(n *Node) { n.start.MemoryMB = 64 })
-	p.tearDown(id(4), 41) // its release comes before it is told
-	f.until("remembered", func(n *Node) bool { return n.early[id(4)] })
-	v.setup(id(4), "paid", ";at:s-1")
-	if r := v.want(rtsp.TearDown); r.Session() != id(4) {
+		w.setup(testID(100+k), "free", ";at:s-1")
+	}
+	w.expect(rtsp.TearDown)
+	f.waitFor("bounded", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
+	f.inspect(func(n *Node) { n.config.MemoryMB = 64 })
+	p.tearDown(testID(4), 41) // its release comes before it is told
+	f.waitFor("remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
+	v.setup(testID(4), "paid", ";at:s-1")
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(4) {
 		t.Errorf("released %s", r.Session())
 	}
 }
 
 // A release finds its client's connection closed: it goes out on another that served a session.
 func TestReleasedOnAnotherConnection(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	v.setup(id(1), "free", "")
-	x := f.serve(s1, v)
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	x := f.serveNext(s1, v)
 	v.Close()
-	f.until("its connection is gone", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
-	x.on.tearDown(id(1), 16)
-	f.until("the release is owed", func(n *Node) bool { return len(n.owed) == 1 })
-	w := f.client()
-	w.setup(id(2), "free", "")
-	f.serve(s1, w)
-	if r := w.want(rtsp.TearDown); r.Session() != id(1) {
+	f.waitFor("its connection is gone", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
+	x.conn.tearDown(testID(1), 16)
+	f.waitFor("the release is owed", func(n *Node) bool { return len(n.pendingReleases) == 1 })
+	w := f.connect()
+	w.setup(testID(2), "free", "")
+	f.serveNext(s1, w)
+	if r := w.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 }
 
 func TestCoordinator(t *testing.T) {
-	var s1, s2 *host
-	f := newFarm(t, 256, func(f *farm) []*host { s1, s2 = f.host("s-1"), f.host("s-2"); return []*host{s1} })
-	c := f.followed()
+	var s1, s2 *fakeServer
+	f := newHarness(t, 256, func(f *harness) []*fakeServer {
+		s1, s2 = f.startServer("s-1"), f.startServer("s-2")
+		return []*fakeServer{s1}
+	})
+	c := f.acceptFollower()
 	if c.after != 1 {
 		t.Fatalf("follows %d", c.after)
 	}
 	state := func(want string) {
 		t.Helper()
-		f.until(want, func(n *Node) bool {
+		f.waitFor(want, func(n *Node) bool {
 			got := ""
 			for _, sv := range n.servers {
 				got += fmt.Sprintf("%s:%d ", sv.id, sv.state)
@@ -424,35 +433,35 @@
 			return got == want
 		})
 	}
-	fmt.Fprintf(c, "%s\n1\n%s\n", change(2, false, entry("s-2", s2.Addr().String(), "up")), change(2, false, entry("s-2", s2.Addr().String(), "up")))
+	fmt.Fprintf(c, "%s\n1\n%s\n", listEvent(2, false, listEntry("s-2", s2.Addr().String(), "up")), listEvent(2, false, listEntry("s-2", s2.Addr().String(), "up")))
 	state("s-1:1 s-2:1 ")
-	fmt.Fprintf(c, "%s", change(3, false, entry("s-1", s1.Addr().String(), "draining"))[:40]) // half an event
+	fmt.Fprintf(c, "%s", listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining"))[:40]) // half an event
 	c.Close()
-	if c = f.followed(); c.after != 2 {
+	if c = f.acceptFollower(); c.after != 2 {
 		t.Fatalf("follows %d after half an event", c.after)
 	}
-	fmt.Fprintf(c, "%s\n", change(3, false, entry("s-1", s1.Addr().String(), "draining")))
+	fmt.Fprintf(c, "%s\n", listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	state("s-1:2 s-2:1 ")
-	v := f.client()
-	v.setup(id(1), "free", "")
-	x, _ := f.wanted(rtsp.Setup, s2)
-	x.on.answer(x.m, 200, given)
-	v.want("200")
+	v := f.connect()
+	v.setup(testID(1), "free", "")
+	x, _ := f.expectAt(rtsp.Setup, s2)
+	x.conn.answer(x.msg, 200, answerBody)
+	v.expect("200")
 	fmt.Fprintf(c, "9\n") // events up to 9 were never told
-	if c = f.followed(); c.after != 3 {
+	if c = f.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a gap", c.after)
 	}
 	// It stays open and says nothing.
-	if c = f.followed(); c.after != 3 {
+	if c = f.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a silence", c.after)
 	}
 	// s-2 goes while a session stands there, and its address belongs to s-3 now.
-	fmt.Fprintf(c, "%s\n%s\n", change(4, false, entry("s-2", "", "removed")), change(5, false, entry("s-3", s2.Addr().String(), "up")))
-	f.until("s-2 is kept as long as its session stands", func(n *Node) bool {
-		return len(n.servers) == 3 && n.servers[1].id == "s-2" && n.servers[2].id == "s-3" && len(n.servers[1].held) == 1
+	fmt.Fprintf(c, "%s\n%s\n", listEvent(4, false, listEntry("s-2", "", "removed")), listEvent(5, false, listEntry("s-3", s2.Addr().String(), "up")))
+	f.waitFor("s-2 is kept as long as its session stands", func(n *Node) bool {
+		return len(n.servers) == 3 && n.servers[1].id == "s-2" && n.servers[2].id == "s-3" && len(n.servers[1].sessions) == 1
 	})
-	x.on.Close()
-	if r := v.want(rtsp.TearDown); r.Session() != id(1) {
+	x.conn.Close()
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 	state("s-1:2 s-3:1 ")
@@ -460,69 +469,69 @@
 
 // A drain that is told while a SETUP waits for its connection: it is never sent.
 func TestDrainBeforeTheSetupLeft(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
-	f.see(func(n *Node) { // the connection that it takes is still being opened
-		n.servers[0].conns = []*link{{sv: n.servers[0], stop: func() {}}}
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
+	f.inspect(func(n *Node) { // the connection that it takes is still being opened
+		n.servers[0].conns = []*serverConn{{server: n.servers[0], cancelDial: func() {}}}
 	})
-	v.setup(id(1), "paid", "")
-	f.until("it waits", func(n *Node) bool { return n.open == 1 && len(n.servers[0].conns) == 1 })
-	fmt.Fprintf(f.followed(), "%s\n", change(2, false, entry("s-1", s1.Addr().String(), "draining")))
-	v.want("503")
+	v.setup(testID(1), "paid", "")
+	f.waitFor("it waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
+	fmt.Fprintf(f.acceptFollower(), "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
+	v.expect("503")
 }
 
 func TestReload(t *testing.T) {
-	f, s1 := single(t, 256)
-	f.followed()
+	f, s1 := newSingleServerHarness(t, 256)
+	f.acceptFollower()
 	bad := make(chan bool, 1)
-	f.reread = func() (*start.Start, error) { bad <- true; return nil, errors.New("half a file") }
-	f.hangups <- syscall.SIGHUP
+	f.reloadConfig = func() (*start.Start, error) { bad <- true; return nil, errors.New("half a file") }
+	f.reloadSignals <- syscall.SIGHUP
 	<-bad
-	l, follows := f.coordinator()
-	f.reread = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
-	f.hangups <- syscall.SIGHUP
+	l, follows := f.startCoordinator()
+	f.reloadConfig = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
+	f.reloadSignals <- syscall.SIGHUP
 	select {
 	case c := <-follows:
 		if c.after != 1 {
 			t.Errorf("follows %d", c.after)
 		}
-		fmt.Fprintf(c, "%s\n", change(2, false, entry("s-1", s1.Addr().String(), "draining")))
-		f.until("the new coordinator is heard", func(n *Node) bool { return n.servers[0].state == 2 })
+		fmt.Fprintf(c, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
+		f.waitFor("the new coordinator is heard", func(n *Node) bool { return n.servers[0].state == 2 })
 		c.Close()
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the new coordinator is not asked")
 	}
 }
 
 func TestTerminated(t *testing.T) {
-	f, s1 := single(t, 256)
-	v := f.client()
+	f, s1 := newSingleServerHarness(t, 256)
+	v := f.connect()
 	ping := func(want string) {
 		t.Helper()
-		v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-		v.want(want)
+		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+		v.expect(want)
 	}
 	ping("200")
-	f.ends <- syscall.SIGTERM
+	f.terminationSignals <- syscall.SIGTERM
 	drains := 0.0
-	f.until("it drains", func(n *Node) bool { drains = n.now; return !n.ready })
+	f.waitFor("it drains", func(n *Node) bool { drains = n.now; return !n.ready })
 	ping("503")
-	w := f.client() // connections and requests are still taken
-	w.setup(id(1), "free", "")
-	f.serve(s1, w)
+	w := f.connect() // connections and requests are still taken
+	w.setup(testID(1), "free", "")
+	f.serveNext(s1, w)
 	// While its session stands the node stays, but SIGKILL, 0.7 s after the longest setup timeout, finds nothing.
-	f.see(func(n *Node) {
-		if d := n.life.NextWakeup() - drains; d < 1.2 || d > n.start.SetupTimeout+0.7 {
+	f.inspect(func(n *Node) {
+		if d := n.lifecycle.NextWakeup() - drains; d < 1.2 || d > n.config.SetupTimeout+0.7 {
 			t.Errorf("exit %v s after SIGTERM", d)
 		}
 	})
 	select {
-	case code := <-f.over:
+	case code := <-f.exitCode:
 		if code != lifecycle.ExitClean {
 			t.Errorf("exit %d", code)
 		}
-		f.over <- code
-	case <-time.After(patience):
+		f.exitCode <- code
+	case <-time.After(testTimeout):
 		t.Fatal("it does not end")
 	}
 }
@@ -532,10 +541,10 @@
 	if testing.Short() {
 		t.Skip()
 	}
-	var hosts []*host
-	f := newFarm(t, 256, func(f *farm) []*host {
+	var hosts []*fakeServer
+	f := newHarness(t, 256, func(f *harness) []*fakeServer {
 		for k := range 4 {
-			hosts = append(hosts, f.host(fmt.Sprintf("s-%d", k)))
+			hosts = append(hosts, f.startServer(fmt.Sprintf("s-%d", k)))
 		}
 		return hosts
 	})
@@ -545,9 +554,9 @@
 		go func() {
 			for {
 				select {
-				case x := <-h.seen:
-					if x.m.Method == rtsp.Setup {
-						x.on.answer(x.m, 200, given)
+				case x := <-h.received:
+					if x.msg.Method == rtsp.Setup {
+						x.conn.answer(x.msg, 200, answerBody)
 					}
 				case <-quit:
 					return
@@ -555,42 +564,42 @@
 			}
 		}()
 	}
-	c := f.followed()
+	c := f.acceptFollower()
 	index := 1
 	for round := range 200 {
-		v := f.client()
+		v := f.connect()
 		for k := range 50 {
-			v.setup(id(round*50+k), "free", "")
+			v.setup(testID(round*50+k), "free", "")
 		}
 		for range 50 {
 			if m := v.next(); m.Status != 200 && m.Status != 503 {
-				t.Fatalf("round %d: %s", round, said(m))
+				t.Fatalf("round %d: %s", round, messageKind(m))
 			}
 		}
 		for k := range 50 {
-			v.tearDown(id(round*50+k), 16)
+			v.tearDown(testID(round*50+k), 16)
 		}
 		h := hosts[round%len(hosts)]
 		index += 2
-		fmt.Fprintf(c, "%s\n%s\n", change(index-1, false, entry(h.name, "", "removed")), change(index, false, entry(fmt.Sprintf("s-%d", 100+round), h.Addr().String(), "up")))
+		fmt.Fprintf(c, "%s\n%s\n", listEvent(index-1, false, listEntry(h.name, "", "removed")), listEvent(index, false, listEntry(fmt.Sprintf("s-%d", 100+round), h.Addr().String(), "up")))
 		h.name = fmt.Sprintf("s-%d", 100+round)
 		// What the module counts is what the node has.
-		f.see(func(n *Node) {
+		f.inspect(func(n *Node) {
 			for _, b := range n.front.ServerEstimates() {
-				if sv := n.numbers[b.Server]; len(n.later) == 0 && (sv == nil && b.Sessions > 0 || sv != nil && b.Sessions != len(sv.held)+sv.out()) {
+				if sv := n.serversByNumber[b.Server]; len(n.moduleEvents) == 0 && (sv == nil && b.Sessions > 0 || sv != nil && b.Sessions != len(sv.sessions)+sv.pendingSetups()) {
 					t.Errorf("round %d: the module counts %d sessions at %d", round, b.Sessions, b.Server)
 				}
 			}
 		})
-		f.until("the round is over", func(n *Node) bool { return len(n.sessions) == 0 && n.index == int64(index) && len(n.servers) <= 6 })
+		f.waitFor("the round is over", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
 		v.Close()
 	}
-	f.until("all is as at the start", func(n *Node) bool {
+	f.waitFor("all is as at the start", func(n *Node) bool {
 		conns := 0
 		for _, sv := range n.servers {
 			conns += len(sv.conns)
 		}
-		return len(n.servers) == 4 && len(n.numbers) == 4 && len(n.clients) <= 1 && n.open == 0 && conns <= 32 && len(n.owed) == 0 && len(n.counts) < 20
+		return len(n.servers) == 4 && len(n.serversByNumber) == 4 && len(n.clients) <= 1 && n.openRequests == 0 && conns <= 32 && len(n.pendingReleases) == 0 && len(n.counts) < 20
 	})
 }
 
@@ -598,13 +607,13 @@
 func FuzzClient(f *testing.F) {
 	f.Add([]byte("SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nSubject: paid\r\nX-Patience: 1500\r\nX-Facts: home:0;copies:2;top:1;at:s-1\r\n\r\n"))
 	f.Add([]byte("TEARDOWN rtsp://media/ RTSP/1.0\r\nSession: x\r\nReason: cause=999999999999999999999\r\n\r\n"))
-	s, err := start.Parse([]byte(fmt.Sprintf(`{"listen":"127.0.0.1:0","coordinator":"127.0.0.1:1","seed":"1","settings":%s}`, fmt.Sprintf(terms, false))))
+	s, err := start.Parse([]byte(fmt.Sprintf(`{"listen":"127.0.0.1:0","coordinator":"127.0.0.1:1","seed":"1","settings":%s}`, fmt.Sprintf(settingsJSON, false))))
 	if err != nil {
 		f.Fatal(err)
 	}
-	n := &Node{start: s}
+	n := &Node{config: s}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := rtsp.NewConn(reading{bytes.NewReader(in)}, bounds)
+		c := rtsp.NewConn(readerConn{bytes.NewReader(in)}, bounds)
 		for {
 			m, _, err := c.Next()
 			if err != nil || m == nil {
@@ -625,30 +634,30 @@
 	})
 }
 
-type reading struct{ *bytes.Reader }
+type readerConn struct{ *bytes.Reader }
 
-func (reading) Close() error                     { return nil }
-func (reading) LocalAddr() net.Addr              { return nil }
-func (reading) RemoteAddr() net.Addr             { return nil }
-func (reading) SetDeadline(time.Time) error      { return nil }
-func (reading) SetReadDeadline(time.Time) error  { return nil }
-func (reading) SetWriteDeadline(time.Time) error { return nil }
-func (reading) Write(b []byte) (int, error)      { return len(b), nil }
+func (readerConn) Close() error                     { return nil }
+func (readerConn) LocalAddr() net.Addr              { return nil }
+func (readerConn) RemoteAddr() net.Addr             { return nil }
+func (readerConn) SetDeadline(time.Time) error      { return nil }
+func (readerConn) SetReadDeadline(time.Time) error  { return nil }
+func (readerConn) SetWriteDeadline(time.Time) error { return nil }
+func (readerConn) Write(b []byte) (int, error)      { return len(b), nil }
 
 // It ends though the loop never heard of a server's connection that is open and silent.
-func TestEndsWithAConnectionNotHeardOf(t *testing.T) {
-	f, _ := single(t, 256)
-	f.see(func(n *Node) {
+func TestExitWithUnreportedServerConnection(t *testing.T) {
+	f, _ := newSingleServerHarness(t, 256)
+	f.inspect(func(n *Node) {
 		n.dial(n.servers[0])
 		for len(n.events) == 0 { // it is up, and says so to a loop that is over
 			time.Sleep(time.Millisecond)
 		}
-		n.over = true
+		n.exiting = true
 	})
 	select {
-	case code := <-f.over:
-		f.over <- code
-	case <-time.After(patience):
+	case code := <-f.exitCode:
+		f.exitCode <- code
+	case <-time.After(testTimeout):
 		t.Fatal("it does not end")
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -12,71 +12,71 @@
 
 // probe tests a server: once at a time, whoever wants it.
 func (n *Node) probe(sv *server) {
-	if sv.tested != "" {
+	if sv.probeID != "" {
 		return
 	}
-	sv.tests++
-	n.tests++
-	sv.tested = testID(n.start.Figures.Seed, n.tests)
-	sv.testing = n.after(limits.Defaults.ProbeTimeout, func() { n.tellTest(sv, choice.TimedOut, noReport) })
+	sv.probeCount++
+	n.probeCount++
+	sv.probeID = probeSessionID(n.config.Figures.Seed, n.probeCount)
+	sv.probeTimer = n.after(limits.Defaults.ProbeTimeout, func() { n.endProbe(sv, choice.TimedOut, noReport) })
 	for _, l := range sv.conns {
-		if l.up && !l.isEnding() && (sv.testOn == nil || len(l.open) < len(sv.testOn.open)) {
-			sv.testOn = l
+		if l.up && !l.isEnding() && (sv.probeConn == nil || len(l.setups) < len(sv.probeConn.setups)) {
+			sv.probeConn = l
 		}
 	}
-	if sv.testOn != nil {
-		n.sendTest(sv.testOn)
+	if sv.probeConn != nil {
+		n.sendProbe(sv.probeConn)
 		return
 	}
 	for _, l := range sv.conns {
 		if !l.up {
-			sv.testOn = l
+			sv.probeConn = l
 		}
 	}
-	if sv.testOn == nil {
-		sv.testOn = n.dial(sv)
+	if sv.probeConn == nil {
+		sv.probeConn = n.dial(sv)
 	}
-	if sv.testOn == nil { // no descriptor is left: its time-out ends the test
+	if sv.probeConn == nil { // no descriptor is left: its time-out ends the test
 		return
 	}
-	sv.testOn.test = true
+	sv.probeConn.probePending = true
 }
 
-func (n *Node) sendTest(l *link) {
-	if l.sv.testOn == l && l.sv.tested != "" {
-		l.send(test(l.sv.tested))
-		l.used = n.now
+func (n *Node) sendProbe(l *serverConn) {
+	if l.server.probeConn == l && l.server.probeID != "" {
+		l.send(test(l.server.probeID))
+		l.lastUsed = n.now
 	}
 }
 
-func (n *Node) failTest(l *link, o choice.Outcome) {
-	if l.sv.testOn == l && l.sv.tested != "" {
-		n.tellTest(l.sv, o, noReport)
+func (n *Node) failProbe(l *serverConn, o choice.Outcome) {
+	if l.server.probeConn == l && l.server.probeID != "" {
+		n.endProbe(l.server, o, noReport)
 	}
 }
 
-// tellTest ends a test; the module hears of it whoever wanted it.
-func (n *Node) tellTest(sv *server, o choice.Outcome, r choice.LoadReport) {
-	if sv.tested == "" {
+// endProbe ends a test; the module hears of it whoever wanted it.
+func (n *Node) endProbe(sv *server, o choice.Outcome, r choice.LoadReport) {
+	if sv.probeID == "" {
 		return
 	}
-	on := sv.testOn
-	n.cancel(sv.testing)
-	sv.tested, sv.testOn, sv.testing = "", nil, nil
-	n.feed(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
+	on := sv.probeConn
+	n.cancel(sv.probeTimer)
+	sv.probeID, sv.probeConn, sv.probeTimer = "", nil, nil
+	n.notifyModule(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
 	// Without an answer in its time the connection is of no more use; a SETUP on it may still be answered.
-	if o == choice.TimedOut && on != nil && len(on.open) == 0 {
+	if o == choice.TimedOut && on != nil && len(on.setups) == 0 {
 		n.retire(on)
 	}
-	n.settleServer(sv)
+	n.removeServerIfGone(sv)
 }
 
-// look keeps watch over servers where sessions stand, and closes connections that have long been idle.
-func (n *Node) look() {
+// checkServers keeps watch over servers where sessions stand, and closes connections that have long been idle.
+func (n *Node) checkServers() {
 	for _, sv := range slices.Clone(n.servers) {
 		up, opening := 0, false
 		for _, l := range slices.Clone(sv.conns) {
-			if l.up && len(l.open) == 0 && sv.testOn != l && share.Stale(n.now, l.used, n.start.Idle) {
+			if l.up && len(l.setups) == 0 && sv.probeConn != l && share.Stale(n.now, l.lastUsed, n.config.Idle) {
 				n.retire(l)
 				continue
 			}
@@ -86,10 +86,10 @@
 				opening = true
 			}
 		}
-		sv.owed = slices.DeleteFunc(sv.owed, func(o owed) bool { return n.now >= o.until })
-		if len(sv.held) == 0 && len(sv.owed) == 0 {
+		sv.pendingMessages = slices.DeleteFunc(sv.pendingMessages, func(o pendingMessage) bool { return n.now >= o.expiresAt })
+		if len(sv.sessions) == 0 && len(sv.pendingMessages) == 0 {
 			sv.liveness = liveness.Monitor{}
-			n.settleServer(sv)
+			n.removeServerIfGone(sv)
 			continue
 		}
 		do := sv.liveness.Check(n.now, up, opening)
@@ -98,7 +98,7 @@
 		}
 		switch {
 		case do.Lost:
-			n.lost(sv)
+			n.serverLost(sv)
 		case do.Connect:
 			n.dial(sv)
 		case do.Probe:
@@ -107,18 +107,18 @@
 	}
 }
 
-// lost ends what stood at a server that is dead, or counts as dead.
-func (n *Node) lost(sv *server) {
-	n.log.Info("sessions lost with their server", str("server", sv.id), num("sessions", len(sv.held)))
-	for _, s := range slices.Clone(sv.held) {
-		n.say(sv, tearDown(s.url, s.id, causeCut))
-		n.ended(s, choice.Reset, causeCut, noReport)
+// serverLost ends what stood at a server that is dead, or counts as dead.
+func (n *Node) serverLost(sv *server) {
+	n.log.Info("sessions lost with their server", str("server", sv.id), num("sessions", len(sv.sessions)))
+	for _, s := range slices.Clone(sv.sessions) {
+		n.trySendToServer(sv, tearDown(s.url, s.id, causeCut))
+		n.endSession(s, choice.Reset, causeCut, noReport)
 	}
 	for _, l := range slices.Clone(sv.conns) {
-		if len(l.open) == 0 {
+		if len(l.setups) == 0 {
 			n.retire(l)
 		}
 	}
-	sv.liveness, sv.owed = liveness.Monitor{}, nil
-	n.settleServer(sv)
+	sv.liveness, sv.pendingMessages = liveness.Monitor{}, nil
+	n.removeServerIfGone(sv)
 }
--- a/internal/node/readcontrol_test.go
+++ b/internal/node/readcontrol_test.go
@@ -47,7 +47,7 @@
 	if !r.mayGoOn(t.Context()) {
 		t.Fatal("it was told to end")
 	}
-	wantStopped(t, reads(&r), stopReading)
+	wantStopped(t, reads(&r), stopReadersTimeout)
 }
 
 // A reader is stopped by force as a message begins: it has a moment for the rest, within what the exit leaves it.
@@ -58,7 +58,7 @@
 	r := newReadControl(a)
 	r.stop(true)
 	r.messageBegan() // its first bytes were read just before
-	wantStopped(t, reads(&r), stopReading)
+	wantStopped(t, reads(&r), stopReadersTimeout)
 }
 
 // A message of which a part was read before a forced stop, and whose rest comes a moment later, is read whole.
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -16,59 +16,59 @@
 
 // server is one streaming server, by its id. It goes once it is gone from the list and nothing stands there.
 type server struct {
-	id       string
-	number   choice.ServerID
-	addr     string
-	state    choice.Lifecycle
-	told     float64    // its start as the list last told it: Unix milliseconds, 0 is long ago
-	born     float64    // counts as started then; 0 is long ago
-	conns    []*link    // emptied as they end
-	held     []*session // standing there; emptied as they end
-	liveness liveness.Monitor
-	tested   string // the test that is out; empty is none
-	testOn   *link
-	tests    int      // counts tests, for their names
-	testing  *timeout // its time-out
-	owed     []owed   // what belongs to sessions that stood and found no connection; emptied by the next one and by time
+	id              string
+	number          choice.ServerID
+	addr            string
+	state           choice.Lifecycle
+	listedStartMs   float64       // its start as the list last told it: Unix milliseconds, 0 is long ago
+	startedAt       float64       // counts as started then; 0 is long ago
+	conns           []*serverConn // emptied as they end
+	sessions        []*session    // standing there; emptied as they end
+	liveness        liveness.Monitor
+	probeID         string // the test that is out; empty is none
+	probeConn       *serverConn
+	probeCount      int              // counts tests, for their names
+	probeTimer      *timeout         // its time-out
+	pendingMessages []pendingMessage // what belongs to sessions that stood and found no connection; emptied by the next one and by time
 }
 
-// link is one connection to a server, or one that is being opened.
-type link struct {
+// serverConn is one connection to a server, or one that is being opened.
+type serverConn struct {
 	*conn
-	sv     *server
-	up     bool
-	closed bool
-	used   float64
-	open   []*session // SETUPs out on it, or waiting for it to open; emptied by outcomes
-	test   bool       // a test waits for it to open
-	stop   context.CancelFunc
+	server       *server
+	up           bool
+	closed       bool
+	lastUsed     float64
+	setups       []*session // SETUPs out on it, or waiting for it to open; emptied by outcomes
+	probePending bool       // a test waits for it to open
+	cancelDial   context.CancelFunc
 }
 
-// out is how many SETUPs are out there, or wait for their connections.
-func (sv *server) out() (k int) {
+// pendingSetups is how many SETUPs are pendingSetups there, or wait for their connections.
+func (sv *server) pendingSetups() (k int) {
 	for _, l := range sv.conns {
-		k += len(l.open)
+		k += len(l.setups)
 	}
 	return k
 }
 
 // sendSetup writes a SETUP to a connection that is open.
-func (n *Node) sendSetup(s *session, l *link) {
-	wait := s.until - n.now
+func (n *Node) sendSetup(s *session, l *serverConn) {
+	wait := s.setupDeadline - n.now
 	if !n.guard.Send(n.now, s.id, wait, s.server.state == choice.Ready) {
-		n.setupOver(s, choice.Unsent, noReport)
+		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
-	s.from, s.to = l.send(setup(s, n.trials.told(wait)))
-	s.history.note(n.now, stepSent, l.peer())
-	l.used = n.now
-	n.copyElsewhere(s)
+	s.setupStart, s.setupEnd = l.send(setup(s, n.trials.alterDeadline(wait)))
+	s.history.add(n.now, stepSent, l.peer())
+	l.lastUsed = n.now
+	n.duplicateSetup(s)
 }
 
-// heardServer takes one message of a server's, which was read at the instant given.
-func (n *Node) heardServer(l *link, m *rtsp.Message, at float64) {
+// handleServerMessage takes one message of a server's, which was read at the instant given.
+func (n *Node) handleServerMessage(l *serverConn, m *rtsp.Message, at float64) {
 	n.traceReceived(l.conn, m)
-	sv := l.sv
+	sv := l.server
 	sv.liveness.Heard(n.now)
 	id := m.Session()
 	s := n.sessions[id]
@@ -76,19 +76,19 @@
 		s = nil
 	}
 	if l.closed {
-		n.heardClosing(l, s, m)
+		n.handleClosingMessage(l, s, m)
 		return
 	}
 	switch {
 	case m.Method == rtsp.TearDown:
 		l.send(response(m, rtsp.OK))
-		n.released(l, s, id, m)
+		n.handleServerRelease(l, s, id, m)
 	case m.Method == rtsp.Announce && s != nil:
-		n.noted(sv, s, m)
+		n.handleNote(sv, s, m)
 	case m.Method == rtsp.Options:
 		l.send(response(m, rtsp.OK))
 	case m.IsRequest() || m.Status < 200:
-	case sv.tested != "" && id == sv.tested:
+	case sv.probeID != "" && id == sv.probeID:
 		if n.log.Core().Enabled(zap.DebugLevel) {
 			n.log.Debug("tested", str("server", sv.id), str("report", m.Header.Get(fieldState)))
 		}
@@ -96,111 +96,111 @@
 		if m.Status != rtsp.OK {
 			o = choice.ServerError
 		}
-		n.tellTest(sv, o, readReport(m))
+		n.endProbe(sv, o, readReport(m))
 	case m.Header.Get("Cseq") == seqTearDown || m.Header.Get("Cseq") == seqOptions:
-	case s != nil && s.state == attempting && s.on == l:
-		n.setupAnswered(s, m, at)
+	case s != nil && s.state == attempting && s.conn == l:
+		n.handleSetupAnswer(s, m, at)
 	case s == nil:
-		n.late(sv, l, m)
+		n.handleLateAnswer(sv, l, m)
 	}
 }
 
-// heardClosing takes a message on a connection that is being closed. No SETUP is out on it any more, but what concerns sessions that
+// handleClosingMessage takes a message on a connection that is being closed. No SETUP is out on it any more, but what concerns sessions that
 // stand belongs to no connection.
-func (n *Node) heardClosing(l *link, s *session, m *rtsp.Message) {
+func (n *Node) handleClosingMessage(l *serverConn, s *session, m *rtsp.Message) {
 	switch {
 	case m.Method == rtsp.TearDown:
-		n.released(l, s, m.Session(), m)
+		n.handleServerRelease(l, s, m.Session(), m)
 	case m.Method == rtsp.Announce && s != nil:
-		n.noted(l.sv, s, m)
+		n.handleNote(l.server, s, m)
 	case !m.IsRequest():
-		n.late(l.sv, l, m)
+		n.handleLateAnswer(l.server, l, m)
 	}
 }
 
-// late tears down at its server what a SETUP given up has set up after all.
-func (n *Node) late(sv *server, l *link, m *rtsp.Message) {
-	if m.Status == rtsp.OK && n.past[m.Session()] == sv {
-		delete(n.past, m.Session())
+// handleLateAnswer tears down at its server what a SETUP given up has set up after all.
+func (n *Node) handleLateAnswer(sv *server, l *serverConn, m *rtsp.Message) {
+	if m.Status == rtsp.OK && n.abandonedSetups[m.Session()] == sv {
+		delete(n.abandonedSetups, m.Session())
 		b := tearDown(root, m.Session(), causeMoved)
 		if l.closed {
-			n.toServer(sv, b)
+			n.sendToServer(sv, b)
 		} else {
 			l.send(b)
 		}
 	}
 }
 
-// say sends what belongs to no SETUP on any open connection; false where there is none.
-func (n *Node) say(sv *server, b []byte) bool {
+// trySendToServer sends what belongs to no SETUP on any open connection; false where there is none.
+func (n *Node) trySendToServer(sv *server, b []byte) bool {
 	for _, l := range sv.conns {
 		if l.up && l.sendKept(n.now, b) {
-			l.used = n.now
+			l.lastUsed = n.now
 			return true
 		}
 	}
 	return false
 }
 
-// toServer is say, and opens a connection where there is none. The address of a server that is gone may be another's.
-func (n *Node) toServer(sv *server, b []byte) {
-	if n.say(sv, b) || sv.state == choice.Gone || len(sv.owed) >= mostPast {
+// sendToServer is say, and opens a connection where there is none. The address of a server that is gone may be another's.
+func (n *Node) sendToServer(sv *server, b []byte) {
+	if n.trySendToServer(sv, b) || sv.state == choice.Gone || len(sv.pendingMessages) >= maxRemembered {
 		return
 	}
-	sv.owed = append(sv.owed, owed{b, n.now + keepOwed})
-	if !slices.ContainsFunc(sv.conns, func(l *link) bool { return !l.up }) {
+	sv.pendingMessages = append(sv.pendingMessages, pendingMessage{b, n.now + pendingSeconds})
+	if !slices.ContainsFunc(sv.conns, func(l *serverConn) bool { return !l.up }) {
 		n.dial(sv)
 	}
 }
 
-// setupAnswered takes a server's final answer to a SETUP.
-func (n *Node) setupAnswered(s *session, m *rtsp.Message, at float64) {
-	s.history.note(at, stepServerAnswered, strconv.Itoa(m.Status))
+// handleSetupAnswer takes a server's final answer to a SETUP.
+func (n *Node) handleSetupAnswer(s *session, m *rtsp.Message, at float64) {
+	s.history.add(at, stepServerAnswered, strconv.Itoa(m.Status))
 	switch {
 	case m.Status == rtsp.OK && len(m.Body) > 0:
-		n.stands(s, m)
+		n.establishSession(s, m)
 	case m.Status == rtsp.OK: // an answer without a description is spoilt
-		l := s.on
+		l := s.conn
 		n.disown(s)
 		n.retire(l)
 	case m.Status == rtsp.NotEnoughBandwidth:
-		n.setupOver(s, choice.Full, readReport(m))
+		n.setupEnded(s, choice.Full, readReport(m))
 	case m.Status == rtsp.SessionNotFound:
-		n.setupOver(s, choice.Unsent, readReport(m))
+		n.setupEnded(s, choice.Unsent, readReport(m))
 	case m.Status == rtsp.GatewayTimeout:
-		n.setupOver(s, choice.Reset, noReport)
+		n.setupEnded(s, choice.Reset, noReport)
 	default:
-		n.setupOver(s, choice.ServerError, readReport(m))
+		n.setupEnded(s, choice.ServerError, readReport(m))
 	}
 }
 
-// noted takes a note on a session that stands.
-func (n *Node) noted(sv *server, s *session, m *rtsp.Message) {
+// handleNote takes a note on a session that stands.
+func (n *Node) handleNote(sv *server, s *session, m *rtsp.Message) {
 	x, err := strconv.ParseFloat(m.Header.Get(fieldFigure), 64)
 	kind := noteKinds[m.Header.Get(fieldNote)]
 	if err != nil || delivery.SanitizeReport(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
-	if kind == wire.RungInForce && int(x) >= len(n.start.Figures.Ladder) {
+	if kind == wire.RungInForce && int(x) >= len(n.config.Figures.Ladder) {
 		return
 	}
 	n.log.Debug("note", str("server", sv.id), str("kind", m.Header.Get(fieldNote)), str("figure", m.Header.Get(fieldFigure)))
-	n.feed(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
+	n.notifyModule(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
 }
 
-// settleServer forgets a server that is gone once nothing of it is left.
-func (n *Node) settleServer(sv *server) {
-	if sv.state != choice.Gone || len(sv.held) > 0 || sv.tested != "" {
+// removeServerIfGone forgets a server that is gone once nothing of it is left.
+func (n *Node) removeServerIfGone(sv *server) {
+	if sv.state != choice.Gone || len(sv.sessions) > 0 || sv.probeID != "" {
 		return
 	}
 	for _, l := range slices.Clone(sv.conns) {
-		if len(l.open) == 0 && !(l.up && l.isEnding()) {
+		if len(l.setups) == 0 && !(l.up && l.isEnding()) {
 			n.retire(l)
 		}
 	}
-	if len(sv.conns) == 0 && n.numbers[sv.number] == sv {
-		delete(n.numbers, sv.number)
-		delete(n.byID, sv.id)
+	if len(sv.conns) == 0 && n.serversByNumber[sv.number] == sv {
+		delete(n.serversByNumber, sv.number)
+		delete(n.serversByID, sv.id)
 		n.servers = slices.DeleteFunc(n.servers, func(o *server) bool { return o == sv })
 	}
 }
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -14,20 +14,20 @@
 )
 
 // take gives the connection for a SETUP, nil where there is none.
-func (n *Node) take(sv *server) *link {
-	var links []*link
+func (n *Node) take(sv *server) *serverConn {
+	var links []*serverConn
 	var list []share.ServerConn
 	for _, l := range sv.conns {
 		if !l.closed && !(l.up && l.isEnding()) {
 			links = append(links, l)
-			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.open), LastUsed: l.used})
+			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.setups), LastUsed: l.lastUsed})
 		}
 	}
-	switch i := share.PickConn(list, n.perServer(), n.start.Streams); i {
+	switch i := share.PickConn(list, n.perServer(), n.config.Streams); i {
 	case share.OpenNew:
 		l := n.dial(sv)
 		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
-			l = slices.MinFunc(links, func(a, b *link) int { return len(a.open) - len(b.open) })
+			l = slices.MinFunc(links, func(a, b *serverConn) int { return len(a.setups) - len(b.setups) })
 		}
 		return l
 	case share.NoConn:
@@ -44,7 +44,7 @@
 			live++
 		}
 	}
-	return share.MaxConnsPerServer(n.start.Sockets, live)
+	return share.MaxConnsPerServer(n.config.Sockets, live)
 }
 
 // links is how many connections to servers there are, and that are being opened.
@@ -57,15 +57,15 @@
 
 // room tells whether one more connection to a server may be opened; where they are many an idle one gives way.
 func (n *Node) room() bool {
-	if n.links() < share.MaxServerConns(n.start.Sockets) {
+	if n.links() < share.MaxServerConns(n.config.Sockets) {
 		return true
 	}
-	var links []*link
+	var links []*serverConn
 	var list []share.ServerConn
 	for _, sv := range n.servers {
 		for _, l := range sv.conns {
-			if l.up && sv.testOn != l && (len(sv.held) == 0 || len(sv.conns) > 1) {
-				links, list = append(links, l), append(list, share.ServerConn{Up: true, Pending: len(l.open), LastUsed: l.used})
+			if l.up && sv.probeConn != l && (len(sv.sessions) == 0 || len(sv.conns) > 1) {
+				links, list = append(links, l), append(list, share.ServerConn{Up: true, Pending: len(l.setups), LastUsed: l.lastUsed})
 			}
 		}
 	}
@@ -78,16 +78,16 @@
 }
 
 // dial opens a connection; nil where no descriptor is left for it.
-func (n *Node) dial(sv *server) *link {
+func (n *Node) dial(sv *server) *serverConn {
 	if !n.room() {
 		return nil
 	}
-	wait := n.start.Connect
+	wait := n.config.Connect
 	if wait <= 0 {
 		wait = limits.Defaults.ConnectTimeout
 	}
 	ctx, stop := context.WithTimeout(n.ctx, time.Duration(wait*float64(time.Second)))
-	l := &link{sv: sv, used: n.now, stop: stop}
+	l := &serverConn{server: sv, lastUsed: n.now, cancelDial: stop}
 	sv.conns = append(sv.conns, l)
 	n.makeRoom()
 	n.wg.Add(1)
@@ -96,17 +96,17 @@
 }
 
 // readServer opens a connection and hands the loop what the server sends, until it ends.
-func (n *Node) readServer(ctx context.Context, l *link, addr string) {
+func (n *Node) readServer(ctx context.Context, l *serverConn, addr string) {
 	defer n.wg.Done()
 	nc, err := n.network.Dial(ctx, addr)
-	l.stop()
+	l.cancelDial()
 	if err != nil {
-		n.tell(event{do: func() { n.notOpened(l, err) }})
+		n.post(event{do: func() { n.notOpened(l, err) }})
 		return
 	}
 	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may be over before it hears of this connection
 	c := newConn(nc, n.log)
-	if !n.tell(event{do: func() { l.conn = c; n.openedServer(l) }}) {
+	if !n.post(event{do: func() { l.conn = c; n.openedServer(l) }}) {
 		c.close()
 		return
 	}
@@ -127,13 +127,13 @@
 				nc.SetReadDeadline(time.Time{})
 			}
 			at := n.clock()
-			if !n.tell(event{do: func() { n.heardServer(l, m, at) }}) {
+			if !n.post(event{do: func() { n.handleServerMessage(l, m, at) }}) {
 				break
 			}
 		}
 	}
 	left := c.close()
-	n.tell(event{do: func() { n.closedServer(l, left, err) }})
+	n.post(event{do: func() { n.closedServer(l, left, err) }})
 }
 
 // errAstray ends a connection on which what follows a message is none.
@@ -142,12 +142,12 @@
 // disown has a server end what a SETUP may have set up there although its answer can't be had: it would stand unasked. A
 // connection is opened for that if there is none.
 func (n *Node) disown(s *session) {
-	n.toServer(s.server, tearDown(s.url, s.id, causeMoved))
+	n.sendToServer(s.server, tearDown(s.url, s.id, causeMoved))
 }
 
 // notOpened takes it that a connection could not be opened: nothing ran.
-func (n *Node) notOpened(l *link, err error) {
-	sv := l.sv
+func (n *Node) notOpened(l *serverConn, err error) {
+	sv := l.server
 	n.drop(l)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	n.log.Debug("no connection", str("server", sv.id), str("why", err.Error()))
@@ -155,98 +155,98 @@
 		n.notOpenedHere(l)
 		return
 	}
-	n.failTest(l, choice.NoConnection)
-	for _, s := range slices.Clone(l.open) {
-		n.setupOver(s, choice.NoConnection, noReport)
+	n.failProbe(l, choice.NoConnection)
+	for _, s := range slices.Clone(l.setups) {
+		n.setupEnded(s, choice.NoConnection, noReport)
 	}
 	// Nothing listens there: the process is dead, and with it what stood there; unless another connection to it is up, as
 	// a server that is full of connections refuses further ones.
-	if refused && !slices.ContainsFunc(sv.conns, func(l *link) bool { return l.up && !l.isEnding() }) {
-		sv.owed = nil
-		if len(sv.held) > 0 {
-			n.lost(sv)
+	if refused && !slices.ContainsFunc(sv.conns, func(l *serverConn) bool { return l.up && !l.isEnding() }) {
+		sv.pendingMessages = nil
+		if len(sv.sessions) > 0 {
+			n.serverLost(sv)
 		}
 	}
 }
 
 // notOpenedHere takes it that the own machine had no connection to give: that speaks against no server, and what waited for
 // it is tried again shortly, a few times within its deadline.
-func (n *Node) notOpenedHere(l *link) {
+func (n *Node) notOpenedHere(l *serverConn) {
 	n.counts["no connection of the own machine"]++
-	n.failTest(l, choice.Unsent)
-	for _, s := range slices.Clone(l.open) {
-		n.unlink(s)
-		if s.local++; s.local > share.MaxLocalRetries {
-			n.setupOver(s, choice.Unsent, noReport)
+	n.failProbe(l, choice.Unsent)
+	for _, s := range slices.Clone(l.setups) {
+		n.detachSetup(s)
+		if s.localRetries++; s.localRetries > share.MaxLocalRetries {
+			n.setupEnded(s, choice.Unsent, noReport)
 			continue
 		}
 		n.after(share.LocalRetryDelay, func() {
-			if n.sessions[s.id] == s && s.state == attempting && s.on == nil {
-				n.carry(s)
+			if n.sessions[s.id] == s && s.state == attempting && s.conn == nil {
+				n.dispatchSetup(s)
 			}
 		})
 	}
 }
 
-func (n *Node) openedServer(l *link) {
+func (n *Node) openedServer(l *serverConn) {
 	if l.closed {
 		l.end()
 		return
 	}
 	// That a connection was taken is no sign of life: the system takes it for a process that hangs.
-	l.up, l.used = true, n.now
-	if l.test {
-		l.test = false
-		n.sendTest(l)
+	l.up, l.lastUsed = true, n.now
+	if l.probePending {
+		l.probePending = false
+		n.sendProbe(l)
 	}
-	owed := l.sv.owed
-	l.sv.owed = nil
+	owed := l.server.pendingMessages
+	l.server.pendingMessages = nil
 	for _, o := range owed {
-		l.sendKept(n.now, o.b)
+		l.sendKept(n.now, o.data)
 	}
-	for _, s := range slices.Clone(l.open) {
+	for _, s := range slices.Clone(l.setups) {
 		n.sendSetup(s, l)
 	}
 }
 
 // drop takes a connection from its server's.
-func (n *Node) drop(l *link) {
+func (n *Node) drop(l *serverConn) {
 	l.closed = true
-	l.sv.conns = slices.DeleteFunc(l.sv.conns, func(o *link) bool { return o == l })
+	l.server.conns = slices.DeleteFunc(l.server.conns, func(o *serverConn) bool { return o == l })
 }
 
 // closedServer takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
 // are sent anew.
-func (n *Node) closedServer(l *link, left int64, err error) {
+func (n *Node) closedServer(l *serverConn, left int64, err error) {
 	if l.closed {
 		return
 	}
 	n.drop(l)
-	n.log.Debug("connection to a server ended", str("server", l.sv.id), str("why", errText(err)), num("open", len(l.open)))
-	n.failTest(l, choice.Reset)
-	for _, s := range slices.Clone(l.open) {
-		if s.from >= 0 && s.from < left {
+	n.log.Debug("connection to a server ended", str("server", l.server.id), str("why", errText(err)), num("open", len(l.setups)))
+	n.failProbe(l, choice.Reset)
+	for _, s := range slices.Clone(l.setups) {
+		if s.setupStart >= 0 && s.setupStart < left {
 			n.disown(s)
-			n.setupOver(s, choice.Reset, noReport)
+			n.setupEnded(s, choice.Reset, noReport)
 			continue
 		}
-		n.unlink(s)
+		n.detachSetup(s)
 		n.guard.Unsent(s.id)
-		s.history.note(n.now, stepResent, "")
-		if s.resent++; s.resent > share.MaxResends {
-			n.setupOver(s, choice.Unsent, noReport)
+		s.history.add(n.now, stepResent, "")
+		if s.resends++; s.resends > share.MaxResends {
+			n.setupEnded(s, choice.Unsent, noReport)
 			continue
 		}
-		n.carry(s)
+		n.dispatchSetup(s)
 	}
 	for _, b := range l.unsure(n.now, left) {
-		n.toServer(l.sv, b)
+		n.sendToServer(l.server, b)
 	}
-	n.settleServer(l.sv)
+	n.removeServerIfGone(l.server)
 }
 
 // retire ends a connection that is of no more use; its other SETUPs end with it.
-func (n *Node) retire(l *link) {
+func (n *Node) retire(l *serverConn) {
 	if l.closed {
 		return
 	}
@@ -254,14 +254,14 @@
 	if l.up {
 		l.end()
 	} else {
-		l.stop()
+		l.cancelDial()
 	}
-	n.failTest(l, choice.Reset)
-	for _, s := range slices.Clone(l.open) {
+	n.failProbe(l, choice.Reset)
+	for _, s := range slices.Clone(l.setups) {
 		o := choice.Reset
-		if !l.up || s.from < 0 {
+		if !l.up || s.setupStart < 0 {
 			o = choice.Unsent
 		}
-		n.setupOver(s, o, noReport)
+		n.setupEnded(s, o, noReport)
 	}
 }
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -14,173 +14,173 @@
 	"rainhaven/internal/wire"
 )
 
-// ask takes a new session to the module. Its deadline counts from when it was read, however long it waited for the loop.
-func (n *Node) ask(v *client, a ask, at float64) {
-	s := &session{ask: a, client: v, rung: n.start.Figures.Groups[a.group].Floor, from: -1}
+// acceptRequest takes a new session to the module. Its deadline counts from when it was read, however long it waited for the loop.
+func (n *Node) acceptRequest(v *client, a ask, at float64) {
+	s := &session{ask: a, client: v, rung: n.config.Figures.Groups[a.group].Floor, setupStart: -1}
 	s.request.SetupTimeout = at + max(a.patience-share.AnswerMargin, 0)
-	n.guard.RequestRead(n.now, s.id, n.start.Figures.Groups[a.group].Paid, at+a.patience)
+	n.guard.RequestRead(n.now, s.id, n.config.Figures.Groups[a.group].Paid, at+a.patience)
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
 	v.Pending++
-	n.open++
+	n.openRequests++
 	n.counts["asked"]++
-	n.complain(s.id)
-	s.history.note(at, stepRead, v.peer())
+	n.reportFalseViolation(s.id)
+	s.history.add(at, stepRead, v.peer())
 	n.log.Debug("asked", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.CellCount), zap.Float64("patience", s.patience))
-	n.feed(wire.Event{Kind: wire.Request, Request: s.request})
+	n.notifyModule(wire.Event{Kind: wire.Request, Request: s.request})
 }
 
-// handed takes a session that stands already. It wants no answer.
-func (n *Node) handed(v *client, a ask) {
+// acceptHandover takes a session that stands already. It wants no answer.
+func (n *Node) acceptHandover(v *client, a ask) {
 	if n.sessions[a.id] != nil {
 		return
 	}
-	sv := n.byID[a.at]
-	if sv == nil || n.early[a.id] || len(n.sessions)-n.open >= share.MaxHandedOver(n.start.MemoryMB) {
-		delete(n.early, a.id)
+	sv := n.serversByID[a.at]
+	if sv == nil || n.unknownReleases[a.id] || len(n.sessions)-n.openRequests >= share.MaxHandedOver(n.config.MemoryMB) {
+		delete(n.unknownReleases, a.id)
 		v.send(tearDown(a.url, a.id, causeCut))
 		return
 	}
 	a.body = nil
-	s := &session{ask: a, client: v, state: established, since: n.now, server: sv, rung: n.start.Figures.Groups[a.group].Floor}
+	s := &session{ask: a, client: v, state: established, establishedAt: n.now, server: sv, rung: n.config.Figures.Groups[a.group].Floor}
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
 	v.Established++
 	v.proven = true
-	s.server.held = append(s.server.held, s)
+	s.server.sessions = append(s.server.sessions, s)
 	n.counts["handed"]++
-	n.feed(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
+	n.notifyModule(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
 }
 
-// carry takes a session's SETUP to a connection. The list may have taken its server from new work since it was chosen.
-func (n *Node) carry(s *session) {
+// dispatchSetup takes a session's SETUP to a connection. The list may have taken its server from new work since it was chosen.
+func (n *Node) dispatchSetup(s *session) {
 	if s.server.state != choice.Ready {
-		n.setupOver(s, choice.Unsent, noReport)
+		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
 	l := n.take(s.server)
 	if l == nil {
-		n.setupOver(s, choice.Unsent, noReport)
+		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
-	s.on, s.from = l, -1
-	l.open = append(l.open, s)
+	s.conn, s.setupStart = l, -1
+	l.setups = append(l.setups, s)
 	if l.up {
 		n.sendSetup(s, l)
 	}
 }
 
-// unlink takes a SETUP off its connection.
-func (n *Node) unlink(s *session) {
-	if s.on != nil {
-		s.on.open = slices.DeleteFunc(s.on.open, func(o *session) bool { return o == s })
-		s.on.used = n.now
-		s.on = nil
+// detachSetup takes a SETUP off its connection.
+func (n *Node) detachSetup(s *session) {
+	if s.conn != nil {
+		s.conn.setups = slices.DeleteFunc(s.conn.setups, func(o *session) bool { return o == s })
+		s.conn.lastUsed = n.now
+		s.conn = nil
 	}
 }
 
-// setupOver ends a SETUP that is out.
-func (n *Node) setupOver(s *session, o choice.Outcome, r choice.LoadReport) {
+// setupEnded ends a SETUP that is out.
+func (n *Node) setupEnded(s *session, o choice.Outcome, r choice.LoadReport) {
 	sv := s.server
-	if s.release != nil { // it has stood, and its end was heard before its answer
+	if s.earlyRelease != nil { // it has stood, and its end was heard before its answer
 		o = choice.EndedUnanswered
 	}
-	n.guard.AttemptEnded(s.id, unrun(o))
-	s.history.note(n.now, stepOutcome, outcomeName(o))
+	n.guard.AttemptEnded(s.id, provesNoEffect(o))
+	s.history.add(n.now, stepOutcome, outcomeName(o))
 	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.EndedUnanswered
 	n.log.Debug("setup over", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
 	n.counts[fmt.Sprintf("outcome %d", o)]++
-	n.unlink(s)
-	n.cancel(s.waiting)
-	s.state, s.server, s.waiting = pending, nil, nil
-	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
-	n.settleServer(sv)
+	n.detachSetup(s)
+	n.cancel(s.setupTimer)
+	s.state, s.server, s.setupTimer = pending, nil, nil
+	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
+	n.removeServerIfGone(sv)
 }
 
-// unsent takes a SETUP back of which nothing has left yet: from the queue, or, where the writer has it and its peer does
+// recallSetup takes a SETUP back of which nothing has left yet: from the queue, or, where the writer has it and its peer does
 // not read, with the whole connection, whose reader tells the loop. False where some of it has left.
-func (n *Node) unsent(s *session) bool {
-	l := s.on
-	if l == nil || !l.up || s.from < 0 {
+func (n *Node) recallSetup(s *session) bool {
+	l := s.conn
+	if l == nil || !l.up || s.setupStart < 0 {
 		return true
 	}
-	if l.recall(s.from, s.to) {
-		for _, o := range l.open {
-			if o.from > s.from {
-				o.from, o.to = o.from-(s.to-s.from), o.to-(s.to-s.from)
+	if l.recall(s.setupStart, s.setupEnd) {
+		for _, o := range l.setups {
+			if o.setupStart > s.setupStart {
+				o.setupStart, o.setupEnd = o.setupStart-(s.setupEnd-s.setupStart), o.setupEnd-(s.setupEnd-s.setupStart)
 			}
 		}
 		return true
 	}
-	return s.from >= l.left() && s.from >= l.close()
+	return s.setupStart >= l.left() && s.setupStart >= l.close()
 }
 
-// withdraw tells a server that a SETUP is given up. Its connection is of no more use where it was silent.
-func (n *Node) withdraw(s *session, silent bool) {
-	l := s.on
+// cancelSetup tells a server that a SETUP is given up. Its connection is of no more use where it was silent.
+func (n *Node) cancelSetup(s *session, silent bool) {
+	l := s.conn
 	l.send(tearDown(s.url, s.id, 0))
-	n.awaitLate(s)
-	if silent && len(l.open) == 1 {
-		n.unlink(s)
+	n.awaitLateAnswer(s)
+	if silent && len(l.setups) == 1 {
+		n.detachSetup(s)
 		n.retire(l)
 	}
 }
 
-// awaitLate remembers a SETUP that is over without an answer: what its server sets up after all is released there.
-func (n *Node) awaitLate(s *session) {
-	if len(n.past) >= mostPast {
+// awaitLateAnswer remembers a SETUP that is over without an answer: what its server sets up after all is released there.
+func (n *Node) awaitLateAnswer(s *session) {
+	if len(n.abandonedSetups) >= maxRemembered {
 		return
 	}
 	id, sv := s.id, s.server
-	n.past[id] = sv
-	n.after(keepPast, func() {
-		if n.past[id] == sv {
-			delete(n.past, id)
+	n.abandonedSetups[id] = sv
+	n.after(rememberSeconds, func() {
+		if n.abandonedSetups[id] == sv {
+			delete(n.abandonedSetups, id)
 		}
 	})
 }
 
-// timedOut ends a SETUP that was waited for long enough.
-func (n *Node) timedOut(s *session) {
-	s.waiting = nil
-	if n.unsent(s) {
+// setupTimedOut ends a SETUP that was waited for long enough.
+func (n *Node) setupTimedOut(s *session) {
+	s.setupTimer = nil
+	if n.recallSetup(s) {
 		o := choice.NoConnection
-		if s.on == nil { // the own machine had none to give
+		if s.conn == nil { // the own machine had none to give
 			o = choice.Unsent
 		}
-		n.setupOver(s, o, noReport)
+		n.setupEnded(s, o, noReport)
 		return
 	}
-	n.withdraw(s, true)
-	n.setupOver(s, choice.TimedOut, noReport)
+	n.cancelSetup(s, true)
+	n.setupEnded(s, choice.TimedOut, noReport)
 }
 
-// giveUp takes it that the client has given up its SETUP: nothing is owed.
-func (n *Node) giveUp(s *session) {
+// cancelRequest takes it that the client has given up its SETUP: nothing is owed.
+func (n *Node) cancelRequest(s *session) {
 	was, sv := s.state, s.server
-	if was == attempting && !n.unsent(s) {
-		n.withdraw(s, false)
+	if was == attempting && !n.recallSetup(s) {
+		n.cancelSetup(s, false)
 	}
-	n.unlink(s)
-	n.sendLater(s, sv)
+	n.detachSetup(s)
+	n.sendAfterCancel(s, sv)
 	n.counts["given up"]++
 	s.history.unusual = s.history.unusual || was == attempting
 	n.guard.Cancelled(s.id)
 	n.log.Debug("given up", str("sess", s.id), zap.Bool("out", was == attempting))
-	n.forget(s)
-	n.feed(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
+	n.removeSession(s)
+	n.notifyModule(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
 	if was == attempting {
-		n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: choice.Cancelled, Final: true, Report: noReport})
-		n.settleServer(sv)
+		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: choice.Cancelled, Final: true, Report: noReport})
+		n.removeServerIfGone(sv)
 	}
 }
 
-// forget takes a session from all tables.
-func (n *Node) forget(s *session) {
+// removeSession takes a session from all tables.
+func (n *Node) removeSession(s *session) {
 	n.logHistory(s, "over")
-	n.cancel(s.waiting)
-	s.waiting = nil
-	n.unlink(s)
+	n.cancel(s.setupTimer)
+	s.setupTimer = nil
+	n.detachSetup(s)
 	n.guard.Dropped(s.id)
 	if v := s.client; v != nil {
 		v.held = slices.DeleteFunc(v.held, func(o *session) bool { return o == s })
@@ -192,58 +192,58 @@
 		v.LastUsed = n.now
 	}
 	if s.state != established {
-		n.open--
+		n.openRequests--
 	} else if s.server != nil {
-		s.server.held = slices.DeleteFunc(s.server.held, func(o *session) bool { return o == s })
+		s.server.sessions = slices.DeleteFunc(s.server.sessions, func(o *session) bool { return o == s })
 	}
 	delete(n.sessions, s.id)
 }
 
-// stands takes a server's good answer and gives it to the client.
-func (n *Node) stands(s *session, m *rtsp.Message) {
-	n.unlink(s)
-	n.cancel(s.waiting)
-	s.waiting, s.state, s.since = nil, established, n.now
-	n.open--
-	s.server.held = append(s.server.held, s)
+// establishSession takes a server's good answer and gives it to the client.
+func (n *Node) establishSession(s *session, m *rtsp.Message) {
+	n.detachSetup(s)
+	n.cancel(s.setupTimer)
+	s.setupTimer, s.state, s.establishedAt = nil, established, n.now
+	n.openRequests--
+	s.server.sessions = append(s.server.sessions, s)
 	n.counts["served"]++
-	n.feed(wire.Event{Kind: wire.Established, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
+	n.notifyModule(wire.Event{Kind: wire.Established, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
 	v := s.client
 	v.Pending--
 	v.Established++
 	v.proven = true
-	if n.guard.Answer(n.now, s.id, invariant.Served) && !n.spoils(SabotageAnswer, s.id) {
-		if n.spoils(SabotageTwice, s.id) {
+	if n.guard.Answer(n.now, s.id, invariant.Served) && !n.sabotages(SabotageAnswer, s.id) {
+		if n.sabotages(SabotageTwice, s.id) {
 			v.send(served(s.id, m.Body))
 		}
-		_, s.answered = v.sendNow(served(s.id, m.Body))
-		s.history.note(n.clock(), stepAnswered, writtenDetail(v, s.answered))
+		_, s.answerEnd = v.sendNow(served(s.id, m.Body))
+		s.history.add(n.clock(), stepAnswered, answerDetail(v, s.answerEnd))
 	}
 	s.body = nil
-	n.log.Debug("served", str("sess", s.id), str("server", s.server.id), str("to", v.peer()), zap.Int64("ends", s.answered))
-	if r := s.release; r != nil {
-		n.ended(s, r.outcome(), r.cause, r.report)
+	n.log.Debug("served", str("sess", s.id), str("server", s.server.id), str("to", v.peer()), zap.Int64("ends", s.answerEnd))
+	if r := s.earlyRelease; r != nil {
+		n.endSession(s, r.outcome(), r.cause, r.report)
 	}
 }
 
-// ended ends a session that stood, and releases its client.
-func (n *Node) ended(s *session, o choice.Outcome, cause int, r choice.LoadReport) {
+// endSession ends a session that stood, and releases its client.
+func (n *Node) endSession(s *session, o choice.Outcome, cause int, r choice.LoadReport) {
 	sv := s.server
 	v := s.client
-	if n.now-s.since < quickRelease {
+	if n.now-s.establishedAt < quickReleaseSeconds {
 		s.history.unusual = true
 	}
 	n.counts[fmt.Sprintf("ended %d", o)]++
-	n.forget(s)
-	n.feed(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
-	if cause != causeMoved && !n.spoils(SabotageRelease, s.id) {
-		n.release(v, tearDown(s.url, s.id, cause))
+	n.removeSession(s)
+	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
+	if cause != causeMoved && !n.sabotages(SabotageRelease, s.id) {
+		n.sendRelease(v, tearDown(s.url, s.id, cause))
 	}
-	n.settleServer(sv)
+	n.removeServerIfGone(sv)
 }
 
-// release sends a client its session's end: on its own connection, else on any that served a session.
-func (n *Node) release(v *client, b []byte) {
+// sendRelease sends a client its session's end: on its own connection, else on any that served a session.
+func (n *Node) sendRelease(v *client, b []byte) {
 	if v != nil && !v.closed && v.sendKept(n.now, b) {
 		return
 	}
@@ -252,98 +252,98 @@
 			return
 		}
 	}
-	if len(n.owed) < mostPast {
-		n.owed = append(n.owed, owed{b, n.now + keepOwed})
+	if len(n.pendingReleases) < maxRemembered {
+		n.pendingReleases = append(n.pendingReleases, pendingMessage{b, n.now + pendingSeconds})
 	}
 }
 
-// pay sends the releases that found no connection before.
-func (n *Node) pay() {
-	list := n.owed
-	n.owed = nil
+// sendPendingReleases sends the releases that found no connection before.
+func (n *Node) sendPendingReleases() {
+	list := n.pendingReleases
+	n.pendingReleases = nil
 	for _, o := range list {
-		if n.now < o.until {
-			had := len(n.owed)
-			n.release(nil, o.b)
-			if len(n.owed) > had {
-				n.owed[had].until = o.until
+		if n.now < o.expiresAt {
+			had := len(n.pendingReleases)
+			n.sendRelease(nil, o.data)
+			if len(n.pendingReleases) > had {
+				n.pendingReleases[had].expiresAt = o.expiresAt
 			}
 		}
 	}
 }
 
-// clientLeft ends a session that stood because its client has, or is gone.
-func (n *Node) clientLeft(s *session) {
-	n.toServer(s.server, tearDown(s.url, s.id, causeMoved))
-	n.feed(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
-	n.ended(s, choice.Cancelled, causeMoved, noReport)
+// endSessionForClient ends a session that stood because its client has, or is gone.
+func (n *Node) endSessionForClient(s *session) {
+	n.sendToServer(s.server, tearDown(s.url, s.id, causeMoved))
+	n.notifyModule(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
+	n.endSession(s, choice.Cancelled, causeMoved, noReport)
 }
 
-// release is a server's release of a session that stood.
-type release struct {
+// serverRelease is a server's serverRelease of a session that stood.
+type serverRelease struct {
 	cause  int
 	report choice.LoadReport
 }
 
-func (r *release) outcome() choice.Outcome {
+func (r *serverRelease) outcome() choice.Outcome {
 	if r.cause == causeOver {
 		return choice.Served
 	}
 	return choice.Cancelled
 }
 
-// releasedUnanswered takes a release for a SETUP that has had no answer. The session is over, so nothing is sent elsewhere. What its server
+// handleReleaseBeforeAnswer takes a release for a SETUP that has had no answer. The session is over, so nothing is sent elsewhere. What its server
 // wrote before on the same connection has been read, so no answer is on its way and the request is refused at once. A
 // release on another connection may have overtaken the answer, which then has a moment to come.
-func (n *Node) releasedUnanswered(l *link, s *session, m *rtsp.Message) {
-	if s.release != nil {
+func (n *Node) handleReleaseBeforeAnswer(l *serverConn, s *session, m *rtsp.Message) {
+	if s.earlyRelease != nil {
 		return
 	}
-	s.release = &release{cause(m), readReport(m)}
+	s.earlyRelease = &serverRelease{cause(m), readReport(m)}
 	s.history.unusual = true
 	n.counts["released before the answer"]++
-	n.cancel(s.waiting)
-	s.waiting = nil
-	if l == s.on {
-		n.departed(s)
+	n.cancel(s.setupTimer)
+	s.setupTimer = nil
+	if l == s.conn {
+		n.endUnanswered(s)
 		return
 	}
 	wait := min(share.OvertakenAnswerWait, s.request.SetupTimeout-n.now)
-	s.waiting = n.after(max(wait, 0), func() {
-		s.waiting = nil
-		n.departed(s)
+	s.setupTimer = n.after(max(wait, 0), func() {
+		s.setupTimer = nil
+		n.endUnanswered(s)
 	})
 }
 
-// departed ends a SETUP whose session has ended at its server. Should an answer follow after all, the server is told.
-func (n *Node) departed(s *session) {
-	n.awaitLate(s)
-	n.setupOver(s, choice.EndedUnanswered, s.release.report)
+// endUnanswered ends a SETUP whose session has ended at its server. Should an answer follow after all, the server is told.
+func (n *Node) endUnanswered(s *session) {
+	n.awaitLateAnswer(s)
+	n.setupEnded(s, choice.EndedUnanswered, s.earlyRelease.report)
 }
 
-// released takes a server's release.
-func (n *Node) released(l *link, s *session, id string, m *rtsp.Message) {
+// handleServerRelease takes a server's release.
+func (n *Node) handleServerRelease(l *serverConn, s *session, id string, m *rtsp.Message) {
 	if s != nil {
-		s.history.note(n.now, stepServerReleased, strconv.Itoa(cause(m)))
+		s.history.add(n.now, stepServerReleased, strconv.Itoa(cause(m)))
 	}
 	switch {
 	case s == nil:
-		if validID(id) && n.sessions[id] == nil && len(n.early) < mostPast {
-			n.early[id] = true
-			n.after(keepPast, func() { delete(n.early, id) })
+		if validID(id) && n.sessions[id] == nil && len(n.unknownReleases) < maxRemembered {
+			n.unknownReleases[id] = true
+			n.after(rememberSeconds, func() { delete(n.unknownReleases, id) })
 		}
 	case s.state == attempting && (cause(m) == causeOver || cause(m) == causeMoved):
-		n.releasedUnanswered(l, s, m)
+		n.handleReleaseBeforeAnswer(l, s, m)
 	case s.state == attempting:
-		n.setupOver(s, choice.Reset, readReport(m))
+		n.setupEnded(s, choice.Reset, readReport(m))
 	case s.state == established:
 		switch c := cause(m); c {
 		case causeOver:
-			n.ended(s, choice.Served, c, readReport(m))
+			n.endSession(s, choice.Served, c, readReport(m))
 		case causeMoved:
-			n.ended(s, choice.Cancelled, c, readReport(m))
+			n.endSession(s, choice.Cancelled, c, readReport(m))
 		default:
-			n.ended(s, choice.Reset, causeCut, readReport(m))
+			n.endSession(s, choice.Reset, causeCut, readReport(m))
 		}
 	}
 }
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -28,15 +28,15 @@
 		return
 	}
 	line, header, _ := bytes.Cut(b, []byte("\r\n"))
-	c.log.Debug("sent", str("to", c.peer()), zap.ByteString("message", line), str("session", sessionOf(header)),
+	c.log.Debug("sent", str("to", c.peer()), zap.ByteString("message", line), str("session", sessionIDIn(header)),
 		zap.Int64("begins", begins), zap.Int64("ends", ends), zap.Bool("written", written))
 }
 
 // peer names the other end in logs.
 func (c *conn) peer() string { return c.nc.RemoteAddr().String() }
 
-// sessionOf finds the session id among a message's header lines.
-func sessionOf(header []byte) string {
+// sessionIDIn finds the session id among a message's header lines.
+func sessionIDIn(header []byte) string {
 	for line := range bytes.Lines(header) {
 		if value, ok := bytes.CutPrefix(line, []byte("Session: ")); ok {
 			return string(bytes.TrimSpace(value))
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// sabotaged is one of how many requests a sabotage of single requests spoils.
-	sabotaged = 10
-	// startDelay is how long a sabotaged start takes.
-	startDelay = 40 * time.Second
-	// afterCancel is how long after a client has gone a sabotaged attempt begins, in seconds.
-	afterCancel = 0.3
-	// shortWait is how long a sabotaged attempt is waited for, in seconds: most are then repeated.
-	shortWait = 0.005
-	// longerDeadline is what is added to the deadlines that servers are told, in seconds.
-	longerDeadline = 1.0
-	// listDelay is how late a sabotaged node takes what the coordinator tells, in seconds.
-	listDelay = 7.0
+	// sabotageEvery is one of how many requests a sabotage of single requests spoils.
+	sabotageEvery = 10
+	// sabotagedStartDelay is how long a sabotaged start takes.
+	sabotagedStartDelay = 40 * time.Second
+	// sendAfterCancelSeconds is how long after a client has gone a sabotaged attempt begins, in seconds.
+	sendAfterCancelSeconds = 0.3
+	// shortWaitSeconds is how long a sabotaged attempt is waited for, in seconds: most are then repeated.
+	shortWaitSeconds = 0.005
+	// extraDeadlineSeconds is what is added to the deadlines that servers are told, in seconds.
+	extraDeadlineSeconds = 1.0
+	// listDelaySeconds is how late a sabotaged node takes what the coordinator tells, in seconds.
+	listDelaySeconds = 7.0
 	// extraDescriptors is how many descriptors a sabotaged node holds beyond its limit.
 	extraDescriptors = 20
 )
 
-// held are the descriptors that a sabotaged process holds to its end.
-var held []*os.File
+// heldFiles are the descriptors that a sabotaged process holds to its end.
+var heldFiles []*os.File
 
 // Trials is how a node departs from the usual in trials.
 type Trials struct {
@@ -41,8 +41,8 @@
 
 func (t Trials) wallOffset() time.Duration { return t.WallOffset }
 
-// prepare spoils what a node starts with.
-func (t Trials) prepare(f *start.Start) {
+// alterConfig spoils what a node starts with.
+func (t Trials) alterConfig(f *start.Start) {
 	s := t.Sabotage
 	switch s {
 	case SabotageSlowStart:
@@ -50,11 +50,11 @@
 	case SabotageBudget:
 		f.Figures.RetryWindow = 0
 	case SabotageReady:
-		time.Sleep(startDelay)
+		time.Sleep(sabotagedStartDelay)
 	case SabotageDescriptors:
 		for range f.Sockets + extraDescriptors {
 			if file, err := os.Open(os.DevNull); err == nil {
-				held = append(held, file)
+				heldFiles = append(heldFiles, file)
 			}
 		}
 	}
@@ -70,60 +70,60 @@
 	}
 }
 
-// spoils tells whether this sabotage is in force for a session.
-func (n *Node) spoils(s Sabotage, id string) bool {
-	return n.trials.Sabotage == s && int(id[len(id)-1])%sabotaged == 0
+// sabotages tells whether this sabotage is in force for a session.
+func (n *Node) sabotages(s Sabotage, id string) bool {
+	return n.trials.Sabotage == s && int(id[len(id)-1])%sabotageEvery == 0
 }
 
-// whenTaken does something as late as a sabotaged list is taken, or at once.
-func (n *Node) whenTaken(do func()) {
+// afterListDelay does something as late as a sabotaged list is taken, or at once.
+func (n *Node) afterListDelay(do func()) {
 	if n.trials.Sabotage == SabotageList {
-		n.after(listDelay, do)
+		n.after(listDelaySeconds, do)
 		return
 	}
 	do()
 }
 
-// complain has the guard report something for a request.
-func (n *Node) complain(id string) {
-	if n.spoils(SabotageGuard, id) {
-		n.violated(invariant.Violation{Reason: invariant.AnswerMissing, Request: id, Detail: "sabotaged"})
+// reportFalseViolation has the guard report something for a request.
+func (n *Node) reportFalseViolation(id string) {
+	if n.sabotages(SabotageGuard, id) {
+		n.logViolation(invariant.Violation{Reason: invariant.AnswerMissing, Request: id, Detail: "sabotaged"})
 	}
 }
 
-// entry spoils an entry of the list.
-func (t Trials) entry(l choice.Listing) choice.Listing {
+// alterListing spoils an alterListing of the list.
+func (t Trials) alterListing(l choice.Listing) choice.Listing {
 	if t.Sabotage == SabotageDrain && l.State == choice.Draining {
 		l.State = choice.Ready
 	}
 	return l
 }
 
-// wait spoils how long an attempt is waited for.
-func (t Trials) wait(seconds float64) float64 {
+// alterWait spoils how long an attempt is waited for.
+func (t Trials) alterWait(seconds float64) float64 {
 	if t.Sabotage == SabotageBudget {
-		return min(seconds, shortWait)
+		return min(seconds, shortWaitSeconds)
 	}
 	return seconds
 }
 
-// told spoils the deadline that a server is told.
-func (t Trials) told(seconds float64) float64 {
+// alterDeadline spoils the deadline that a server is alterDeadline.
+func (t Trials) alterDeadline(seconds float64) float64 {
 	if t.Sabotage == SabotageDeadline {
-		seconds += longerDeadline
+		seconds += extraDeadlineSeconds
 	}
 	return seconds
 }
 
-// deaf tells whether signals to end are not heeded.
-func (t Trials) deaf() bool { return t.Sabotage == SabotageExit }
+// ignoresTermination tells whether signals to end are not heeded.
+func (t Trials) ignoresTermination() bool { return t.Sabotage == SabotageExit }
 
-// hasty tells whether connections are closed without hearing from their readers.
-func (t Trials) hasty() bool { return t.Sabotage == SabotageClose }
+// closesWithoutReader tells whether connections are closed without hearing from their readers.
+func (t Trials) closesWithoutReader() bool { return t.Sabotage == SabotageClose }
 
-// copyElsewhere sends a SETUP to a second server as well.
-func (n *Node) copyElsewhere(s *session) {
-	paid := n.start.Figures.Groups[s.group].Paid
+// duplicateSetup sends a SETUP to a second server as well.
+func (n *Node) duplicateSetup(s *session) {
+	paid := n.config.Figures.Groups[s.group].Paid
 	sabotage := n.trials.Sabotage
 	if sabotage == SabotageRepeat && !paid || sabotage == SabotageOverlap && paid || sabotage != SabotageRepeat && sabotage != SabotageOverlap {
 		return
@@ -132,7 +132,7 @@
 		if sv != s.server && sv.state == choice.Ready {
 			for _, l := range sv.conns {
 				if l.up {
-					l.send(setup(s, s.until-n.now))
+					l.send(setup(s, s.setupDeadline-n.now))
 					return
 				}
 			}
@@ -140,10 +140,10 @@
 	}
 }
 
-// sendLater sends a SETUP whose client has gone.
-func (n *Node) sendLater(s *session, sv *server) {
+// sendAfterCancel sends a SETUP whose client has gone.
+func (n *Node) sendAfterCancel(s *session, sv *server) {
 	if n.trials.Sabotage != SabotageCancel || sv == nil {
 		return
 	}
-	n.after(afterCancel, func() { n.say(sv, setup(s, 1)) })
+	n.after(sendAfterCancelSeconds, func() { n.trySendToServer(sv, setup(s, 1)) })
 }
--- a/internal/node/trials_off.go
+++ b/internal/node/trials_off.go
@@ -12,15 +12,15 @@
 // Trials is how a node departs from the usual in trials: not at all, as this program was built without them.
 type Trials struct{}
 
-func (Trials) wallOffset() time.Duration             { return 0 }
-func (Trials) prepare(*start.Start)                  {}
-func (Trials) entry(l choice.Listing) choice.Listing { return l }
-func (Trials) wait(seconds float64) float64          { return seconds }
-func (Trials) told(seconds float64) float64          { return seconds }
-func (Trials) deaf() bool                            { return false }
-func (Trials) hasty() bool                           { return false }
-func (n *Node) spoils(Sabotage, string) bool         { return false }
-func (n *Node) whenTaken(do func())                  { do() }
-func (n *Node) complain(string)                      {}
-func (n *Node) copyElsewhere(*session)               {}
-func (n *Node) sendLater(*session, *server)          {}
+func (Trials) wallOffset() time.Duration                    { return 0 }
+func (Trials) alterConfig(*start.Start)                     {}
+func (Trials) alterListing(l choice.Listing) choice.Listing { return l }
+func (Trials) alterWait(seconds float64) float64            { return seconds }
+func (Trials) alterDeadline(seconds float64) float64        { return seconds }
+func (Trials) ignoresTermination() bool                     { return false }
+func (Trials) closesWithoutReader() bool                    { return false }
+func (n *Node) sabotages(Sabotage, string) bool             { return false }
+func (n *Node) afterListDelay(do func())                    { do() }
+func (n *Node) reportFalseViolation(string)                 {}
+func (n *Node) duplicateSetup(*session)                     {}
+func (n *Node) sendAfterCancel(*session, *server)           {}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -35,20 +35,20 @@
 	ctx, stop := context.WithCancel(n.ctx)
 	w := &watch{addr: addr, stop: stop}
 	n.watches = append(n.watches, w)
-	last := n.index
+	last := n.lastIndex
 	told := false
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		feed.Follow(ctx, addr, last, n.start.Figures.Seed, func() {
+		feed.Follow(ctx, addr, last, n.config.Figures.Seed, func() {
 			if !told {
-				told = n.tell(event{do: func() { n.coordinatorSpoke(w) }})
+				told = n.post(event{do: func() { n.coordinatorSpoke(w) }})
 			}
 		}, func(e feed.Event) bool {
-			return n.tell(event{do: func() {
-				n.whenTaken(func() {
-					if e.Index > n.index { // another coordinator, or this one before, has told it
-						n.listed(e)
+			return n.post(event{do: func() {
+				n.afterListDelay(func() {
+					if e.Index > n.lastIndex { // another coordinator, or this one before, has told it
+						n.updateServers(e)
 					}
 				})
 			}})
