--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -62,11 +62,11 @@
 // acceptClients takes clients' connections until the listener is closed.
 func (n *Node) acceptClients(l net.Listener) {
 	defer n.wg.Done()
-	defer close(n.accepting)
-	for !n.places.isClosed() {
-		if n.places.isFull() { // those that give way free some
-			n.tell(event{do: n.enforceClientLimit})
-			n.places.awaitFree()
+	defer close(n.acceptDone)
+	for !n.clientSlots.isClosed() {
+		if n.clientSlots.isFull() { // those that give way free some
+			n.post(event{do: n.enforceClientLimit})
+			n.clientSlots.awaitFree()
 			continue
 		}
 		nc, err := l.Accept()
@@ -74,13 +74,13 @@
 			return
 		}
 		if err != nil { // descriptors are short
-			n.tell(event{do: n.enforceClientLimit})
-			n.places.awaitFree()
+			n.post(event{do: n.enforceClientLimit})
+			n.clientSlots.awaitFree()
 			continue
 		}
-		n.places.inUse.Add(1)
+		n.clientSlots.inUse.Add(1)
 		v := &client{conn: newConn(nc, n.log), readControl: newReadControl(nc)}
-		if !n.tell(event{do: func() { n.clientOpened(v) }}) {
+		if !n.post(event{do: func() { n.clientOpened(v) }}) {
 			v.close()
 			return
 		}
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -19,7 +19,7 @@
 	}
 	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.EvictionRank(n.now)))
 	v.pendingClose = why
-	if n.trials.hasty() {
+	if n.trials.closesWithoutReader() {
 		v.closeOnceFlushed()
 		return
 	}
@@ -30,7 +30,7 @@
 func (n *Node) handleReaderStopped(v *client, partial bool) {
 	switch {
 	case v.closed:
-	case n.over:
+	case n.exiting:
 		v.readerStopped = true
 	case v.Pending == 0:
 		v.readerStopped = true
