--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -26,10 +26,10 @@
 		"boxes": f.Boxes, "boxes that may get sessions": f.Usable, "health": health.Evaluate(f)}
 }
 
-func (c controlled) Sessions(most int) any { return c.d.front.List(most) }
+func (c controlled) Sessions(most int) any { return c.d.front.ListSessions(most) }
 
 func (c controlled) Boxes() any {
-	m, _ := c.d.front.Memory()
+	m, _ := c.d.front.Snapshot()
 	now := now()
 	var list []any
 	for _, s := range m.Servers {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -180,7 +180,7 @@
 			return lifecycle.ExitStateFolder, err
 		}
 	} else if t.State != "" {
-		if o.Memory, err = d.recall(t); err != nil {
+		if o.Snapshot, err = d.recall(t); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
 	}
@@ -235,7 +235,7 @@
 			d.front = nil
 			return fail(lifecycle.ExitFailed, fmt.Errorf("taking over: %w", err))
 		}
-		d.front.Recall(m)
+		d.front.Restore(m)
 		if d.store, _, _, _, err = d.folder.Load(); err != nil {
 			d.saved.Store(&saved{at: time.Now(), broken: err.Error()}) // it serves all the same
 		} else {
@@ -356,7 +356,7 @@
 			return
 		case <-t.C:
 		}
-		if m, ok := d.front.Memory(); ok {
+		if m, ok := d.front.Snapshot(); ok {
 			d.write(restore.Snapshot{SavedAt: now(), Memory: m})
 		}
 	}
@@ -393,7 +393,7 @@
 		t, err := d.Read()
 		if err != nil {
 			refused = err.Error()
-		} else if plan, err := d.front.Renew(t); err != nil {
+		} else if plan, err := d.front.Reload(t); err != nil {
 			refused = err.Error()
 		} else {
 			if refused = strings.Join(plan.Rejections, "; "); refused == "" {
@@ -427,7 +427,7 @@
 	d.Log.Info("stopping", zap.Int("sessions", d.front.Sessions()))
 	d.work.Go(func() {
 		d.front.Close()
-		d.write(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.Last()})
+		d.write(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.FinalSnapshot()})
 		d.post(func() {
 			d.ended = true
 			d.life.SessionsEnded()
@@ -484,7 +484,7 @@
 const loopTime = 500 * time.Millisecond
 
 func (d *daemon) facts() health.Facts {
-	h := d.front.Facts(loopTime)
+	h := d.front.HealthFacts(loopTime)
 	if s := d.said.Load(); s != nil {
 		h.State, h.Serving, h.ReloadError = s.state.String(), s.state == lifecycle.Serving, s.refused
 	}
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -101,7 +101,7 @@
 		return err
 	}
 	c.SetDeadline(time.Now().Add(switchTime))
-	m, ok := d.front.Halt()
+	m, ok := d.front.Freeze()
 	if !ok {
 		return errors.New("the front has ended")
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -56,12 +56,12 @@
 
 // Options are what a front is handed beside its terms. The zero value is a front in service.
 type Options struct {
-	Log      *zap.Logger
-	Registry prometheus.Registerer
-	Dial     func(ctx context.Context, address string) (net.Conn, error)
-	Memory   *choice.Snapshot                      // what an earlier front had learned, as far as it is believed
-	Handed   []Handed                              // sessions that an earlier front gave up
-	Spoil    func(session.Actions) session.Actions // for days that must fail: orders go through it
+	Log         *zap.Logger
+	Registry    prometheus.Registerer
+	Dial        func(ctx context.Context, address string) (net.Conn, error)
+	Snapshot    *choice.Snapshot                      // what an earlier front had learned, as far as it is believed
+	Handover    []HandoverSession                     // sessions that an earlier front gave up
+	WrapActions func(session.Actions) session.Actions // for days that must fail: orders go through it
 }
 
 // Front is one front. Make it with New, run it with Serve.
@@ -145,18 +145,18 @@
 	terms.Users = nil // the gate has what it needs of them
 	f.current.Store(&terms)
 	var orders session.Actions = carrier{f}
-	if o.Spoil != nil {
-		orders = o.Spoil(orders)
+	if o.WrapActions != nil {
+		orders = o.WrapActions(orders)
 	}
 	f.table = session.New(f.now(), terms.Figures, f.bounds(), orders)
 	f.ear = delivery.New(terms.Figures.NoteInterval)
 	f.described, f.wait = describe.New(terms.Figures.Cells), map[string][]waiter{}
 	f.keeper = pool.New(terms.Bounds.BoxConnections)
 	f.boxes(true, terms.Boxes)
-	if o.Memory != nil {
-		f.table.Restore(*o.Memory)
+	if o.Snapshot != nil {
+		f.table.Restore(*o.Snapshot)
 	}
-	for _, h := range o.Handed {
+	for _, h := range o.Handover {
 		f.adopt(h)
 	}
 	f.work.Add(1)
@@ -302,8 +302,8 @@
 	f.count.sessions.Set(float64(len(f.sess)))
 }
 
-// Boxes takes the list of boxes, whole or changed entries only.
-func (f *Front) Boxes(whole bool, list []settings.Box) {
+// UpdateBoxes takes the list of boxes, whole or changed entries only.
+func (f *Front) UpdateBoxes(whole bool, list []settings.Box) {
 	list = slices.Clone(list)
 	f.post(func() { f.boxes(whole, list) })
 }
@@ -467,21 +467,21 @@
 	return n
 }
 
-// Memory is what the front has learned; ok is false where it has ended.
-func (f *Front) Memory() (m choice.Snapshot, ok bool) {
+// Snapshot is what the front has learned; ok is false where it has ended.
+func (f *Front) Snapshot() (m choice.Snapshot, ok bool) {
 	ok = f.call(func() { m = f.table.Snapshot() })
 	return m, ok
 }
 
-// Last is what a front had learned when it was closed. Nothing but ends of sessions went to any box after it.
-func (f *Front) Last() choice.Snapshot {
+// FinalSnapshot is what a front had learned when it was closed. Nothing but ends of sessions went to any box after it.
+func (f *Front) FinalSnapshot() choice.Snapshot {
 	<-f.done
 	return f.last
 }
 
-// Halt closes the listeners and has no SETUP ordered any more; sessions go on. It gives what the front has learned, for
+// Freeze closes the listeners and has no SETUP ordered any more; sessions go on. It gives what the front has learned, for
 // the process that takes its place on sockets of its own. ok is false where the front has ended.
-func (f *Front) Halt() (m choice.Snapshot, ok bool) {
+func (f *Front) Freeze() (m choice.Snapshot, ok bool) {
 	f.mu.Lock()
 	f.halted = true
 	for _, l := range f.takes {
@@ -493,14 +493,14 @@
 	return m, ok
 }
 
-// Resume takes requests again after Halt. Listeners have to be served anew.
+// Resume takes SETUPs again after Freeze. Listeners must be passed to Serve again.
 func (f *Front) Resume() { f.post(func() { f.table.Resume() }) }
 
-// Recall takes a memory before the front is served.
-func (f *Front) Recall(m choice.Snapshot) { f.call(func() { f.table.Restore(m) }) }
+// Restore takes a memory before the front is served.
+func (f *Front) Restore(m choice.Snapshot) { f.call(func() { f.table.Restore(m) }) }
 
-// Facts gathers what choice/health judges of a front; its loop has so long to answer.
-func (f *Front) Facts(within time.Duration) (h health.Facts) {
+// HealthFacts gathers what choice/health judges of a front; its loop has so long to answer.
+func (f *Front) HealthFacts(within time.Duration) (h health.Facts) {
 	t := f.terms()
 	h.MaxSessions, h.StateAge = t.Bounds.Sessions, -1
 	got := make(chan health.Facts, 1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -352,7 +352,7 @@
 		}
 	}
 	b.wit.Told("front-0", on+1, false, b.now())
-	b.Boxes(true, b.terms.Boxes[1-on:2-on])
+	b.UpdateBoxes(true, b.terms.Boxes[1-on:2-on])
 	for range 10 {
 		if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil {
 			t.Fatal(seen, err)
@@ -467,9 +467,9 @@
 		t.Fatalf("handed over: %+v", list)
 	}
 	forged := list[0]
-	forged.ID, forged.Session = "forged", "no such session"
+	forged.ID, forged.BoxSession = "forged", "no such session"
 	sent := make(chan struct{}) // the viewer is quicker than the way to the box
-	next, err := front.New(b.terms, front.Options{Handed: append(list, forged), Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	next, err := front.New(b.terms, front.Options{Handover: append(list, forged), Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		<-sent
 		return net.Dial("tcp", address)
 	}})
--- a/internal/front/handed.go
+++ b/internal/front/handover.go
@@ -11,28 +11,28 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Handed is a session that plays at a box and goes from one front to the next. Its viewer claims it by the id that it
+// HandoverSession is a session that plays at a box and goes from one front to the next. Its viewer claims it by the id that it
 // knows, with a request over a new connection.
-type Handed struct {
-	ID       choice.SessID
-	Group    string
-	Title    string
-	Query    string
-	BestRung int
-	Rung     int
-	Box      choice.ServerID
-	Session  string // the box's name for it
-	Tracks   []HandedTrack
+type HandoverSession struct {
+	ID         choice.SessID
+	Group      string
+	Title      string
+	Query      string
+	BestRung   int
+	Rung       int
+	Box        choice.ServerID
+	BoxSession string // the box's name for it
+	Tracks     []HandoverTrack
 }
 
-// HandedTrack is one of its tracks: the viewer's channels and the box's first one.
-type HandedTrack struct {
-	Number         int
-	Low, High, Box byte
+// HandoverTrack is one of its tracks: the viewer's channels and the box's first one.
+type HandoverTrack struct {
+	Number                              int
+	RTPChannel, RTCPChannel, BoxChannel byte
 }
 
 // HandOver ends the front and gives up its playing sessions, which stay at their boxes; others are ended as by Close.
-func (f *Front) HandOver() (list []Handed) {
+func (f *Front) HandOver() (list []HandoverSession) {
 	f.call(func() {
 		for _, id := range slices.Sorted(maps.Keys(f.atBox)) {
 			c := f.atBox[id]
@@ -40,10 +40,10 @@
 			if !x.plays || c.session == "" {
 				continue
 			}
-			h := Handed{ID: id, Group: f.terms().Groups[x.group].Name, Title: x.place.Title, Query: x.place.Query, BestRung: x.best,
-				Rung: c.rung, Box: c.box, Session: c.session}
+			h := HandoverSession{ID: id, Group: f.terms().Groups[x.group].Name, Title: x.place.Title, Query: x.place.Query, BestRung: x.best,
+				Rung: c.rung, Box: c.box, BoxSession: c.session}
 			for _, t := range x.tracks {
-				h.Tracks = append(h.Tracks, HandedTrack{t.n, t.low, t.high, t.box})
+				h.Tracks = append(h.Tracks, HandoverTrack{t.n, t.low, t.high, t.box})
 			}
 			list = append(list, h)
 			delete(f.atBox, id)
@@ -60,7 +60,7 @@
 }
 
 // adopt takes over a session before the loop runs. The box is asked whether it knows it; what it does not know ends.
-func (f *Front) adopt(h Handed) {
+func (f *Front) adopt(h HandoverSession) {
 	g := f.terms().GroupIndex(h.Group)
 	title, known := f.terms().Titles[h.Title]
 	if g < 0 || !known || len(h.Tracks) == 0 || f.sess[h.ID] != nil {
@@ -69,7 +69,7 @@
 	x := &sess{id: h.ID, group: g, best: h.BestRung, place: rtsp.Place{Group: h.Group, Title: h.Title, Track: -1, Query: h.Query},
 		try: 1, asks: map[int]*slot{}, adopting: true}
 	for _, t := range h.Tracks {
-		x.tracks = append(x.tracks, track{t.Number, t.Low, t.High, t.Box})
+		x.tracks = append(x.tracks, track{t.Number, t.RTPChannel, t.RTCPChannel, t.BoxChannel})
 	}
 	f.sess[x.id] = x
 	f.table.Adopt(x.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
@@ -86,10 +86,10 @@
 			f.table.BoxFailed(x.id, 1)
 			return
 		}
-		c.sess, c.try, c.session, c.rung = x, 1, h.Session, h.Rung
+		c.sess, c.try, c.session, c.rung = x, 1, h.BoxSession, h.Rung
 		c.stream.Store(x.stream)
 		f.atBox[x.id] = c
-		c.send(rtsp.Request(rtsp.GetParameter, c.url(x, -1)).With("Session", h.Session), func(m *rtsp.Message) {
+		c.send(rtsp.Request(rtsp.GetParameter, c.url(x, -1)).With("Session", h.BoxSession), func(m *rtsp.Message) {
 			if m != nil {
 				f.table.OpAnswered(x.id, 1, session.KeepAlive, 0, m.Status, report(m))
 			}
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -7,8 +7,8 @@
 	"rainhaven/choice"
 )
 
-// Listed is one session, for people.
-type Listed struct {
+// SessionInfo is one session, for people.
+type SessionInfo struct {
 	ID      string  `json:"id"`
 	Group   string  `json:"group"`
 	Title   string  `json:"title"`
@@ -18,8 +18,8 @@
 	Seconds float64 `json:"seconds"` // since it was asked for
 }
 
-// List gives sessions by their ids, so many at most.
-func (f *Front) List(most int) (list []Listed) {
+// ListSessions gives sessions by their ids, so many at most.
+func (f *Front) ListSessions(most int) (list []SessionInfo) {
 	f.call(func() {
 		t := f.terms()
 		for _, id := range slices.Sorted(maps.Keys(f.sess)) {
@@ -27,7 +27,7 @@
 				return
 			}
 			x := f.sess[id]
-			l := Listed{ID: string(id), Group: t.Groups[x.group].Name, Title: x.place.Title, Playing: x.plays, Seconds: f.now() - x.asked}
+			l := SessionInfo{ID: string(id), Group: t.Groups[x.group].Name, Title: x.place.Title, Playing: x.plays, Seconds: f.now() - x.asked}
 			if c := f.atBox[id]; c != nil {
 				l.Box, l.Rung = uint32(c.box), c.rung
 			}
--- a/internal/front/renew.go
+++ b/internal/front/reload.go
@@ -16,13 +16,13 @@
 	"rainhaven/internal/settings"
 )
 
-// ErrOver is that of a front that has ended.
-var ErrOver = errors.New("the front has ended")
+// ErrClosed is that of a front that has ended.
+var ErrClosed = errors.New("the front has ended")
 
-// Renew has new terms take hold in service, all of them or none; the plan says which and why. Sessions go on.
-func (f *Front) Renew(t settings.Terms) (plan reload.Plan, err error) {
+// Reload has new terms take hold in service, all of them or none; the plan says which and why. Sessions go on.
+func (f *Front) Reload(t settings.Terms) (plan reload.Plan, err error) {
 	if !f.call(func() { plan = f.renew(t) }) {
-		return plan, ErrOver
+		return plan, ErrClosed
 	}
 	return plan, nil
 }
--- a/internal/front/renew_test.go
+++ b/internal/front/reload_test.go
@@ -57,13 +57,13 @@
 	terms.Groups = slices.Clone(terms.Groups)
 	slices.Reverse(terms.Groups)
 	terms.Bounds.Sessions = 500
-	plan, err := b.Renew(terms)
+	plan, err := b.Reload(terms)
 	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
 	wrong := terms
 	wrong.Listen, wrong.Bounds.Sessions = "127.0.0.1:1", 1
-	if plan, err := b.Renew(wrong); err != nil || len(plan.Rejections) != 1 {
+	if plan, err := b.Reload(wrong); err != nil || len(plan.Rejections) != 1 {
 		t.Errorf("another port: %+v %v", plan, err)
 	}
 	for _, x := range b.boxes {
@@ -95,7 +95,7 @@
 	terms := b.terms
 	terms.Boxes = slices.Clone(terms.Boxes[:1])
 	terms.Titles = map[string]settings.Title{"vents": {Span: 2}, "fans": {Span: 2}}
-	plan, err := b.Renew(terms)
+	plan, err := b.Reload(terms)
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
@@ -112,7 +112,7 @@
 	}
 	b.rules()
 	b.Close()
-	if _, err := b.Renew(b.terms); err != front.ErrOver {
+	if _, err := b.Reload(b.terms); err != front.ErrClosed {
 		t.Errorf("a front that has ended: %v", err)
 	}
 }
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -167,12 +167,12 @@
 	}
 	zone := terms.Figures.Zone
 	r.spoil.terms(&terms)
-	o := front.Options{Log: r.log, Spoil: r.spoil.orders(r),
+	o := front.Options{Log: r.log, WrapActions: r.spoil.orders(r),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if kept, ok := r.kept[i]; ok {
 		x := terms.Figures
 		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
-		o.Memory = &m
+		o.Snapshot = &m
 	} else {
 		r.wit.FrontStarted(terms.Name, r.now())
 	}
@@ -502,7 +502,7 @@
 	p.reloads++ // the script's own goroutine alone
 	terms.Figures.MaxRetryAfter += float64(p.reloads%2) / 2
 	terms.Bounds.Sessions += p.reloads % 2
-	plan, err := p.f.Renew(terms)
+	plan, err := p.f.Reload(terms)
 	if err != nil || len(plan.Rejections) > 0 {
 		r.log.Info("a reload was not taken", zap.Strings("why", plan.Rejections), zap.Error(err))
 	}
@@ -510,7 +510,7 @@
 	r.mu.Lock()
 	list := slices.Clone(r.list)
 	r.mu.Unlock()
-	p.f.Boxes(true, list)
+	p.f.UpdateBoxes(true, list)
 }
 
 func (r *run) kill(i int) {
@@ -518,7 +518,7 @@
 	p := r.fronts[i]
 	r.mu.Unlock()
 	if r.o.Remember {
-		if m, ok := p.f.Memory(); ok {
+		if m, ok := p.f.Snapshot(); ok {
 			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
 		}
 	}
@@ -553,7 +553,7 @@
 			r.mu.Lock()
 			p := r.fronts[i]
 			r.mu.Unlock()
-			p.f.Boxes(false, []settings.Box{e})
+			p.f.UpdateBoxes(false, []settings.Box{e})
 			// Stamped once the loop has taken it, or the front would be given less than its grace.
 			p.f.Sessions()
 			r.wit.Told(frontName(i), int(e.ID), e.State == choice.Ready, r.now())
