--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,12 +1,13 @@
-// Package control lets people ask one running front, by gRPC over a unix socket in its instance's folder. Messages are
-// google.protobuf.Struct both ways, so that any gRPC client can speak to it without a definition of its own:
+// Package control implements the operators' interface of a running front: gRPC over a unix socket in its instance's
+// folder. Requests and responses are google.protobuf.Struct, so that any gRPC client works without a service definition:
 //
-//	rainhaven.Control/Status    the process and its health
-//	rainhaven.Control/Sessions  {} or {"most": n}: sessions, by id
+//	rainhaven.Control/Status    process state and health
+//	rainhaven.Control/Sessions  {} or {"most": n}: sessions, ordered by id, n at most
 //	rainhaven.Control/Boxes     what the front knows of each box
-//	rainhaven.Control/Explain   {"session": id}: why it got its box and rung, or was turned away; without, the last one
-//	                            that was
-//	rainhaven.Control/Drain, rainhaven.Control/Reload
+//	rainhaven.Control/Explain   {"session": id}: why the session got its box and rung, or was turned away; {}: the same
+//	                            for the latest session that was turned away
+//	rainhaven.Control/Drain     starts a drain
+//	rainhaven.Control/Reload    reloads the settings
 package control
 
 import (
@@ -25,28 +26,28 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Service is what a front answers with: values that JSON can say.
+// Service is implemented by a front. The values it returns must be encodable as JSON objects or lists.
 type Service interface {
 	Status() any
-	Sessions(most int) any
+	Sessions(maxCount int) any
 	Boxes() any
 	Explain(session string) ([]string, error)
 	Drain()
 	Reload()
 }
 
-// mostSessions is how many sessions one answer holds at most; a message of gRPC's may have 4 MB.
-const mostSessions = 5000
+// maxSessions limits the sessions in one response, as a gRPC message may have 4 MB.
+const maxSessions = 5000
 
-// methods are those of the service.
+// methods maps each method name of the gRPC service to its handler.
 var methods = map[string]func(s Service, in map[string]any) (any, error){
 	"Status": func(s Service, _ map[string]any) (any, error) { return s.Status(), nil },
 	"Sessions": func(s Service, in map[string]any) (any, error) {
-		most := mostSessions
-		if n, ok := in["most"].(float64); ok && n >= 0 && n < mostSessions {
-			most = int(n)
+		count := maxSessions
+		if n, ok := in["most"].(float64); ok && n >= 0 && n < maxSessions {
+			count = int(n)
 		}
-		return map[string]any{"sessions": s.Sessions(most)}, nil
+		return map[string]any{"sessions": s.Sessions(count)}, nil
 	},
 	"Boxes": func(s Service, _ map[string]any) (any, error) { return map[string]any{"boxes": s.Boxes()}, nil },
 	"Explain": func(s Service, in map[string]any) (any, error) {
@@ -58,27 +59,27 @@
 	"Reload": func(s Service, _ map[string]any) (any, error) { s.Reload(); return map[string]any{}, nil },
 }
 
-func describe() *grpc.ServiceDesc {
+func serviceDesc() *grpc.ServiceDesc {
 	d := &grpc.ServiceDesc{ServiceName: "rainhaven.Control", HandlerType: (*Service)(nil)}
-	for name, do := range methods {
+	for name, handle := range methods {
 		d.Methods = append(d.Methods, grpc.MethodDesc{MethodName: name,
 			Handler: func(srv any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 				in := &structpb.Struct{}
 				if err := decode(in); err != nil {
 					return nil, err
 				}
-				out, err := do(srv.(Service), in.AsMap())
+				out, err := handle(srv.(Service), in.AsMap())
 				if err != nil {
 					return nil, err
 				}
-				return pack(out)
+				return toStruct(out)
 			}})
 	}
 	return d
 }
 
-// pack makes a message of any value that JSON can say.
-func pack(v any) (*structpb.Struct, error) {
+// toStruct converts a value that encodes to a JSON object into a protobuf Struct.
+func toStruct(v any) (*structpb.Struct, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -87,7 +88,8 @@
 	return s, s.UnmarshalJSON(b)
 }
 
-// Listen opens a front's socket. One that is there is left over, as the folder's lock is held.
+// Listen opens a front's control socket. The caller holds the folder's lock, so an existing socket file is stale or belongs
+// to the process being replaced, and is removed.
 func Listen(path string) (net.Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
@@ -96,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // the next process has its own there by then
+	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
 		return nil, err
@@ -104,19 +106,19 @@
 	return l, nil
 }
 
-// Serve answers until the context is done.
+// Serve handles requests until ctx is done.
 func Serve(ctx context.Context, l net.Listener, s Service) error {
 	g := grpc.NewServer(grpc.MaxRecvMsgSize(64<<10), grpc.MaxConcurrentStreams(16), grpc.ConnectionTimeout(5*time.Second))
-	g.RegisterService(describe(), s)
+	g.RegisterService(serviceDesc(), s)
 	stop := context.AfterFunc(ctx, g.Stop)
 	defer stop()
 	return g.Serve(l)
 }
 
-// Call sends a front one request and gives its answer.
+// Call sends one request to a front and returns its response.
 func Call(ctx context.Context, path, method string, in map[string]any) (map[string]any, error) {
 	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("no front answers there: %w", err)
+		return nil, fmt.Errorf("no front is running: %w", err)
 	}
 	c, err := grpc.NewClient("unix:"+path, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// testdata/version-1 is a value as released fronts write it, with every field set. A Go field that is renamed without a
-// json tag, or that changes its type, would be read as zero from the file of the version before.
+// testdata/version-1 is a value in the released format, with every field set. A Go field that is renamed without a json
+// tag, or changes its type, would be read as zero from a file that an earlier version wrote.
 func TestStoredFieldNames(t *testing.T) {
 	want, err := os.ReadFile("testdata/version-1")
 	if err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,8 +1,8 @@
-// Package state keeps what a front must know again in a file of its instance's folder (bbolt), and the folder's lock. What
-// is believed of it is decided in choice/restore.
+// Package state persists a front's state across restarts in a bbolt file in the instance's folder, and holds the folder's
+// lock. Package choice/restore decides which parts of a loaded snapshot are used.
 //
-// The file holds one value: a line with the name of the form, its version and a checksum, then JSON. A file that is
-// damaged, of another version, or not a store at all is set aside under another name, and the front starts without.
+// The file holds one value: a line with the format name and version, a checksum, then JSON. A file that is damaged, has
+// another format version or is not a bbolt file is renamed to state.db.aside, and the front starts without saved state.
 package state
 
 import (
@@ -26,61 +26,62 @@
 )
 
 const (
-	form    = "rainhaven-state"
-	version = 1
-	file    = "state.db"
-	aside   = "state.db.aside" // one only: the newest
-	// A memory of 1,000 boxes takes 0.4 MB; past this bound nothing is kept, and that is said.
-	most = 8 << 20
+	formatName       = "rainhaven-state"
+	formatVersion    = 1
+	fileName         = "state.db"
+	unusableFileName = "state.db.aside" // overwritten, so that only the newest remains
+	// A snapshot of 1,000 boxes takes 0.4 MB. A larger one than this is not saved, and Save returns an error.
+	maxBodyBytes = 8 << 20
 )
 
-var bucket, key = []byte("front"), []byte("memory")
+var bucketName, snapshotKey = []byte("front"), []byte("memory")
 
-// ErrInUse is that of a folder that another process holds.
+// ErrInUse means that another process holds the lock of the folder.
 var ErrInUse = errors.New("another front of this name is running")
 
-// Folder is an instance's folder, locked as long as the process lives.
+// Folder is an instance's state folder, locked while it is open.
 type Folder struct {
 	path string
 	lock *os.File
 }
 
-// Open makes an instance's folder in a parent that must exist, and locks it. The lock dies with the process, however that
-// ends.
+// Open creates the instance's folder in parent, which must exist, and locks it. The kernel releases the lock when the
+// process ends, however it ends.
 func Open(parent, instance string) (*Folder, error) {
 	if info, err := os.Stat(parent); err != nil {
-		return nil, fmt.Errorf("the state folder: %w", err)
+		return nil, fmt.Errorf("state folder: %w", err)
 	} else if !info.IsDir() {
-		return nil, fmt.Errorf("the state folder %s is not a folder", parent)
+		return nil, fmt.Errorf("state folder %s is not a folder", parent)
 	}
 	f := &Folder{path: filepath.Join(parent, instance)}
 	if err := os.Mkdir(f.path, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
-		return nil, fmt.Errorf("the state folder: %w", err)
+		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	l, err := os.OpenFile(filepath.Join(f.path, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("the state folder's lock: %w", err)
+		return nil, fmt.Errorf("lock of the state folder: %w", err)
 	}
 	if err := syscall.Flock(int(l.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		who := make([]byte, 20)
-		n, _ := l.Read(who)
+		pid := make([]byte, 20)
+		n, _ := l.Read(pid)
 		l.Close()
-		return nil, fmt.Errorf("%s: %w as process %s", f.path, ErrInUse, strings.TrimSpace(string(who[:n])))
+		return nil, fmt.Errorf("%s: %w as process %s", f.path, ErrInUse, strings.TrimSpace(string(pid[:n])))
 	}
-	// The number is a help to people only; the lock itself is the kernel's.
+	// The process id only informs operators; the lock itself is the kernel's flock.
 	l.Truncate(0)
 	l.WriteAt(fmt.Appendln(nil, os.Getpid()), 0)
 	f.lock = l
 	return f, nil
 }
 
-// PathOf is where a file of an instance's is, whose folder may be another process's.
+// PathOf returns the path of a file in an instance's folder, which may be locked by another process.
 func PathOf(parent, instance, name string) string { return filepath.Join(parent, instance, name) }
 
-// Adopt takes over a folder with the lock that another process holds and sent along: both hold it until one closes it.
+// Adopt takes over a folder with the lock file received from the process that holds it. Both processes share the lock
+// until each has closed its descriptor.
 func Adopt(parent, instance string, lock *os.File) (*Folder, error) {
 	if lock == nil {
-		return nil, errors.New("no lock came with the sockets")
+		return nil, errors.New("no lock file was received with the sockets")
 	}
 	fd, err := syscall.Dup(int(lock.Fd()))
 	if err != nil {
@@ -93,7 +94,7 @@
 	return f, nil
 }
 
-// DupLock is the folder's lock as a file to be sent to another process.
+// DupLock returns a duplicate of the lock's descriptor, to be sent to another process.
 func (f *Folder) DupLock() (*os.File, error) {
 	fd, err := syscall.Dup(int(f.lock.Fd()))
 	if err != nil {
@@ -103,46 +104,48 @@
 	return os.NewFile(uintptr(fd), "lock"), nil
 }
 
-// Path is where a file of the instance's is.
+// Path returns the path of a file in the folder.
 func (f *Folder) Path(name string) string { return filepath.Join(f.path, name) }
 
-// Close gives the folder free.
+// Close closes the lock file. The lock stays held while a duplicate of it is open, here or in another process.
 func (f *Folder) Close() { f.lock.Close() }
 
-// Store is the open file.
+// Store is the open state file.
 type Store struct{ db *bbolt.DB }
 
-// Load opens the store and reads what was kept. found is false where there is nothing or nothing usable; say tells why in
-// that case, if there is anything to tell. The error is that of a folder in which nothing can be kept.
-func (f *Folder) Load() (s *Store, kept restore.Snapshot, found bool, say string, err error) {
-	// A file cut short is mapped past its end, and reading there faults: that too is damage and no reason to end.
+// Load opens the state file and reads the saved snapshot. found is false if there is none or it is unusable; warning then
+// gives the reason, unless the file was simply missing. An error means that nothing can be saved in this folder.
+func (f *Folder) Load() (s *Store, snapshot restore.Snapshot, found bool, warning string, err error) {
+	// bbolt maps a truncated file past its end, and reading there faults. The fault is turned into a panic, which is
+	// recovered and handled as damage, so that it doesn't end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	name := f.Path(file)
+	name := f.Path(fileName)
 	if info, err := os.Stat(name); err == nil && info.Size() == 0 {
-		say = file + " was empty"
+		warning = fileName + " was empty"
 	}
-	db, err := open(name)
+	db, err := openDB(name)
 	if err == nil {
-		if kept, found, err = read(db); err == nil {
-			return &Store{db}, kept, found, say, nil
+		if snapshot, found, err = readSnapshot(db); err == nil {
+			return &Store{db}, snapshot, found, warning, nil
 		}
 		db.Close()
 	} else if errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EROFS) || errors.Is(err, syscall.ENOSPC) {
-		return nil, kept, false, "", err
+		return nil, snapshot, false, "", err
 	}
-	say = fmt.Sprintf("%s can't be used (%v) and is set aside as %s", file, err, aside)
-	if err := os.Rename(name, f.Path(aside)); err != nil {
-		return nil, kept, false, say, err
+	warning = fmt.Sprintf("%s can't be used (%v) and is set aside as %s", fileName, err, unusableFileName)
+	if err := os.Rename(name, f.Path(unusableFileName)); err != nil {
+		return nil, snapshot, false, warning, err
 	}
-	if db, err = open(name); err != nil {
-		return nil, restore.Snapshot{}, false, say, err
+	if db, err = openDB(name); err != nil {
+		return nil, restore.Snapshot{}, false, warning, err
 	}
-	return &Store{db}, restore.Snapshot{}, false, say, nil
+	return &Store{db}, restore.Snapshot{}, false, warning, nil
 }
 
-// open opens a file of bbolt's. Damaged pages may have it panic. The list of free pages is kept in the file: to gather it
-// at the start, bbolt walks all pages on a goroutine of its own, whose panic nobody could catch.
-func open(name string) (db *bbolt.DB, err error) {
+// openDB opens a bbolt file and turns a panic on damaged pages into an error. The freelist is stored in the file (bbolt's
+// default): otherwise bbolt rebuilds it at open by walking all pages on a goroutine of its own, whose panic can't be
+// recovered here.
+func openDB(name string) (db *bbolt.DB, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			db, err = nil, fmt.Errorf("damaged: %v", p)
@@ -151,55 +154,55 @@
 	return bbolt.Open(name, 0o600, &bbolt.Options{Timeout: time.Second})
 }
 
-func read(db *bbolt.DB) (kept restore.Snapshot, found bool, err error) {
+func readSnapshot(db *bbolt.DB) (snapshot restore.Snapshot, found bool, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("damaged: %v", p)
 		}
 	}()
 	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
+		b := tx.Bucket(bucketName)
 		if b == nil {
 			return nil
 		}
-		v := b.Get(key)
+		v := b.Get(snapshotKey)
 		if v == nil {
 			return nil
 		}
 		found = true
-		kept, err = Decode(v)
+		snapshot, err = Decode(v)
 		return err
 	})
-	return kept, found && err == nil, err
+	return snapshot, found && err == nil, err
 }
 
-// Encode writes what is kept as one value.
+// Encode returns a snapshot in the stored format.
 func Encode(s restore.Snapshot) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > most {
-		return nil, fmt.Errorf("%d bytes, %d at most", len(body), most)
+	if len(body) > maxBodyBytes {
+		return nil, fmt.Errorf("snapshot of %d bytes exceeds the limit of %d", len(body), maxBodyBytes)
 	}
-	b := fmt.Appendf(nil, "%s %d\n", form, version)
+	b := fmt.Appendf(nil, "%s %d\n", formatName, formatVersion)
 	b = binary.BigEndian.AppendUint64(b, xxhash.Sum64(body))
 	return append(b, body...), nil
 }
 
-// Decode reads one value.
+// Decode parses a snapshot in the stored format and verifies its checksum.
 func Decode(v []byte) (s restore.Snapshot, err error) {
 	head, rest, ok := bytes.Cut(v, []byte("\n"))
 	var name string
 	var n int
-	if _, err := fmt.Sscanf(string(head), "%s %d", &name, &n); !ok || err != nil || name != form {
-		return s, errors.New("not a front's state")
+	if _, err := fmt.Sscanf(string(head), "%s %d", &name, &n); !ok || err != nil || name != formatName {
+		return s, errors.New("not the state of a front")
 	}
-	if n != version {
-		return s, fmt.Errorf("form %d; this program writes %d", n, version)
+	if n != formatVersion {
+		return s, fmt.Errorf("format version %d; this program supports %d", n, formatVersion)
 	}
-	if len(rest) < 8 || len(rest) > most || binary.BigEndian.Uint64(rest) != xxhash.Sum64(rest[8:]) {
-		return s, errors.New("the checksum is wrong")
+	if len(rest) < 8 || len(rest) > maxBodyBytes || binary.BigEndian.Uint64(rest) != xxhash.Sum64(rest[8:]) {
+		return s, errors.New("checksum mismatch")
 	}
 	if err := json.Unmarshal(rest[8:], &s); err != nil {
 		return restore.Snapshot{}, err
@@ -207,11 +210,11 @@
 	return s, nil
 }
 
-// Save writes what is to be known again, whole or not at all.
+// Save writes a snapshot in one transaction.
 func (s *Store) Save(m restore.Snapshot) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil { // damage that shows at a write only
+		if p := recover(); p != nil { // damaged pages that only a write reads
 			err = fmt.Errorf("damaged: %v", p)
 		}
 	}()
@@ -220,13 +223,13 @@
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(bucket)
+		b, err := tx.CreateBucketIfNotExists(bucketName)
 		if err != nil {
 			return err
 		}
-		return b.Put(key, v)
+		return b.Put(snapshotKey, v)
 	})
 }
 
-// Close closes the file.
+// Close closes the state file.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,28 +22,28 @@
 
 func load(t *testing.T, f *Folder) (*Store, restore.Snapshot, bool, string) {
 	t.Helper()
-	s, kept, found, say, err := f.Load()
+	s, snapshot, found, warning, err := f.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, kept, found, say
+	return s, snapshot, found, warning
 }
 
-func TestKeptAndReadBack(t *testing.T) {
+func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Open(dir+"/none", "a"); err == nil {
-		t.Error("a folder that is not there was opened")
+		t.Error("a missing parent folder was accepted")
 	}
 	f, err := Open(dir, "a")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, "a"); !errors.Is(err, ErrInUse) {
-		t.Errorf("the same name a second time: %v", err)
+		t.Errorf("second Open of the same instance: %v, want ErrInUse", err)
 	}
-	s, _, found, say := load(t, f)
-	if found || say != "" {
-		t.Errorf("an empty folder: %v %q", found, say)
+	s, _, found, warning := load(t, f)
+	if found || warning != "" {
+		t.Errorf("empty folder: found %v, warning %q", found, warning)
 	}
 	for n := range 5 {
 		if err := s.Save(sample(n)); err != nil {
@@ -51,22 +51,22 @@
 		}
 	}
 	s.Close()
-	s, kept, found, _ := load(t, f)
+	s, snapshot, found, _ := load(t, f)
 	s.Close()
-	if !found || kept.SavedAt != 4 || len(kept.Memory.Servers) != 300 || kept.Memory.Servers[7].MeanGap != 3.25 {
-		t.Errorf("%v %+v", found, kept.SavedAt)
+	if !found || snapshot.SavedAt != 4 || len(snapshot.Memory.Servers) != 300 || snapshot.Memory.Servers[7].MeanGap != 3.25 {
+		t.Errorf("found %v, saved at %v", found, snapshot.SavedAt)
 	}
 	f.Close()
 	if g, err := Open(dir, "a"); err != nil {
-		t.Errorf("a folder that was given free: %v", err)
+		t.Errorf("Open after Close: %v", err)
 	} else {
 		g.Close()
 	}
 }
 
-// A crash may leave a transaction's pages written or not, and a page written in part: the value before or the one after
-// is there. A disk that lies about the order, or a file cut short, may have an older one, or the file is set aside with a
-// word. Each such file is started from.
+// Simulates a crash at every page write of a transaction, with pages written wholly, in part or not at all. Load must find
+// the snapshot before or after the transaction. With writes reordered by the disk, or a truncated file, it may also find an
+// older snapshot, or move the file aside with a warning. Saving must work after each of them.
 func TestCrashAtEveryWrite(t *testing.T) {
 	const page = 4096
 	dir := t.TempDir()
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 	}
-	before, err := os.ReadFile(f.Path(file))
+	before, err := os.ReadFile(f.Path(fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	after, err := os.ReadFile(f.Path(file))
+	after, err := os.ReadFile(f.Path(fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,63 +103,64 @@
 	if len(pages) < 3 || len(pages) > 40 {
 		t.Fatalf("%d pages written", len(pages))
 	}
-	old, new, asides := 0, 0, 0
-	try := func(b []byte, cut bool) {
-		if err := os.WriteFile(f.Path(file), b, 0o600); err != nil {
+	old, new, damaged := 0, 0, 0
+	try := func(b []byte, mayBeDamaged bool) {
+		if err := os.WriteFile(f.Path(fileName), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, kept, found, say := load(t, f)
+		s, snapshot, found, warning := load(t, f)
 		defer s.Close()
 		switch {
-		case found && kept.SavedAt == 3:
+		case found && snapshot.SavedAt == 3:
 			old++
-		case found && kept.SavedAt == 4:
+		case found && snapshot.SavedAt == 4:
 			new++
-		case found && cut: // an older value, whose own instant tells its age
-			asides++
-		case !found && say != "":
-			asides++
+		case found && mayBeDamaged: // an older snapshot, whose SavedAt tells its age
+			damaged++
+		case !found && warning != "":
+			damaged++
 		default:
-			t.Fatalf("found %v, of %v, said %q", found, kept.SavedAt, say)
+			t.Fatalf("found %v, saved at %v, warning %q", found, snapshot.SavedAt, warning)
 		}
 		if err := s.Save(sample(9)); err != nil {
-			t.Fatalf("nothing can be kept after it: %v", err)
+			t.Fatalf("Save after the crash: %v", err)
 		}
 	}
-	// The page that names the newest transaction is written last; a disk that lies about the order may have it first.
+	// bbolt writes the meta page of the newest transaction, one of the first two, last. A disk that reorders writes may
+	// have it first.
 	if pages[0] >= 2*page || pages[1] < 2*page {
-		t.Fatalf("pages %v: one of the first two was looked for", pages)
+		t.Fatalf("pages %v changed; want exactly one of the two meta pages among them", pages)
 	}
 	for _, order := range [][]int{append(slices.Clone(pages[1:]), pages[0]), append([]int{pages[0]}, pages[1:]...)} {
-		lies := order[0] == pages[0]
-		for i := range order { // up to here, whole, half, and torn off; and all but these where the last is not written
+		reordered := order[0] == pages[0]
+		for i := range order { // writes up to the i-th page, the i-th in part; and the complement of these
 			for _, part := range []int{0, 100, page / 2, page} {
-				fore, back := bytes.Clone(before), bytes.Clone(before)
+				prefix, suffix := bytes.Clone(before), bytes.Clone(before)
 				for j, at := range order {
 					n := page
 					if j == i {
 						n = part
 					}
 					if j <= i {
-						copy(fore[at:at+n], after[at:at+n])
+						copy(prefix[at:at+n], after[at:at+n])
 					}
-					if j >= i && (lies || j < len(order)-1) {
-						copy(back[at:at+n], after[at:at+n])
+					if j >= i && (reordered || j < len(order)-1) {
+						copy(suffix[at:at+n], after[at:at+n])
 					}
 				}
-				try(fore, lies)
-				try(back, lies)
-				try(fore[:order[i]+part], true)
+				try(prefix, reordered)
+				try(suffix, reordered)
+				try(prefix[:order[i]+part], true)
 			}
 		}
 	}
-	t.Logf("%d files: %d hold the value before, %d the one after, %d were cut short and set aside or older", old+new+asides, old, new, asides)
+	t.Logf("%d files: %d hold the snapshot before, %d the one after, %d an older one or were moved aside", old+new+damaged, old, new, damaged)
 	if old == 0 || new == 0 {
-		t.Error("the files tried are not those of a crash")
+		t.Error("the simulated files never hold both the old and the new snapshot")
 	}
 }
 
-func TestOtherFormsAreSetAside(t *testing.T) {
+func TestUnusableFilesAreMovedAside(t *testing.T) {
 	good, err := Encode(sample(1))
 	if err != nil {
 		t.Fatal(err)
@@ -170,13 +171,13 @@
 		v    []byte
 		want string
 	}{
-		"newer":          {bytes.Replace(good, []byte("state 1\n"), []byte("state 2\n"), 1), "form 2"},
-		"damaged":        {bad, "checksum"},
-		"cut":            {good[:len(good)/2], "checksum"},
-		"something else": {[]byte("hello"), "not a front's"},
+		"newer":          {bytes.Replace(good, []byte("state 1\n"), []byte("state 2\n"), 1), "format version 2"},
+		"bad checksum":   {bad, "checksum"},
+		"truncated":      {good[:len(good)/2], "checksum"},
+		"something else": {[]byte("hello"), "not the state of a front"},
 	} {
 		if _, err := Decode(c.v); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
 	f, err := Open(t.TempDir(), "a")
@@ -184,14 +185,14 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	os.WriteFile(f.Path(file), []byte("this is no store"), 0o600)
-	s, _, found, say := load(t, f)
+	os.WriteFile(f.Path(fileName), []byte("this is no store"), 0o600)
+	s, _, found, warning := load(t, f)
 	defer s.Close()
-	if found || !strings.Contains(say, "set aside") {
-		t.Errorf("%v %q", found, say)
+	if found || !strings.Contains(warning, "set aside") {
+		t.Errorf("found %v, warning %q", found, warning)
 	}
-	if b, err := os.ReadFile(f.Path(aside)); err != nil || string(b) != "this is no store" {
-		t.Errorf("%q %v", b, err)
+	if b, err := os.ReadFile(f.Path(unusableFileName)); err != nil || string(b) != "this is no store" {
+		t.Errorf("moved file holds %q, error %v", b, err)
 	}
 }
 
@@ -208,7 +209,7 @@
 	})
 }
 
-func BenchmarkKeep(b *testing.B) {
+func BenchmarkSave(b *testing.B) {
 	f, err := Open(b.TempDir(), "a")
 	if err != nil {
 		b.Fatal(err)
