--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -13,26 +13,26 @@
 	"rainhaven/internal/control"
 )
 
-// ControlSocket is where people ask a front, in its instance's folder.
+// ControlSocket is the file name of the control socket in the instance's state folder.
 const ControlSocket = "control.sock"
 
-// controlled answers people.
-type controlled struct{ d *daemon }
+// controlService implements control.Service. The keys of the maps it returns are part of the operators' interface.
+type controlService struct{ d *daemon }
 
-func (c controlled) Status() any {
+func (c controlService) Status() any {
 	f := c.d.facts()
 	t := c.d.terms
-	return map[string]any{"front": t.Name, "process": os.Getpid(), "state": f.State, "seconds": time.Since(c.d.began).Seconds(), "sessions": f.Sessions,
+	return map[string]any{"front": t.Name, "process": os.Getpid(), "state": f.State, "seconds": time.Since(c.d.startedAt).Seconds(), "sessions": f.Sessions,
 		"boxes": f.Boxes, "boxes that may get sessions": f.Usable, "health": health.Evaluate(f)}
 }
 
-func (c controlled) Sessions(most int) any { return c.d.front.List(most) }
+func (c controlService) Sessions(maxCount int) any { return c.d.front.List(maxCount) }
 
-func (c controlled) Boxes() any {
-	m, _ := c.d.front.Memory()
+func (c controlService) Boxes() any {
+	snapshot, _ := c.d.front.Memory()
 	now := now()
 	var list []any
-	for _, s := range m.Servers {
+	for _, s := range snapshot.Servers {
 		b := map[string]any{"id": s.ID, "set aside": s.Ejected, "full": s.FullUntil > now, "size of link": s.Link.Capacity}
 		if s.LastHeardAt > 0 {
 			b["seconds since it was heard"] = now - s.LastHeardAt
@@ -48,26 +48,26 @@
 	return list
 }
 
-func (c controlled) Explain(session string) ([]string, error) {
+func (c controlService) Explain(session string) ([]string, error) {
 	lines := c.d.front.Explain(session)
 	if len(lines) == 0 && session == "" {
-		return nil, status.Error(codes.NotFound, "no request was turned away lately")
+		return nil, status.Error(codes.NotFound, "no request was turned away recently")
 	}
 	if len(lines) == 0 {
-		return nil, status.Error(codes.NotFound, fmt.Sprintf("nothing is kept of session %q: it was never here, or is too long ago", session))
+		return nil, status.Error(codes.NotFound, fmt.Sprintf("no record of session %q: it was never on this front, or ended too long ago", session))
 	}
 	return lines, nil
 }
 
-func (c controlled) Drain()  { c.d.post(func() { c.d.life.Terminate("asked to drain") }) }
-func (c controlled) Reload() { c.d.post(c.d.life.RequestReload) }
+func (c controlService) Drain()  { c.d.post(func() { c.d.machine.Terminate("drain requested") }) }
+func (c controlService) Reload() { c.d.post(c.d.machine.RequestReload) }
 
-// control answers until the process ends.
-func (d *daemon) control() {
+// startControl serves the control socket until the process ends.
+func (d *daemon) startControl() {
 	l, err := control.Listen(d.folder.Path(ControlSocket))
 	if err != nil {
-		d.Log.Warn("nobody can ask this front", zap.Error(err))
+		d.Log.Warn("the control socket is not available", zap.Error(err))
 		return
 	}
-	d.work.Go(func() { control.Serve(d.over, l, controlled{d}) })
+	d.wg.Go(func() { control.Serve(d.ctx, l, controlService{d}) })
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon carries out a front's process as choice/lifecycle decides it: listeners, signals, reloads, the drain, what
-// is kept for the next process, health and metrics.
+// Package daemon runs a front as a process: listeners, signals, reloads, draining, saved state, upgrades, health and
+// metrics. Package choice/lifecycle decides the transitions between its states.
 package daemon
 
 import (
@@ -32,95 +32,98 @@
 	"rainhaven/internal/state"
 )
 
-// Options are what a process is handed.
+// Options configures a front's process.
 type Options struct {
-	LoadTerms    func() (settings.Terms, error) // the settings, checked; called at the start and at each reload
-	DrainTimeout time.Duration                  // sessions may play on so long once the process is told to stop
+	LoadTerms    func() (settings.Terms, error) // returns validated settings; called at the start and at each reload
+	DrainTimeout time.Duration                  // how long sessions may continue after the process is told to stop
 	Log          *zap.Logger
-	SetLogLevel  func(name string) // sets the log's least level, an empty name the one it began with; may be nil
-	Signals      <-chan os.Signal
-	Upgrade      bool                       // take the sockets of the process of this name that runs, which drains then
-	Parent       io.Reader                  // ends when whoever started the process is gone: it drains then; may be nil
-	OnServing    func(listen, admin string) // called once it serves; may be nil
+	SetLogLevel  func(name string)          // sets the minimum log level, an empty name the initial one; may be nil
+	Signals      <-chan os.Signal           // SIGHUP reloads the settings, any other signal drains and then stops
+	Upgrade      bool                       // takes the sockets over from the running process of this name, which then drains
+	Parent       io.Reader                  // reaches EOF when the parent process exits, which starts a drain; may be nil
+	OnServing    func(listen, admin string) // called with the listen addresses once the front serves; may be nil
 }
 
-// daemon is one process's. Its loop alone touches what is not said to be others'.
+// daemon is a front's process. Fields without a note on concurrent use belong to the loop goroutine.
 type daemon struct {
 	Options
-	began  time.Time
-	life   *lifecycle.Machine
-	events chan func() // bounded: each owner below has at most one event under way
-	work   sync.WaitGroup
-	over   context.Context // done when the process is to end
-	cancel context.CancelFunc
+	startedAt time.Time
+	machine   *lifecycle.Machine
+	events    chan func() // bounded, as each sender has at most one event pending
+	wg        sync.WaitGroup
+	ctx       context.Context // done when the process is to exit
+	cancel    context.CancelFunc
 
-	terms  settings.Terms
-	front  *front.Front
-	folder *state.Folder
-	files  *keys.KeyPair // for viewers over TLS; nil without
-	// What an upgrade gives away: listeners by use and the folder's lock, as files of their own. Set before it may come.
-	sockets []given
-	storeMu sync.Mutex
-	store   *state.Store // nil where nothing is kept
-	first   error        // of the start
-	ended   bool         // the front has
-	exit    bool
-	code    lifecycle.ExitCode
-	why     string
+	terms      settings.Terms
+	front      *front.Front
+	folder     *state.Folder
+	viewerCert *keys.KeyPair // for viewers over TLS; nil if TLS is off
+	// Duplicates of the listeners' and the folder lock's descriptors, sent to the next process in an upgrade. Complete before
+	// the upgrade socket opens.
+	handoverFiles []handoverFile
+	storeMu       sync.Mutex
+	store         *state.Store // nil while this process saves no state; guarded by storeMu once serving
+	startErr      error        // why start failed
+	frontClosed   bool
+	exiting       bool
+	exitCode      lifecycle.ExitCode
+	exitReason    string
 
-	said  atomic.Pointer[said]  // for health; read by anyone
-	saved atomic.Pointer[saved] // written by the keeper
+	status atomic.Pointer[processStatus] // set by the loop, read by any goroutine
+	saves  atomic.Pointer[saveStatus]    // set on each save, read by any goroutine
 }
 
-// said is where the process stands, for those who ask.
-type said struct {
-	state   lifecycle.State
-	refused string
+// processStatus is the lifecycle part of the health facts.
+type processStatus struct {
+	state       lifecycle.State
+	reloadError string
 }
 
-type saved struct {
-	at     time.Time
-	broken string
+// saveStatus is the result of the latest saves of state.
+type saveStatus struct {
+	lastSavedAt time.Time
+	lastError   string
 }
 
-// Run is a process from its start to its exit code. The error tells what went wrong, in words for whoever started it.
+// Run runs the process from start to exit and returns its exit code. The error is nil only on a clean exit.
 func Run(o Options) (lifecycle.ExitCode, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	d := &daemon{Options: o, began: time.Now(), events: make(chan func(), 16)}
-	d.over, d.cancel = context.WithCancel(context.Background())
+	d := &daemon{Options: o, startedAt: time.Now(), events: make(chan func(), 16)}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	defer d.cancel()
-	d.life = lifecycle.New(0, o.DrainTimeout.Seconds(), d)
+	d.machine = lifecycle.New(0, o.DrainTimeout.Seconds(), d)
 	code, err := d.start()
 	if err != nil {
-		d.life.Failed(code, err.Error())
-		d.first = err
+		d.machine.Failed(code, err.Error())
+		d.startErr = err
 	} else {
-		d.life.Started()
+		d.machine.Started()
 	}
 	if o.Parent != nil {
-		go func() { // ends with the process: nothing can be done about a read under way
+		go func() { // not waited for: a pending read can't be canceled
 			io.Copy(io.Discard, o.Parent)
-			d.post(func() { d.life.Terminate("whoever started it is gone") })
+			d.post(func() { d.machine.Terminate("the parent process has exited") })
 		}()
 	}
 	d.loop()
-	d.stop()
-	if d.first != nil {
-		return d.code, d.first
+	d.shutdown()
+	if d.startErr != nil {
+		return d.exitCode, d.startErr
 	}
-	if d.code != lifecycle.ExitClean {
-		return d.code, errors.New(d.why)
+	if d.exitCode != lifecycle.ExitClean {
+		return d.exitCode, errors.New(d.exitReason)
 	}
-	d.Log.Info("over", zap.String("why", d.why))
-	return d.code, nil
+	d.Log.Info("exited", zap.String("why", d.exitReason))
+	return d.exitCode, nil
 }
 
+// post has the loop run an event; it is dropped once the process is to exit.
 func (d *daemon) post(event func()) {
 	select {
 	case d.events <- event:
-	case <-d.over.Done():
+	case <-d.ctx.Done():
 	}
 }
 
@@ -128,65 +131,66 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		d.life.SetTime(time.Since(d.began).Seconds())
-		d.life.Reconcile()
-		s, _ := d.life.State()
-		d.said.Store(&said{s, d.life.ReloadError()})
-		if d.exit {
+		d.machine.SetTime(time.Since(d.startedAt).Seconds())
+		d.machine.Reconcile()
+		s, _ := d.machine.State()
+		d.status.Store(&processStatus{s, d.machine.ReloadError()})
+		if d.exiting {
 			return
 		}
 		wait := time.Hour
-		if n := d.life.NextWakeup(); n > 0 {
-			wait = max(time.Duration((n-time.Since(d.began).Seconds())*1e9), time.Millisecond)
+		if n := d.machine.NextWakeup(); n > 0 {
+			wait = max(time.Duration((n-time.Since(d.startedAt).Seconds())*1e9), time.Millisecond)
 		}
 		timer.Reset(wait)
 		select {
-		case e := <-d.events:
-			d.life.SetTime(time.Since(d.began).Seconds())
-			e()
-		case s := <-d.Signals:
-			d.life.SetTime(time.Since(d.began).Seconds())
-			if s == syscall.SIGHUP {
-				d.life.RequestReload()
+		case event := <-d.events:
+			d.machine.SetTime(time.Since(d.startedAt).Seconds())
+			event()
+		case sig := <-d.Signals:
+			d.machine.SetTime(time.Since(d.startedAt).Seconds())
+			if sig == syscall.SIGHUP {
+				d.machine.RequestReload()
 			} else {
-				d.life.Terminate(s.String())
+				d.machine.Terminate(sig.String())
 			}
 		case <-timer.C:
 		}
 	}
 }
 
-// start brings everything up, or tells what can't be.
+// start reads the settings, opens everything the front needs and serves. In an upgrade it takes the sockets, the lock and
+// the learned state from the running process instead of opening them.
 func (d *daemon) start() (lifecycle.ExitCode, error) {
 	var err error
 	if d.terms, err = d.LoadTerms(); err != nil {
 		return lifecycle.ExitFailed, err
 	}
 	t := &d.terms
-	d.level(t)
+	d.applyLogLevel(t)
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	o := front.Options{Log: d.Log, Registry: reg}
-	var from *taking
+	var old *takeover
 	if d.Upgrade {
 		if t.State == "" {
-			return lifecycle.ExitStateFolder, errors.New("an upgrade in service needs front(state = ...), where the two processes meet")
+			return lifecycle.ExitStateFolder, errors.New("an upgrade needs front(state = ...), the folder with the upgrade socket")
 		}
-		if from, err = take(state.PathOf(t.State, t.Name, socket)); err != nil {
+		if old, err = requestTakeover(state.PathOf(t.State, t.Name, upgradeSocket)); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
-		defer from.drop()
-		if d.folder, err = state.Adopt(t.State, t.Name, from.files[forLock]); err != nil {
+		defer old.close()
+		if d.folder, err = state.Adopt(t.State, t.Name, old.files[useLock]); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
 	} else if t.State != "" {
-		if o.Memory, err = d.recall(t); err != nil {
+		if o.Memory, err = d.restoreState(t); err != nil {
 			return lifecycle.ExitStateFolder, err
 		}
 	}
 	listen := func(use, address string) (net.Listener, error) {
-		if from != nil {
-			if l, err := from.listener(use); l != nil || err != nil {
+		if old != nil {
+			if l, err := old.listener(use); l != nil || err != nil {
 				return l, err
 			}
 		}
@@ -201,11 +205,11 @@
 		if err != nil {
 			return lifecycle.ExitFailed, err
 		}
-		d.work.Go(func() { roots.Watch(d.over, 2*time.Second) })
+		d.wg.Go(func() { roots.Watch(d.ctx, 2*time.Second) })
 		o.Dial = roots.Dialer(t.BoxTLS.Name)
 	}
 	if t.TLS.Listen != "" {
-		if d.files, err = keys.OpenKeyPair(t.TLS.Cert, t.TLS.Key, d.Log); err != nil {
+		if d.viewerCert, err = keys.OpenKeyPair(t.TLS.Cert, t.TLS.Key, d.Log); err != nil {
 			return lifecycle.ExitFailed, err
 		}
 	}
@@ -216,7 +220,7 @@
 		}
 		return code, err
 	}
-	for use, address := range map[string]string{forViewers: t.Listen, forTLS: t.TLS.Listen, forAdmin: t.Admin} {
+	for use, address := range map[string]string{useViewers: t.Listen, useTLS: t.TLS.Listen, useAdmin: t.Admin} {
 		if address == "" {
 			continue
 		}
@@ -228,8 +232,8 @@
 	if d.front, err = front.New(*t, o); err != nil {
 		return fail(lifecycle.ExitFailed, err)
 	}
-	if from != nil { // all that can fail is behind; from here on this process decides
-		m, err := from.ready()
+	if old != nil { // everything that can fail has succeeded; sendReady makes this process responsible
+		m, err := old.sendReady()
 		if err != nil {
 			d.front.Close()
 			d.front = nil
@@ -237,9 +241,9 @@
 		}
 		d.front.Recall(m)
 		if d.store, _, _, _, err = d.folder.Load(); err != nil {
-			d.saved.Store(&saved{at: time.Now(), broken: err.Error()}) // it serves all the same
+			d.saves.Store(&saveStatus{lastSavedAt: time.Now(), lastError: err.Error()}) // serves without saving state
 		} else {
-			d.saved.Store(&saved{at: time.Now()})
+			d.saves.Store(&saveStatus{lastSavedAt: time.Now()})
 		}
 	}
 	addresses := map[string]string{}
@@ -247,47 +251,47 @@
 		addresses[use] = l.Addr().String()
 		if d.folder != nil {
 			if x, err := l.(*net.TCPListener).File(); err == nil {
-				d.sockets = append(d.sockets, given{use, x})
+				d.handoverFiles = append(d.handoverFiles, handoverFile{use, x})
 			}
 		}
-		if use == forAdmin {
-			d.watchers(l, reg)
+		if use == useAdmin {
+			d.serveAdmin(l, reg)
 		} else {
 			d.serve(use, l)
 		}
 	}
-	if d.files != nil {
-		d.work.Go(func() { d.files.Watch(d.over, 2*time.Second) })
+	if d.viewerCert != nil {
+		d.wg.Go(func() { d.viewerCert.Watch(d.ctx, 2*time.Second) })
 	}
 	if d.folder != nil {
-		d.work.Go(d.keep)
-		d.control()
+		d.wg.Go(d.saveLoop)
+		d.startControl()
 		if x, err := d.folder.DupLock(); err == nil {
-			d.sockets = append(d.sockets, given{forLock, x})
+			d.handoverFiles = append(d.handoverFiles, handoverFile{useLock, x})
 		}
-		if err := d.meet(t); err != nil {
-			d.Log.Warn("no upgrade in service can reach this process", zap.Error(err))
+		if err := d.listenForUpgrades(t); err != nil {
+			d.Log.Warn("the upgrade socket is not available", zap.Error(err))
 		}
 	}
-	if from != nil {
-		from.serving()
+	if old != nil {
+		old.sendServing()
 	}
-	at := addresses[forAdmin]
-	d.Log.Info("serving", zap.String("front", t.Name), zap.String("listen", addresses[forViewers]), zap.String("tls", addresses[forTLS]),
-		zap.String("admin", at), zap.Int("boxes", len(t.Boxes)), zap.Bool("taken over", from != nil))
+	at := addresses[useAdmin]
+	d.Log.Info("serving", zap.String("front", t.Name), zap.String("listen", addresses[useViewers]), zap.String("tls", addresses[useTLS]),
+		zap.String("admin", at), zap.Int("boxes", len(t.Boxes)), zap.Bool("taken over", old != nil))
 	if d.OnServing != nil {
-		d.OnServing(addresses[forViewers], at)
+		d.OnServing(addresses[useViewers], at)
 	}
 	return lifecycle.ExitClean, nil
 }
 
-// socket is where processes of one instance meet, in its folder.
-const socket = "upgrade.sock"
+// upgradeSocket is the file name of the upgrade socket in the instance's state folder.
+const upgradeSocket = "upgrade.sock"
 
-// meet opens the instance's socket for upgrades. The folder's lock is held, so one that is there is left over or that of
-// the process that was just taken over.
-func (d *daemon) meet(t *settings.Terms) error {
-	path := d.folder.Path(socket)
+// listenForUpgrades opens the instance's upgrade socket. As this process holds the folder's lock, an existing socket file is
+// stale or belongs to the process that was just replaced.
+func (d *daemon) listenForUpgrades(t *settings.Terms) error {
+	path := d.folder.Path(upgradeSocket)
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -295,119 +299,122 @@
 	if err != nil {
 		return err
 	}
-	l.SetUnlinkOnClose(false) // the next process has its own there by then
+	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
 		return err
 	}
-	d.work.Go(func() { d.upgrades(l) })
-	d.work.Go(func() {
-		<-d.over.Done()
+	d.wg.Go(func() { d.serveUpgrades(l) })
+	d.wg.Go(func() {
+		<-d.ctx.Done()
 		l.Close()
 	})
 	return nil
 }
 
-// served hears that a listener takes nobody any more.
-func (d *daemon) served(err error) {
+// listenerStopped handles the end of a listener; an error starts a drain.
+func (d *daemon) listenerStopped(err error) {
 	if err != nil {
-		d.post(func() { d.life.Failed(lifecycle.ExitFailed, "taking viewers: "+err.Error()) })
+		d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "accepting viewers: "+err.Error()) })
 	}
 }
 
+// now returns the Unix time in seconds.
 func now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
-// recall opens the instance's folder and reads what the last process left, as far as it is believed.
-func (d *daemon) recall(t *settings.Terms) (*choice.Snapshot, error) {
+// restoreState opens the instance's folder and returns what choice/restore uses of the last saved snapshot; nil if there is
+// none.
+func (d *daemon) restoreState(t *settings.Terms) (*choice.Snapshot, error) {
 	var err error
 	if d.folder, err = state.Open(t.State, t.Name); err != nil {
 		return nil, err
 	}
-	s, kept, found, say, err := d.folder.Load()
+	s, saved, found, warning, err := d.folder.Load()
 	if err != nil {
-		return nil, fmt.Errorf("the state folder: %w", err)
+		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	d.store = s
-	if say != "" {
-		d.Log.Warn("stored state", zap.String("what", say))
+	if warning != "" {
+		d.Log.Warn("stored state", zap.String("what", warning))
 	}
-	d.saved.Store(&saved{at: time.Now()})
+	d.saves.Store(&saveStatus{lastSavedAt: time.Now()})
 	if !found {
 		return nil, nil
 	}
 	f := t.Figures
-	m, words := restore.FromSnapshot(now(), kept, restore.Config{WindowSeconds: f.RetryWindow, BaseAllowance: f.BaseRetries, RetryShare: f.RetriesPerSession, WarmUpSeconds: f.WarmUp})
-	d.Log.Info("stored state", zap.Float64("seconds old", now()-kept.SavedAt), zap.Bool("clean", kept.CleanExit), zap.Int("boxes", len(m.Servers)),
-		zap.Strings("what", words))
+	m, notes := restore.FromSnapshot(now(), saved, restore.Config{WindowSeconds: f.RetryWindow, BaseAllowance: f.BaseRetries, RetryShare: f.RetriesPerSession, WarmUpSeconds: f.WarmUp})
+	d.Log.Info("stored state", zap.Float64("seconds old", now()-saved.SavedAt), zap.Bool("clean", saved.CleanExit), zap.Int("boxes", len(m.Servers)),
+		zap.Strings("what", notes))
 	return &m, nil
 }
 
-// keepEvery is the pace at which state is kept. What happens between two is covered by choice/restore, which takes it that
-// a killed front had used its ration up; a write takes half a millisecond beside the loop.
-const keepEvery = time.Second
+// saveInterval is the interval between saves of state. Changes since the last save are covered by choice/restore, which
+// assumes that a killed front had used up its retry budget. A save takes 0.5 ms, outside the front's loop.
+const saveInterval = time.Second
 
-// keep writes state at an even pace. A write that fails or stands still delays nobody: the front's loop only copies.
-func (d *daemon) keep() {
-	t := time.NewTicker(keepEvery)
+// saveLoop saves state at a fixed interval. A write that fails or blocks doesn't delay the front's loop, which only makes the
+// copy.
+func (d *daemon) saveLoop() {
+	t := time.NewTicker(saveInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-d.over.Done():
+		case <-d.ctx.Done():
 			return
 		case <-t.C:
 		}
 		if m, ok := d.front.Memory(); ok {
-			d.write(restore.Snapshot{SavedAt: now(), Memory: m})
+			d.save(restore.Snapshot{SavedAt: now(), Memory: m})
 		}
 	}
 }
 
-// write keeps something, as long as the folder is this process's.
-func (d *daemon) write(s restore.Snapshot) {
+// save writes a snapshot, unless the state file is closed or handed over.
+func (d *daemon) save(s restore.Snapshot) {
 	d.storeMu.Lock()
 	defer d.storeMu.Unlock()
 	if d.store != nil {
-		d.kept(d.store.Save(s))
+		d.recordSave(d.store.Save(s))
 	}
 }
 
-// kept notes how a write went.
-func (d *daemon) kept(err error) {
-	was := d.saved.Load()
-	is := &saved{at: was.at}
+// recordSave records the result of a save and logs the first of several failures.
+func (d *daemon) recordSave(err error) {
+	previous := d.saves.Load()
+	current := &saveStatus{lastSavedAt: previous.lastSavedAt}
 	if err != nil {
-		is.broken = err.Error()
-		if was.broken == "" {
+		current.lastError = err.Error()
+		if previous.lastError == "" {
 			d.Log.Warn("state can't be kept", zap.Error(err))
 		}
 	} else {
-		is.at = time.Now()
+		current.lastSavedAt = time.Now()
 	}
-	d.saved.Store(is)
+	d.saves.Store(current)
 }
 
 // Reload implements lifecycle.Actions.
 func (d *daemon) Reload() {
-	d.work.Go(func() {
-		refused := ""
+	d.wg.Go(func() {
+		rejection := ""
 		t, err := d.LoadTerms()
 		if err != nil {
-			refused = err.Error()
+			rejection = err.Error()
 		} else if plan, err := d.front.Renew(t); err != nil {
-			refused = err.Error()
+			rejection = err.Error()
 		} else {
-			if refused = strings.Join(plan.Rejections, "; "); refused == "" {
-				d.level(&t)
+			if rejection = strings.Join(plan.Rejections, "; "); rejection == "" {
+				d.applyLogLevel(&t)
 			}
 		}
-		if refused != "" {
-			d.Log.Error("settings refused; the old ones stay in force", zap.String("why", refused))
+		if rejection != "" {
+			d.Log.Error("settings rejected; the old ones stay in force", zap.String("why", rejection))
 		}
-		d.post(func() { d.life.Reloaded(refused) })
+		d.post(func() { d.machine.Reloaded(rejection) })
 	})
 }
 
-func (d *daemon) level(t *settings.Terms) {
+func (d *daemon) applyLogLevel(t *settings.Terms) {
 	if d.SetLogLevel != nil {
 		d.SetLogLevel(t.Log)
 	}
@@ -416,39 +423,41 @@
 // Drain implements lifecycle.Actions.
 func (d *daemon) Drain() {
 	d.Log.Info("draining", zap.Int("sessions", d.front.Sessions()), zap.Duration("at most", d.Options.DrainTimeout))
-	d.work.Go(func() {
-		d.front.Drain(d.over)
-		d.post(d.life.Drained)
+	d.wg.Go(func() {
+		d.front.Drain(d.ctx)
+		d.post(d.machine.Drained)
 	})
 }
 
 // EndSessions implements lifecycle.Actions.
 func (d *daemon) EndSessions() {
 	d.Log.Info("stopping", zap.Int("sessions", d.front.Sessions()))
-	d.work.Go(func() {
+	d.wg.Go(func() {
 		d.front.Close()
-		d.write(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.Last()})
+		d.save(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.Last()})
 		d.post(func() {
-			d.ended = true
-			d.life.SessionsEnded()
+			d.frontClosed = true
+			d.machine.SessionsEnded()
 		})
 	})
 }
 
 // Exit implements lifecycle.Actions.
-func (d *daemon) Exit(code lifecycle.ExitCode, why string) { d.exit, d.code, d.why = true, code, why }
+func (d *daemon) Exit(code lifecycle.ExitCode, reason string) {
+	d.exiting, d.exitCode, d.exitReason = true, code, reason
+}
 
-// stop gives everything back. A front that has not ended by then is left to the process's end.
-func (d *daemon) stop() {
+// shutdown releases all resources. If the front hasn't closed in time, they are left to the exit of the process.
+func (d *daemon) shutdown() {
 	d.cancel()
-	if d.front != nil && !d.ended {
+	if d.front != nil && !d.frontClosed {
 		return
 	}
-	d.work.Wait()
+	d.wg.Wait()
 	if d.store != nil {
 		d.store.Close()
 	}
-	for _, x := range d.sockets {
+	for _, x := range d.handoverFiles {
 		x.file.Close()
 	}
 	if d.folder != nil {
@@ -456,40 +465,41 @@
 	}
 }
 
-// watchers serves health and metrics.
-func (d *daemon) watchers(l net.Listener, reg *prometheus.Registry) {
+// serveAdmin serves health and metrics over HTTP.
+func (d *daemon) serveAdmin(l net.Listener, reg *prometheus.Registry) {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, r *http.Request) {
-		word := health.Evaluate(d.facts())
+		status := health.Evaluate(d.facts())
 		w.Header().Set("Content-Type", "application/json")
-		good := word.Ready
+		ok := status.Ready
 		if r.URL.Query().Get("of") == "live" {
-			good = word.Live
+			ok = status.Live
 		}
-		if !good {
+		if !ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		json.NewEncoder(w).Encode(word)
+		json.NewEncoder(w).Encode(status)
 	})
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
-	d.work.Go(func() { s.Serve(l) })
-	d.work.Go(func() {
-		<-d.over.Done()
+	d.wg.Go(func() { s.Serve(l) })
+	d.wg.Go(func() {
+		<-d.ctx.Done()
 		s.Close()
 	})
 }
 
-// loopTime is what the front's loop has to answer a question on its health.
-const loopTime = 500 * time.Millisecond
+// loopTimeout limits how long the front's loop may take to answer a health check.
+const loopTimeout = 500 * time.Millisecond
 
+// facts collects the input of the health evaluation.
 func (d *daemon) facts() health.Facts {
-	h := d.front.Facts(loopTime)
-	if s := d.said.Load(); s != nil {
-		h.State, h.Serving, h.ReloadError = s.state.String(), s.state == lifecycle.Serving, s.refused
+	h := d.front.Facts(loopTimeout)
+	if s := d.status.Load(); s != nil {
+		h.State, h.Serving, h.ReloadError = s.state.String(), s.state == lifecycle.Serving, s.reloadError
 	}
-	if s := d.saved.Load(); s != nil {
-		h.StateAge, h.StateError = time.Since(s.at).Seconds(), s.broken
+	if s := d.saves.Load(); s != nil {
+		h.StateAge, h.StateError = time.Since(s.lastSavedAt).Seconds(), s.lastError
 	}
 	return h
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -29,20 +29,20 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// process is a daemon within the test's.
+// process is a front's daemon that runs inside the test process.
 type process struct {
 	t             *testing.T
-	file          string
+	configPath    string
 	signals       chan os.Signal
 	listen, admin string
-	code          chan lifecycle.ExitCode
+	exitCode      chan lifecycle.ExitCode
 	err           error
 }
 
-func boxes(t *testing.T, n int) (list []*box.Box) {
-	began := time.Now()
+func startBoxes(t *testing.T, n int) (list []*box.Box) {
+	start := time.Now()
 	site := &box.Site{Ladder: []float64{100, 200}, Places: 100, Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1,
-		FPS: 50, Thin: 0.1, Keep: 2, Now: func() float64 { return time.Since(began).Seconds() }}
+		FPS: 50, Thin: 0.1, Keep: 2, Now: func() float64 { return time.Since(start).Seconds() }}
 	rack := box.NewRack(1e6)
 	for i := range n {
 		b, err := box.Start(site, i+1, "", 1e6, rack, false)
@@ -55,8 +55,8 @@
 	return list
 }
 
-// script writes settings: front is what front() is given beside its name and addresses, more is what follows.
-func script(t *testing.T, file, front, more string, list []*box.Box) {
+// writeConfig writes a settings file: front holds further arguments of front(), extra holds further statements.
+func writeConfig(t *testing.T, file, front, extra string, list []*box.Box) {
 	s := fmt.Sprintf(`front(name = "f", listen = "127.0.0.1:0", admin = "127.0.0.1:0"%s)
 kind(name = "large", places = 500)
 ladder(rates = [100, 200])
@@ -64,7 +64,7 @@
 fleet(links = 1000000, uplink = 1000000, cells = %d, racks = 1)
 title(name = "vents", span = %d)
 %s
-`, front, len(list), len(list), more)
+`, front, len(list), len(list), extra)
 	for i, b := range list {
 		s += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, b.Address)
 	}
@@ -73,10 +73,10 @@
 	}
 }
 
-func run(t *testing.T, file string) *process { return begin(t, file, false) }
+func startFront(t *testing.T, file string) *process { return startProcess(t, file, false) }
 
-func begin(t *testing.T, file string, upgrade bool) *process {
-	p := &process{t: t, file: file, signals: make(chan os.Signal, 4), code: make(chan lifecycle.ExitCode, 1)}
+func startProcess(t *testing.T, file string, upgrade bool) *process {
+	p := &process{t: t, configPath: file, signals: make(chan os.Signal, 4), exitCode: make(chan lifecycle.ExitCode, 1)}
 	up := make(chan struct{})
 	go func() {
 		code, err := Run(Options{LoadTerms: func() (settings.Terms, error) { return settings.ReadTerms(file) }, DrainTimeout: 20 * time.Second, Signals: p.signals,
@@ -85,109 +85,111 @@
 				close(up)
 			}})
 		p.err = err
-		p.code <- code
+		p.exitCode <- code
 	}()
 	select {
 	case <-up:
-	case c := <-p.code:
-		p.code <- c
+	case c := <-p.exitCode:
+		p.exitCode <- c
 	}
 	return p
 }
 
-func (p *process) watch(seconds float64) (player.Seen, error) {
+func (p *process) play(seconds float64) (player.Seen, error) {
 	return player.Watch(context.Background(), player.Want{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: seconds})
 }
 
-func (p *process) health() (w health.Status) {
+func (p *process) health() (status health.Status) {
 	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := c.Get("http://" + p.admin + "/health")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer r.Body.Close()
-	if err := json.NewDecoder(r.Body).Decode(&w); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&status); err != nil {
 		p.t.Fatal(err)
 	}
-	if (r.StatusCode == 200) != w.Ready {
-		p.t.Errorf("%d with %+v", r.StatusCode, w)
+	if (r.StatusCode == 200) != status.Ready {
+		p.t.Errorf("HTTP status %d with %+v", r.StatusCode, status)
 	}
-	return w
+	return status
 }
 
-func (p *process) eventually(what string, is func(w health.Status) bool) {
+func (p *process) waitForHealth(description string, condition func(w health.Status) bool) {
 	p.t.Helper()
-	for end := time.Now().Add(15 * time.Second); !is(p.health()); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(15 * time.Second); !condition(p.health()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not within 15 s: %s; %+v", what, p.health())
+			p.t.Fatalf("timed out after 15 s: %s; %+v", description, p.health())
 		}
 	}
 }
 
-func (p *process) end(want lifecycle.ExitCode) {
+func (p *process) requireExit(want lifecycle.ExitCode) {
 	p.t.Helper()
-	if c := <-p.code; c != want {
+	if c := <-p.exitCode; c != want {
 		p.t.Errorf("exit code %d (%v), want %d", c, p.err, want)
 	}
 }
 
-// Settings that are wrong, or need a restart, change nothing and are told; good ones take hold while a session plays.
+// Settings that are invalid or need a restart are rejected whole, and health reports the reason. Valid ones apply while a
+// session plays on.
 func TestReload(t *testing.T) {
-	list := boxes(t, 2)
+	list := startBoxes(t, 2)
 	file := filepath.Join(t.TempDir(), "front.star")
-	script(t, file, "", "", list)
-	p := run(t, file)
-	type end struct {
+	writeConfig(t, file, "", "", list)
+	p := startFront(t, file)
+	type result struct {
 		seen player.Seen
 		err  error
 	}
-	done := make(chan end, 1)
+	done := make(chan result, 1)
 	go func() {
-		seen, err := p.watch(4)
-		done <- end{seen, err}
+		seen, err := p.play(4)
+		done <- result{seen, err}
 	}()
-	p.eventually("ready", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
-	for _, c := range []struct{ front, more, say string }{
+	p.waitForHealth("ready", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
+	for _, c := range []struct{ front, extra, want string }{
 		{"", "group(", "front.star"},
 		{", tls_listen = \"127.0.0.1:0\", cert = \"c\", key = \"k\"", "", "needs a restart"},
 		{"", `group(name = "guides", start_target = 1, setup_timeout = 4)`, ""},
 	} {
-		script(t, file, c.front, c.more, list)
+		writeConfig(t, file, c.front, c.extra, list)
 		p.signals <- syscall.SIGHUP
-		p.eventually("reload: "+c.say, func(w health.Status) bool {
-			return w.Ready && strings.Contains(strings.Join(w.Degraded, ""), c.say) && (c.say == "") == (len(w.Degraded) == 0)
+		p.waitForHealth("reload: "+c.want, func(w health.Status) bool {
+			return w.Ready && strings.Contains(strings.Join(w.Degraded, ""), c.want) && (c.want == "") == (len(w.Degraded) == 0)
 		})
 	}
 	w := player.Want{Address: p.listen, Group: "guides", Title: "vents", SetupTimeout: 4, Watch: 0.2}
-	for end := time.Now().Add(15 * time.Second); ; { // health may have been told before the reload began
+	for end := time.Now().Add(15 * time.Second); ; { // the health status may be that of before the reload
 		if seen, _ := player.Watch(context.Background(), w); seen.Status == 200 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new group is not served")
+			t.Fatal("the new group is not served after the reload")
 		}
 	}
 	if e := <-done; e.err != nil || e.seen.Lost+e.seen.Doubled+e.seen.Jumps > 0 {
 		t.Errorf("the session that played: %+v %v", e.seen, e.err)
 	}
 	p.signals <- syscall.SIGTERM
-	p.end(lifecycle.ExitClean)
+	p.requireExit(lifecycle.ExitClean)
 }
 
-// A drain turns new requests away, is told by health, and ends with the last session; a second signal cuts.
-func TestDrainAndCut(t *testing.T) {
-	list := boxes(t, 1)
+// During a drain new requests get a busy reply and health reports draining; the process exits after the last session. A
+// second signal ends the sessions at once.
+func TestDrainAndForcedStop(t *testing.T) {
+	list := startBoxes(t, 1)
 	file := filepath.Join(t.TempDir(), "front.star")
-	script(t, file, "", "", list)
-	for _, cut := range []bool{false, true} {
-		p := run(t, file)
+	writeConfig(t, file, "", "", list)
+	for _, forced := range []bool{false, true} {
+		p := startFront(t, file)
 		playing, done := make(chan struct{}), make(chan error, 1)
 		go func() {
-			told := false
+			signaled := false
 			_, err := player.Watch(context.Background(), player.Want{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: 3,
 				Live: func(player.Seen) {
-					if !told {
-						told = true
+					if !signaled {
+						signaled = true
 						close(playing)
 					}
 				}})
@@ -195,26 +197,26 @@
 		}()
 		<-playing
 		p.signals <- syscall.SIGTERM
-		p.eventually("it drains", func(w health.Status) bool { return w.Live && !w.Ready && w.Reason == "draining" })
-		if seen, _ := p.watch(1); seen.Status != 503 || seen.RetryAfter == 0 {
-			t.Errorf("a new request: %+v", seen)
+		p.waitForHealth("health reports the drain", func(w health.Status) bool { return w.Live && !w.Ready && w.Reason == "draining" })
+		if seen, _ := p.play(1); seen.Status != 503 || seen.RetryAfter == 0 {
+			t.Errorf("new request during the drain: %+v, want 503 with Retry-After", seen)
 		}
-		if cut {
-			time.Sleep(250 * time.Millisecond) // a signal so soon after the first would be the same wish
+		if forced {
+			time.Sleep(250 * time.Millisecond) // a signal within 200 ms of the first is ignored as a duplicate
 			p.signals <- syscall.SIGTERM
-			p.end(lifecycle.ExitForced)
+			p.requireExit(lifecycle.ExitForced)
 			<-done
 			continue
 		}
 		if err := <-done; err != nil {
 			t.Errorf("the session that played: %v", err)
 		}
-		p.end(lifecycle.ExitClean)
+		p.requireExit(lifecycle.ExitClean)
 	}
 }
 
-func TestWhatKeepsAFrontFromStarting(t *testing.T) {
-	list := boxes(t, 1)
+func TestStartFailures(t *testing.T) {
+	list := startBoxes(t, 1)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "front.star")
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -222,45 +224,45 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	script(t, file, fmt.Sprintf(", state = %q", dir), "", list)
-	first := run(t, file)
+	writeConfig(t, file, fmt.Sprintf(", state = %q", dir), "", list)
+	first := startFront(t, file)
 	for name, c := range map[string]struct {
 		front string
 		code  lifecycle.ExitCode
-		say   string
+		want  string
 	}{
-		"the same name":   {fmt.Sprintf(", state = %q", dir), lifecycle.ExitStateFolder, "another front of this name is running"},
-		"no folder":       {fmt.Sprintf(", state = %q", dir+"/none"), lifecycle.ExitStateFolder, "no such file"},
-		"a file":          {fmt.Sprintf(", state = %q", file), lifecycle.ExitStateFolder, "not a folder"},
-		"a port is taken": {fmt.Sprintf(", tls_listen = %q, cert = %q, key = %q", taken.Addr(), dir+"/c", dir+"/k"), lifecycle.ExitFailed, "certificate"},
-		"a mistake":       {", colour = 1", lifecycle.ExitFailed, "no field colour"},
+		"same name":           {fmt.Sprintf(", state = %q", dir), lifecycle.ExitStateFolder, "another front of this name is running"},
+		"missing folder":      {fmt.Sprintf(", state = %q", dir+"/none"), lifecycle.ExitStateFolder, "no such file"},
+		"file, not folder":    {fmt.Sprintf(", state = %q", file), lifecycle.ExitStateFolder, "not a folder"},
+		"missing certificate": {fmt.Sprintf(", tls_listen = %q, cert = %q, key = %q", taken.Addr(), dir+"/c", dir+"/k"), lifecycle.ExitFailed, "certificate"},
+		"invalid settings":    {", colour = 1", lifecycle.ExitFailed, "no field colour"},
 	} {
 		other := filepath.Join(dir, "other.star")
-		script(t, other, c.front, "", list)
-		p := run(t, other)
-		p.end(c.code)
-		if p.err == nil || !strings.Contains(p.err.Error(), c.say) {
-			t.Errorf("%s: %v", name, p.err)
+		writeConfig(t, other, c.front, "", list)
+		p := startFront(t, other)
+		p.requireExit(c.code)
+		if p.err == nil || !strings.Contains(p.err.Error(), c.want) {
+			t.Errorf("%s: error %v, want one with %q", name, p.err, c.want)
 		}
 	}
 	other := filepath.Join(dir, "other.star")
 	s, _ := os.ReadFile(file)
 	os.WriteFile(other, []byte(strings.Replace(strings.Replace(string(s), `listen = "127.0.0.1:0"`, fmt.Sprintf("listen = %q", taken.Addr()), 1), `"f"`, `"g"`, 1)), 0o600)
-	p := run(t, other)
-	p.end(lifecycle.ExitAddressUnavailable)
+	p := startFront(t, other)
+	p.requireExit(lifecycle.ExitAddressUnavailable)
 	var op *net.OpError
 	if !errors.As(p.err, &op) {
-		t.Errorf("a port that is taken: %v", p.err)
+		t.Errorf("port in use: error %v, want a net.OpError", p.err)
 	}
 	first.signals <- syscall.SIGTERM
-	first.end(lifecycle.ExitClean)
+	first.requireExit(lifecycle.ExitClean)
 }
 
-// A front that was killed, or ended in order, has used of the ration what it has: with all boxes failing, the next one sends
-// no more further SETUPs within the window than are left.
-func TestTheRationOutlivesTheProcess(t *testing.T) {
+// With all boxes failing, a restarted front must not get a fresh retry budget: it may only send the retries that the last
+// process left of the window's budget, and none if that one was killed and may have used them unsaved.
+func TestRetryBudgetSurvivesRestart(t *testing.T) {
 	for _, killed := range []bool{false, true} {
-		list := boxes(t, 3)
+		list := startBoxes(t, 3)
 		for _, b := range list {
 			b.Errors(1000)
 		}
@@ -272,24 +274,24 @@
 		}
 		dir := t.TempDir()
 		file := filepath.Join(dir, "front.star")
-		const terms = "setups(most = 3, spare = 3, share = 0, window = 60)"
-		script(t, file, fmt.Sprintf(", state = %q", dir), terms, list)
-		p := run(t, file)
-		p.watch(1) // its SETUP and two further ones
+		const budget = "setups(most = 3, spare = 3, share = 0, window = 60)"
+		writeConfig(t, file, fmt.Sprintf(", state = %q", dir), budget, list)
+		p := startFront(t, file)
+		p.play(1) // the first SETUP and two retries
 		if n := setups(); n != 3 {
 			t.Fatalf("%d SETUPs", n)
 		}
-		from := dir
-		if killed { // what a killed process leaves is what stands in its file at that moment
-			from = t.TempDir()
-			p.eventually("it is kept", func(health.Status) bool { // a copy taken amid a write is none that a crash leaves
-				kept, _ := os.ReadFile(filepath.Join(dir, "f", "state.db"))
-				f, err := state.Open(from, "f")
+		stateDir := dir
+		if killed { // a killed process leaves the file as it is at that moment, so the file is copied while the front runs
+			stateDir = t.TempDir()
+			p.waitForHealth("the retries are saved", func(health.Status) bool { // a copy made during a write may be inconsistent, so it is retried
+				contents, _ := os.ReadFile(filepath.Join(dir, "f", "state.db"))
+				f, err := state.Open(stateDir, "f")
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer f.Close()
-				os.WriteFile(f.Path("state.db"), kept, 0o600)
+				os.WriteFile(f.Path("state.db"), contents, 0o600)
 				s, stored, found, _, err := f.Load()
 				if err != nil {
 					t.Fatal(err)
@@ -299,41 +301,42 @@
 			})
 		}
 		p.signals <- syscall.SIGTERM
-		p.end(lifecycle.ExitClean)
-		script(t, file, fmt.Sprintf(", state = %q", from), terms, list)
-		p = run(t, file)
-		was := setups()
+		p.requireExit(lifecycle.ExitClean)
+		writeConfig(t, file, fmt.Sprintf(", state = %q", stateDir), budget, list)
+		p = startFront(t, file)
+		before := setups()
 		for range 3 {
-			p.watch(1)
+			p.play(1)
 		}
-		want := int64(4) // one each, and the further one that was left
+		want := int64(4) // one first SETUP each, and the one retry left
 		if killed {
-			want = 3 // it may have been used
+			want = 3 // the killed front may have used the last retry
 		}
-		if n := setups() - was; n != want {
+		if n := setups() - before; n != want {
 			t.Errorf("killed %v: %d SETUPs for three requests, want %d", killed, n, want)
 		}
 		p.signals <- syscall.SIGTERM
-		p.end(lifecycle.ExitClean)
+		p.requireExit(lifecycle.ExitClean)
 	}
 }
 
-// The next process takes the sockets while viewers come: none is refused a connection or turned away, what plays goes on
-// at the old one, and the ration and the folder go over. One that fails its own check changes nothing.
+// A new process takes the sockets over while viewers connect. No connection may be refused and at most one request turned
+// away; playing sessions continue on the old process, and the learned state and the folder move to the new one. A new process
+// that fails to prepare must leave the old one unaffected.
 func TestUpgradeInService(t *testing.T) {
-	list := boxes(t, 2)
+	list := startBoxes(t, 2)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "front.star")
 	front := fmt.Sprintf(", state = %q", dir)
-	script(t, file, front, "", list)
-	old := run(t, file)
+	writeConfig(t, file, front, "", list)
+	old := startFront(t, file)
 	playing, done := make(chan struct{}), make(chan error, 1)
 	go func() {
-		told := false
+		signaled := false
 		seen, err := player.Watch(context.Background(), player.Want{Address: old.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: 5,
 			Live: func(player.Seen) {
-				if !told {
-					told = true
+				if !signaled {
+					signaled = true
 					close(playing)
 				}
 			}})
@@ -343,20 +346,20 @@
 		done <- err
 	}()
 	<-playing
-	upgrade := func(file string) *process { return begin(t, file, true) }
-	wrong := filepath.Join(dir, "wrong.star")
-	for _, c := range []struct{ front, more, say string }{
-		{front, "group(", "wrong.star"},
+	upgrade := func(file string) *process { return startProcess(t, file, true) }
+	invalid := filepath.Join(dir, "invalid.star")
+	for _, c := range []struct{ front, extra, want string }{
+		{front, "group(", "invalid.star"},
 		{front + `, tls_listen = "127.0.0.1:0", cert = "c", key = "k"`, "", "certificate"},
 	} {
-		script(t, wrong, c.front, c.more, list)
-		p := upgrade(wrong)
-		if p.end(lifecycle.ExitFailed); p.err == nil || !strings.Contains(p.err.Error(), c.say) {
-			t.Errorf("%v", p.err)
+		writeConfig(t, invalid, c.front, c.extra, list)
+		p := upgrade(invalid)
+		if p.requireExit(lifecycle.ExitFailed); p.err == nil || !strings.Contains(p.err.Error(), c.want) {
+			t.Errorf("error %v, want one with %q", p.err, c.want)
 		}
 	}
 	if w := old.health(); !w.Ready {
-		t.Fatalf("after upgrades that failed: %+v", w)
+		t.Fatalf("health after failed upgrades: %+v", w)
 	}
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	served, refused := 0, []string(nil)
@@ -368,7 +371,7 @@
 				return
 			default:
 			}
-			if seen, err := old.watch(0.01); err != nil || seen.Status != 200 {
+			if seen, err := old.play(0.01); err != nil || seen.Status != 200 {
 				refused = append(refused, fmt.Sprintf("%d %v", seen.Status, err))
 			}
 			served++
@@ -376,71 +379,71 @@
 	}()
 	next := upgrade(file)
 	if next.listen != old.listen || next.admin != old.admin {
-		t.Fatalf("other sockets: %q and %q, %v", next.listen, old.listen, next.err)
+		t.Fatalf("the new process listens on %q, the old one on %q; error %v", next.listen, old.listen, next.err)
 	}
-	old.end(lifecycle.ExitClean) // its last session is over
+	old.requireExit(lifecycle.ExitClean) // once its last session has ended
 	if err := <-done; err != nil {
 		t.Errorf("the session that played: %v", err)
 	}
 	close(stop)
 	<-stopped
-	if len(refused) > 1 || served < 20 { // one whose SETUP met the old process as it stopped is told to come back
-		t.Errorf("%d served; %q", served, refused)
+	if len(refused) > 1 || served < 20 { // one SETUP may reach the old process as it stops, and gets a busy reply
+		t.Errorf("%d requests, turned away: %q", served, refused)
 	}
-	next.eventually("the next one is well", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
+	next.waitForHealth("the new process is ready", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
 	third := upgrade(file)
-	next.end(lifecycle.ExitClean)
-	if seen, err := third.watch(0.2); err != nil || seen.Status != 200 {
+	next.requireExit(lifecycle.ExitClean)
+	if seen, err := third.play(0.2); err != nil || seen.Status != 200 {
 		t.Errorf("after the second upgrade: %+v %v", seen, err)
 	}
 	third.signals <- syscall.SIGTERM
-	third.end(lifecycle.ExitClean)
-	again := run(t, file) // the folder is free, and what was kept can be read
+	third.requireExit(lifecycle.ExitClean)
+	again := startFront(t, file) // the folder's lock is free and the saved state is readable
 	again.signals <- syscall.SIGTERM
-	again.end(lifecycle.ExitClean)
+	again.requireExit(lifecycle.ExitClean)
 	p := upgrade(file)
-	p.end(lifecycle.ExitStateFolder)
+	p.requireExit(lifecycle.ExitStateFolder)
 }
 
-// A process that takes the sockets and ends before it serves leaves everything as it was.
-func TestUpgradeThatDies(t *testing.T) {
-	list := boxes(t, 1)
+// A new process that exits after take or after ready, before it serves, must leave the old one serving.
+func TestAbortedUpgrade(t *testing.T) {
+	list := startBoxes(t, 1)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "front.star")
-	script(t, file, fmt.Sprintf(", state = %q", dir), "", list)
-	p := run(t, file)
+	writeConfig(t, file, fmt.Sprintf(", state = %q", dir), "", list)
+	p := startFront(t, file)
 	for _, ready := range []bool{false, true} {
-		x, err := take(filepath.Join(dir, "f", socket))
+		x, err := requestTakeover(filepath.Join(dir, "f", upgradeSocket))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if ready {
-			if _, err := x.ready(); err != nil {
+			if _, err := x.sendReady(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		x.drop()
+		x.close()
 		for end := time.Now().Add(10 * time.Second); ; {
-			if seen, _ := p.watch(0.1); seen.Status == 200 {
+			if seen, _ := p.play(0.1); seen.Status == 200 {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("ready %v: the old process does not serve", ready)
+				t.Fatalf("the old process does not serve after an upgrade aborted with ready sent: %v", ready)
 			}
 		}
 	}
-	p.eventually("it is well", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
+	p.waitForHealth("the old process is ready", func(w health.Status) bool { return w.Ready && len(w.Degraded) == 0 })
 	p.signals <- syscall.SIGTERM
-	p.end(lifecycle.ExitClean)
+	p.requireExit(lifecycle.ExitClean)
 }
 
-// People ask a front over its socket: what it holds, why a session is where it is, and have it read its settings and drain.
+// Exercises every method of the control socket on a front with one playing session.
 func TestControl(t *testing.T) {
-	list := boxes(t, 2)
+	list := startBoxes(t, 2)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "front.star")
-	script(t, file, fmt.Sprintf(", state = %q", dir), "", list)
-	p := run(t, file)
+	writeConfig(t, file, fmt.Sprintf(", state = %q", dir), "", list)
+	p := startFront(t, file)
 	ask := func(method string, in map[string]any) map[string]any {
 		t.Helper()
 		out, err := control.Call(context.Background(), filepath.Join(dir, "f", ControlSocket), method, in)
@@ -451,7 +454,7 @@
 	}
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.watch(3)
+		_, err := p.play(3)
 		done <- err
 	}()
 	var id string
@@ -459,13 +462,13 @@
 		if l, _ := ask("Sessions", nil)["sessions"].([]any); len(l) == 1 && l[0].(map[string]any)["playing"] == true {
 			id = l[0].(map[string]any)["id"].(string)
 		} else if time.Now().After(end) {
-			t.Fatal("the session is not listed")
+			t.Fatal("the playing session is not listed")
 		}
 	}
 	if l := fmt.Sprint(ask("Explain", map[string]any{"session": id})["lines"]); !strings.Contains(l, "SETUP to box") || !strings.Contains(l, "2 holders") {
 		t.Error(l)
 	}
-	if _, err := control.Call(context.Background(), filepath.Join(dir, "f", ControlSocket), "Explain", map[string]any{"session": "none"}); err == nil || !strings.Contains(err.Error(), "nothing is kept") {
+	if _, err := control.Call(context.Background(), filepath.Join(dir, "f", ControlSocket), "Explain", map[string]any{"session": "none"}); err == nil || !strings.Contains(err.Error(), "no record of session") {
 		t.Error(err)
 	}
 	if s := ask("Status", nil); s["front"] != "f" || s["state"] != "serving" || s["sessions"] != 1.0 {
@@ -474,12 +477,12 @@
 	if l, _ := ask("Boxes", nil)["boxes"].([]any); len(l) != 2 {
 		t.Error(l)
 	}
-	script(t, file, fmt.Sprintf(", state = %q", dir), "group(", list)
+	writeConfig(t, file, fmt.Sprintf(", state = %q", dir), "group(", list)
 	ask("Reload", nil)
-	p.eventually("the reload is refused", func(w health.Status) bool { return len(w.Degraded) == 1 })
+	p.waitForHealth("health reports the rejected reload", func(w health.Status) bool { return len(w.Degraded) == 1 })
 	ask("Drain", nil)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	p.end(lifecycle.ExitClean)
+	p.requireExit(lifecycle.ExitClean)
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -16,94 +16,97 @@
 	"rainhaven/choice/lifecycle"
 )
 
-// An upgrade in service moves a front's listening sockets to another process of the same instance, over a unix socket in the
-// instance's folder that only its user may open. The words, a line each:
+// An upgrade hands a front's listening sockets to a new process of the same instance, over a unix socket in the instance's
+// folder that only the process's user may open. The protocol is line-based:
 //
-//	new: take                       old: a JSON list of what the files sent along are: listeners by use, the folder's lock
-//	new: ready                      it has checked all that can fail; the old one stops taking viewers and ordering SETUPs
-//	                                old: what its module has learned, in JSON
-//	new: serving                    the old one drains
+//	new: take       requests the sockets
+//	old:            JSON list with the use of each descriptor sent along: the listeners and the folder's lock
+//	new: ready      everything that can fail has succeeded; the old process stops accepting viewers and sending SETUPs
+//	old:            JSON snapshot of the state that its choice module has learned
+//	new: serving    the old process drains
 //
-// Until ready the old one serves as if nothing were; where the new one ends or errs before serving, it goes on. Viewers who
-// connect between ready and serving wait in the sockets' queues.
+// The old process serves normally until it receives ready, and resumes service if the new one exits or fails before it sends
+// serving. Viewers who connect between ready and serving wait in the sockets' accept queues.
 const (
-	// takeTime is how long the new process may take to check itself: settings, certificates and the rest take well under a
-	// second.
-	takeTime = 10 * time.Second
-	// switchTime is how long viewers may wait in the queues of sockets that nobody serves. The new process has only to read a
-	// memory; past this the old one takes them back.
-	switchTime = 2 * time.Second
+	// prepareTimeout limits the time between take and ready, in which the new process loads settings and certificates. That
+	// takes well under a second.
+	prepareTimeout = 10 * time.Second
+	// switchTimeout limits the time between ready and serving, in which viewers wait in the accept queues. The new process has
+	// only to read a snapshot; after the timeout the old process resumes service.
+	switchTimeout = 2 * time.Second
 )
 
+// The uses of the descriptors that are sent, as named in the protocol.
 const (
-	forViewers = "viewers"
-	forTLS     = "viewers over TLS"
-	forAdmin   = "health and metrics"
-	forLock    = "lock"
+	useViewers = "viewers"
+	useTLS     = "viewers over TLS"
+	useAdmin   = "health and metrics"
+	useLock    = "lock"
 )
 
-// given is a file that goes to the next process, and its use.
-type given struct {
+// handoverFile is a descriptor that is sent to the next process.
+type handoverFile struct {
 	use  string
 	file *os.File
 }
 
-// upgrades answers processes that want to take over, one at a time.
-func (d *daemon) upgrades(l *net.UnixListener) {
+// serveUpgrades handles processes that request a takeover, one at a time.
+func (d *daemon) serveUpgrades(l *net.UnixListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
 			return
 		}
-		if err := d.give(c); err != nil {
+		if err := d.handOver(c); err != nil {
 			d.Log.Warn("an upgrade came to nothing; this process goes on", zap.Error(err))
 		}
 		c.Close()
 	}
 }
 
-func expect(r *bufio.Reader, word string) error {
+// expectLine reads a line and returns an error unless it is the one wanted.
+func expectLine(r *bufio.Reader, want string) error {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return err
 	}
-	if line != word+"\n" {
-		return fmt.Errorf("%.40q in place of %s", line, word)
+	if line != want+"\n" {
+		return fmt.Errorf("received %.40q, want %s", line, want)
 	}
 	return nil
 }
 
-// give hands the sockets to another process.
-func (d *daemon) give(c *net.UnixConn) error {
-	c.SetDeadline(time.Now().Add(takeTime))
+// handOver runs the old process's side of an upgrade.
+func (d *daemon) handOver(c *net.UnixConn) error {
+	c.SetDeadline(time.Now().Add(prepareTimeout))
 	r := bufio.NewReader(c)
-	if err := expect(r, "take"); err != nil {
+	if err := expectLine(r, "take"); err != nil {
 		return err
 	}
-	var names []string
+	var uses []string
 	var fds []int
-	for _, x := range d.sockets {
-		// Not by Fd, which may have the socket block, here and in the other process alike.
+	for _, x := range d.handoverFiles {
+		// File.Fd could put the socket into blocking mode, here and in the other process, as the two share the open file.
 		raw, err := x.file.SyscallConn()
 		if err != nil {
 			return err
 		}
-		raw.Control(func(fd uintptr) { names, fds = append(names, x.use), append(fds, int(fd)) })
+		raw.Control(func(fd uintptr) { uses, fds = append(uses, x.use), append(fds, int(fd)) })
 	}
-	list, err := json.Marshal(names)
+	list, err := json.Marshal(uses)
 	if err != nil {
 		return err
 	}
 	if _, _, err := c.WriteMsgUnix(append(list, '\n'), syscall.UnixRights(fds...), nil); err != nil {
 		return err
 	}
-	if err := expect(r, "ready"); err != nil {
+	if err := expectLine(r, "ready"); err != nil {
 		return err
 	}
-	c.SetDeadline(time.Now().Add(switchTime))
-	m, ok := d.front.Halt()
+	c.SetDeadline(time.Now().Add(switchTimeout))
+	snapshot, ok := d.front.Halt()
 	if !ok {
-		return errors.New("the front has ended")
+		return errors.New("the front is closed")
 	}
 	d.storeMu.Lock()
 	defer d.storeMu.Unlock()
@@ -111,65 +114,65 @@
 		d.store.Close()
 		d.store = nil
 	}
-	err = json.NewEncoder(c).Encode(m)
+	err = json.NewEncoder(c).Encode(snapshot)
 	if err == nil {
-		err = expect(r, "serving")
+		err = expectLine(r, "serving")
 	}
 	if err != nil {
-		d.back(m)
+		d.resumeService(snapshot)
 		return err
 	}
 	d.Log.Info("another process has taken over")
-	d.post(d.life.TakenOver)
+	d.post(d.machine.TakenOver)
 	return nil
 }
 
-// back serves the sockets again.
-func (d *daemon) back(m choice.Snapshot) {
+// resumeService reopens the state file and serves the sockets again after a failed upgrade.
+func (d *daemon) resumeService(snapshot choice.Snapshot) {
 	if s, _, _, _, err := d.folder.Load(); err == nil {
 		d.store = s
 	} else {
-		d.kept(err)
+		d.recordSave(err)
 	}
 	d.front.Resume()
-	for _, x := range d.sockets {
-		if x.use != forViewers && x.use != forTLS {
+	for _, x := range d.handoverFiles {
+		if x.use != useViewers && x.use != useTLS {
 			continue
 		}
 		l, err := net.FileListener(x.file)
 		if err != nil {
-			d.post(func() { d.life.Failed(lifecycle.ExitFailed, "taking sockets back: "+err.Error()) })
+			d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "serving again after a failed upgrade: "+err.Error()) })
 			return
 		}
 		d.serve(x.use, l)
 	}
 }
 
-// serve serves one of the listeners that can be given away.
+// serve accepts viewers on a listener in the background.
 func (d *daemon) serve(use string, l net.Listener) {
 	switch use {
-	case forViewers:
-		d.work.Go(func() { d.served(d.front.Serve(l)) })
-	case forTLS:
-		d.work.Go(func() { d.served(d.front.ServeTLS(l, d.files.ServerConfig())) })
+	case useViewers:
+		d.wg.Go(func() { d.listenerStopped(d.front.Serve(l)) })
+	case useTLS:
+		d.wg.Go(func() { d.listenerStopped(d.front.ServeTLS(l, d.viewerCert.ServerConfig())) })
 	}
 }
 
-// taking is the new process's side.
-type taking struct {
-	c     *net.UnixConn
-	r     *bufio.Reader
-	files map[string]*os.File // by use; closed as they are used
+// takeover is the new process's side of an upgrade.
+type takeover struct {
+	conn   *net.UnixConn
+	reader *bufio.Reader
+	files  map[string]*os.File // by use
 }
 
-// take asks the process that runs for its sockets.
-func take(path string) (*taking, error) {
+// requestTakeover connects to the running process and receives its sockets and lock.
+func requestTakeover(path string) (*takeover, error) {
 	raw, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
-		return nil, fmt.Errorf("no front to take over from: %w", err)
+		return nil, fmt.Errorf("no running front to take over from: %w", err)
 	}
-	t := &taking{c: raw, files: map[string]*os.File{}}
-	raw.SetDeadline(time.Now().Add(takeTime))
+	t := &takeover{conn: raw, files: map[string]*os.File{}}
+	raw.SetDeadline(time.Now().Add(prepareTimeout))
 	if _, err := raw.Write([]byte("take\n")); err != nil {
 		return nil, err
 	}
@@ -179,31 +182,31 @@
 		raw.Close()
 		return nil, fmt.Errorf("taking over: %w", err)
 	}
-	var names []string
-	if err := json.Unmarshal(b[:n], &names); err != nil {
+	var uses []string
+	if err := json.Unmarshal(b[:n], &uses); err != nil {
 		raw.Close()
 		return nil, fmt.Errorf("taking over: %w", err)
 	}
 	messages, err := syscall.ParseSocketControlMessage(oob[:on])
 	if err != nil || len(messages) == 0 {
 		raw.Close()
-		return nil, fmt.Errorf("taking over: no sockets came: %v", err)
+		return nil, fmt.Errorf("taking over: no sockets were received: %v", err)
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
-	if err != nil || len(fds) != len(names) {
+	if err != nil || len(fds) != len(uses) {
 		raw.Close()
-		return nil, fmt.Errorf("taking over: %d sockets for %d uses: %v", len(fds), len(names), err)
+		return nil, fmt.Errorf("taking over: %d sockets for %d uses: %v", len(fds), len(uses), err)
 	}
 	for i, fd := range fds {
 		syscall.CloseOnExec(fd)
-		t.files[names[i]] = os.NewFile(uintptr(fd), names[i])
+		t.files[uses[i]] = os.NewFile(uintptr(fd), uses[i])
 	}
-	t.r = bufio.NewReader(raw)
+	t.reader = bufio.NewReader(raw)
 	return t, nil
 }
 
-// listener makes one of the sockets a listener; nil where there is none for that use.
-func (t *taking) listener(use string) (net.Listener, error) {
+// listener returns the listener received for a use, or nil if there is none.
+func (t *takeover) listener(use string) (net.Listener, error) {
 	f := t.files[use]
 	if f == nil {
 		return nil, nil
@@ -211,30 +214,31 @@
 	return net.FileListener(f)
 }
 
-// drop gives up: the process that runs goes on.
-func (t *taking) drop() {
+// close closes the connection and the received files. Before sendServing it aborts the upgrade, and the running process
+// resumes service.
+func (t *takeover) close() {
 	for _, f := range t.files {
 		f.Close()
 	}
-	t.c.Close()
+	t.conn.Close()
 }
 
-// ready has the process that runs stop, and gives what its module learned.
-func (t *taking) ready() (m choice.Snapshot, err error) {
-	t.c.SetDeadline(time.Now().Add(switchTime))
-	if _, err := t.c.Write([]byte("ready\n")); err != nil {
-		return m, err
+// sendReady has the running process stop accepting viewers, and returns its learned state.
+func (t *takeover) sendReady() (snapshot choice.Snapshot, err error) {
+	t.conn.SetDeadline(time.Now().Add(switchTimeout))
+	if _, err := t.conn.Write([]byte("ready\n")); err != nil {
+		return snapshot, err
 	}
-	line, err := t.r.ReadBytes('\n')
+	line, err := t.reader.ReadBytes('\n')
 	if err != nil {
-		return m, err
+		return snapshot, err
 	}
-	return m, json.Unmarshal(line, &m)
+	return snapshot, json.Unmarshal(line, &snapshot)
 }
 
-// serving ends the upgrade.
-func (t *taking) serving() error {
-	_, err := t.c.Write([]byte("serving\n"))
-	t.c.Close()
+// sendServing completes the upgrade: the old process drains.
+func (t *takeover) sendServing() error {
+	_, err := t.conn.Write([]byte("serving\n"))
+	t.conn.Close()
 	return err
 }
