--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -12,7 +12,7 @@
 	"rainhaven/internal/wire"
 )
 
-// actions carries out what the module decides.
+// actions carries out the module's decisions.
 type actions struct{ n *Node }
 
 func (a actions) SetRung(id choice.SessID, rung int) {
@@ -37,7 +37,7 @@
 		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
-	n.log.Debug("setup", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", wait))
+	n.log.Debug("SETUP ordered", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", wait))
 	if !n.guard.StartAttempt(n.now, s.id) {
 		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
@@ -49,13 +49,14 @@
 	n.dispatchSetup(s)
 }
 
-func (a actions) BusyReply(id choice.SessID, comeBack float64) {
-	a.finalAnswer(id, rtsp.ServiceUnavailable, comeBack)
+func (a actions) BusyReply(id choice.SessID, retryAfter float64) {
+	a.finalAnswer(id, rtsp.ServiceUnavailable, retryAfter)
 }
 
 func (a actions) FailureReply(id choice.SessID) { a.finalAnswer(id, rtsp.InternalError, 0) }
 
-func (a actions) finalAnswer(id choice.SessID, status int, comeBack float64) {
+// finalAnswer refuses a request and forgets its session.
+func (a actions) finalAnswer(id choice.SessID, status int, retryAfter float64) {
 	n := a.n
 	s := n.sessions[string(id)]
 	if s == nil {
@@ -63,16 +64,16 @@
 	}
 	n.counts[fmt.Sprintf("answer %d", status)]++
 	if n.log.Core().Enabled(zap.DebugLevel) {
-		act := decisionlog.BusyReplied
+		kind := decisionlog.BusyReplied
 		if status == rtsp.InternalError {
-			act = decisionlog.Failed
+			kind = decisionlog.Failed
 		}
-		st, _ := n.front.Explain(id)
-		why := decisionlog.Explain([]decisionlog.Entry{{At: n.now, Session: id, Kind: act, Seconds: comeBack, Snapshot: st, HolderCount: len(st.Holders)}})
-		n.log.Debug("refused", str("sess", s.id), num("status", status), zap.Strings("why", why))
+		snapshot, _ := n.front.Explain(id)
+		reasons := decisionlog.Explain([]decisionlog.Entry{{At: n.now, Session: id, Kind: kind, Seconds: retryAfter, Snapshot: snapshot, HolderCount: len(snapshot.Holders)}})
+		n.log.Debug("request refused", str("sess", s.id), num("status", status), zap.Strings("why", reasons))
 	}
 	s.history.add(n.now, stepAnswered, strconv.Itoa(status))
-	n.refuse(s.client, s.id, status, comeBack)
+	n.refuse(s.client, s.id, status, retryAfter)
 	n.removeSession(s)
 }
 
@@ -86,7 +87,7 @@
 	n.notifyModule(wire.Event{Kind: wire.ProbeEnded, Server: number, Outcome: choice.NoConnection, Report: noReport})
 }
 
-// SendMessage does nothing: the platform gives fronts no way to find each other.
+// SendMessage does nothing: on this platform fronts cannot find each other.
 func (a actions) SendMessage(int, []byte) {}
 
 func (a actions) SetTimer(after float64) { a.n.wakeAt = a.n.now + after }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// SIGKILL comes 0.15 s after the drain's end at the earliest (share.DrainSeconds): all three together take less.
+// Together these take less than 0.15 s: SIGKILL follows the end of the drain after that at the earliest (share.DrainSeconds).
 const (
-	// flushTimeout is how long answers that are queued at the exit may take to leave.
+	// flushTimeout bounds the wait until the answers that are queued at the exit are written.
 	flushTimeout = 50 * time.Millisecond
-	// stopReadersTimeout is how long the readers of clients' connections may take to hand over what they have read.
+	// stopReadersTimeout bounds the wait until the readers of client connections have stopped.
 	stopReadersTimeout = 30 * time.Millisecond
-	// forceCloseTimeout is how long, once all is answered, a client that does not read may hold up the exit.
+	// forceCloseTimeout bounds how long a client that does not read delays the exit after everything is answered.
 	forceCloseTimeout = 40 * time.Millisecond
 )
 
-// shutDown answers what is open at the exit and closes the clients' connections. What was read and ends without its answer is
-// lost, so it hears from every reader before the last answers: first all that is open is answered, while requests still
-// come, then each reader stops and hands over what it has, then that is answered too and the connections are closed.
+// shutDown answers the open requests at the exit and closes the client connections. A request that was read must not go
+// unanswered, so every reader is drained before the last answers: first the open requests are answered while further ones may
+// arrive, then each reader stops and posts what it has read, then that is answered too and the connections are closed.
 func (n *Node) shutDown() {
 	n.updateClock()
 	n.front.SetTime(n.now)
@@ -38,12 +38,12 @@
 	}
 }
 
-// serveUntil takes events as the loop does, until done or for so long.
+// serveUntil handles events as the loop does, until done or until the limit has passed.
 func (n *Node) serveUntil(limit time.Duration, done func() bool) {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
-	look := time.NewTicker(time.Millisecond) // for what no event tells: bytes that were written
-	defer look.Stop()
+	poll := time.NewTicker(time.Millisecond) // written bytes post no event
+	defer poll.Stop()
 	for !done() {
 		select {
 		case e := <-n.events:
@@ -51,14 +51,14 @@
 			n.front.SetTime(n.now)
 			e.do()
 			n.reconcile()
-		case <-look.C:
+		case <-poll.C:
 		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// answerOpenRequests gives up every attempt that is out; the module words the answers.
+// answerOpenRequests times out every SETUP in flight; the module decides the answers.
 func (n *Node) answerOpenRequests() {
 	if n.openRequests == 0 {
 		return
@@ -77,7 +77,7 @@
 	n.reconcile()
 }
 
-// acceptStopped tells whether no further connection will be acceptStopped.
+// acceptStopped reports whether the accept loop has ended.
 func (n *Node) acceptStopped() bool {
 	select {
 	case <-n.acceptDone:
@@ -87,16 +87,17 @@
 	}
 }
 
-// clientsFlushed tells whether all that was queued for clients has been written.
+// clientsFlushed reports whether everything queued for clients has been written.
 func (n *Node) clientsFlushed() bool {
 	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.isFlushed() })
 }
 
+// readersStopped reports whether the readers of all client connections have stopped.
 func (n *Node) readersStopped() bool {
 	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.stopped })
 }
 
-// closeClients closes the clients' connections once what is queued on them was written.
+// closeClients closes the client connections once what is queued on them is written, at the latest after forceCloseTimeout.
 func (n *Node) closeClients() {
 	for _, v := range n.clients {
 		n.guard.Close(v.peer(), v.Pending, v.stopped)
--- a/internal/node/history.go
+++ b/internal/node/history.go
@@ -10,10 +10,9 @@
 	"rainhaven/choice"
 )
 
-// stepKind is the kind of a step in a request's history.
+// stepKind is the kind of a step in a request's history, as logged.
 type stepKind string
 
-// The steps, as logs name them.
 const (
 	stepRead           stepKind = "read"
 	stepAttempt        stepKind = "attempt"
@@ -27,7 +26,7 @@
 	stepClientClosed   stepKind = "client's connection ended"
 )
 
-// step is one thing that happened to a request.
+// step is one event in the life of a request.
 type step struct {
 	at     float64
 	kind   stepKind
@@ -35,27 +34,27 @@
 }
 
 const (
-	// maxSteps is how many steps of one request are kept.
+	// maxSteps bounds the steps kept per request; later ones are dropped.
 	maxSteps = 16
-	// quickReleaseSeconds is how soon after its answer a session's end is worth a line in the log.
+	// quickReleaseSeconds is how soon after its answer the end of a session counts as unusual.
 	quickReleaseSeconds = 0.25
 )
 
-// history is what happened to one request, in order. It is logged in one line where the request ended otherwise than
-// by a usual answer, so that the log of a busy process holds the requests of minutes that somebody may ask about.
+// history records the steps of one request in order. It is logged, in one line, only for requests that ended unusually, so that
+// even a short log of a busy process covers minutes of the requests that an investigation may need.
 type history struct {
-	steps   []step // at most mostSteps
-	unusual bool   // worth a line in the log
+	steps   []step // at most maxSteps
+	unusual bool   // ended otherwise than by a usual answer: is logged
 }
 
-// add adds a step.
+// add appends a step.
 func (h *history) add(at float64, kind stepKind, detail string) {
 	if len(h.steps) < maxSteps {
 		h.steps = append(h.steps, step{at, kind, detail})
 	}
 }
 
-// String gives the steps with their instants in seconds since the first.
+// String lists the steps, each with its time in seconds since the first.
 func (h *history) String() string {
 	var b strings.Builder
 	for i, s := range h.steps {
@@ -73,16 +72,16 @@
 	return b.String()
 }
 
-// logHistory logs what happened to a request, where that was unusual.
-func (n *Node) logHistory(s *session, why string) {
+// logHistory logs the history of a request if it is unusual, and clears it.
+func (n *Node) logHistory(s *session, reason string) {
 	if !s.history.unusual || len(s.history.steps) == 0 || !n.log.Core().Enabled(zapcore.InfoLevel) {
 		return
 	}
-	n.log.Info("request trace", str("sess", s.id), str("class", s.class), str("why", why), zap.Float64("began", s.history.steps[0].at), str("steps", s.history.String()))
+	n.log.Info("request trace", str("sess", s.id), str("class", s.class), str("why", reason), zap.Float64("began", s.history.steps[0].at), str("steps", s.history.String()))
 	s.history = history{}
 }
 
-// outcomeNames are the outcomes of attempts, as logs name them.
+// outcomeNames are the outcomes of SETUPs, as logged.
 var outcomeNames = map[choice.Outcome]string{choice.Full: "full", choice.ServerError: "server error", choice.TimedOut: "timed out", choice.Reset: "reset",
 	choice.NoConnection: "no connection", choice.Unsent: "never sent", choice.Cancelled: "cancelled", choice.EndedUnanswered: "departed"}
 
@@ -93,12 +92,12 @@
 	return strconv.Itoa(int(o))
 }
 
-// answerDetail tells whether an answer that ends at a place of its client's connection has left.
-func answerDetail(v *client, ends int64) string {
+// answerDetail describes whether an answer that ends at a byte offset of its client's connection has been sent.
+func answerDetail(v *client, end int64) string {
 	switch {
-	case ends < 0:
+	case end < 0:
 		return "200 not taken by the connection"
-	case v.left() < ends:
+	case v.left() < end:
 		return "200 queued"
 	}
 	return "200 written"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
-// Package node is the platform's front node: it carries out the module's decisions on the platform's protocol, clients
-// on one side, servers and the coordinator on the other.
+// Package node implements the platform's front node. It carries out the decisions of package choice (the module) over the
+// platform's protocol, between clients on one side and servers and the coordinator on the other.
 //
-// One goroutine owns the module and all tables; others read, write and dial, and hand it what happened over one bounded
-// queue. What waits there is taken as one batch and settled once, as the simulator's host does. The table of messages is
-// in docs/node.md.
+// One goroutine, the event loop, owns the module and all tables. Other goroutines read, write and dial, and post events to
+// the loop over one bounded queue. The loop takes all queued events as one batch and reconciles once per batch, as the
+// simulator's host does. docs/node.md lists the messages.
 package node
 
 import (
@@ -27,38 +27,38 @@
 	"rainhaven/internal/wire"
 )
 
-// sessionState is where a session stands between its client and its server.
+// sessionState is the stage that a session has reached.
 type sessionState int
 
 const (
-	pending     sessionState = iota // the module holds it; an answer is owed
-	attempting                      // a SETUP is out at a server, or waits for its connection; an answer is owed
-	established                     // answered; its release is owed
+	pending     sessionState = iota // no SETUP is in flight; the final answer is due
+	attempting                      // a SETUP is in flight, or waits for its connection; the final answer is due
+	established                     // answered; its release is due
 )
 
-// session is one from its SETUP to its end.
+// session is a client's session, from its SETUP to its end.
 type session struct {
 	ask
 	state                sessionState
-	client               *client     // nil once its connection is gone
-	server               *server     // of the SETUP that is out, or where it stands
-	conn                 *serverConn // of the SETUP that is out
-	setupStart, setupEnd int64       // where on it the SETUP begins and ends; below 0 where it is not written
-	setupDeadline        float64     // the SETUP is waited for
+	client               *client     // nil once its connection has closed
+	server               *server     // of the SETUP in flight, or of the established session
+	conn                 *serverConn // of the SETUP in flight
+	setupStart, setupEnd int64       // byte offsets of the SETUP in all that conn sends; below 0 if it was not queued
+	setupDeadline        float64     // when the SETUP times out, on the node's clock
 	setupTimer           *timeout
 	rung                 int
-	answerEnd            int64          // where the answer ends on the client's connection
-	resends              int            // how often its SETUP, of which nothing had left, went over a new connection
-	establishedAt        float64        // when it was answered, or handed over
-	earlyRelease         *serverRelease // its server's release, where that came before its answer
-	localRetries         int            // how often the own machine had no connection for its SETUP
+	answerEnd            int64          // byte offset at which the answer ends on the client's connection
+	resends              int            // how often its SETUP moved to a new connection, before any byte of it was sent
+	establishedAt        float64        // when it was answered, or handed over to this node
+	earlyRelease         *serverRelease // its server's release, if that arrived before the answer
+	localRetries         int            // how often this machine had no connection for its SETUP
 	history              history
 }
 
-// event is something for the loop to do.
+// event is work for the event loop.
 type event struct{ do func() }
 
-// Node is one front node.
+// Node is a front node.
 type Node struct {
 	config       *start.Start
 	reloadConfig func() (*start.Start, error)
@@ -73,53 +73,54 @@
 	guard     *invariant.Guard
 	lifecycle *lifecycle.Machine
 	startedAt time.Time
-	epoch     float64 // the wall clock at began, in seconds
-	now       float64
-	wakeAt    float64 // the module's wake-up
-	ready     bool
-	exiting   bool
+	epoch     float64 // wall clock at startedAt, in seconds
+	now       float64 // the node's clock, in seconds
+	wakeAt    float64 // when the module wants TimerFired; 0 is never
+	ready     bool    // serves and does not drain
+	exiting   bool    // the loop ends
 
-	sessions        map[string]*session         // emptied by final answers and ends
-	servers         []*server                   // in the order of the list; emptied by settleServer
-	serversByNumber map[choice.ServerID]*server // the same
-	serversByID     map[string]*server          // the same
-	abandonedSetups map[string]*server          // SETUPs given up, whose answer may still come; emptied by their timeouts
-	unknownReleases map[string]bool             // releases of sessions not known (yet); emptied by their timeouts
-	pendingReleases []pendingMessage            // releases without a client's connection; emptied by time
+	sessions        map[string]*session         // by id; removed at their final refusal or end
+	servers         []*server                   // in the order of the list; removed by removeServerIfGone
+	serversByNumber map[choice.ServerID]*server // removed with servers
+	serversByID     map[string]*server          // removed with servers
+	abandonedSetups map[string]*server          // cancelled SETUPs, by session id, whose answer may still arrive; removed after rememberSeconds
+	unknownReleases map[string]bool             // releases of sessions that are not known (yet); removed after rememberSeconds
+	pendingReleases []pendingMessage            // releases for which no client connection was available; dropped when they expire
 	clients         []*client
-	clientSlots     *places       // for clients' connections
-	acceptDone      chan struct{} // closed once no further connection is accepted
-	openRequests    int           // requests without their answers
+	clientSlots     *places       // bounds the client connections
+	acceptDone      chan struct{} // closed when the accept loop ends
+	openRequests    int           // requests without their final answer
 	timeouts        timeouts
-	moduleEvents    []wire.Event // for the next batch
-	watches         []*watch     // of the coordinators followed, newest last; emptied by the newest one's first word
-	lastIndex       int64        // the coordinator's last event
+	moduleEvents    []wire.Event // for the module, at the next reconcile
+	watches         []*watch     // of coordinators, newest last; older ones are removed when the newest sends its first message
+	lastIndex       int64        // of the last event of the list that was applied
 
 	probeCount, malformedCount int
 	maintainedAt               float64
 	countsComparedAt           float64
-	counts                     map[string]int // by what happened, for the log
+	counts                     map[string]int // occurrences by kind, logged at the exit
 }
 
-// pendingMessage is a release that found no connection.
+// pendingMessage is a message that waits for a connection to be sent on.
 type pendingMessage struct {
 	data      []byte
 	expiresAt float64
 }
 
 const (
-	// rememberSeconds is how long a given-up SETUP's answer is waited for, and an unknown release remembered.
+	// rememberSeconds is how long cancelled SETUPs and releases of unknown sessions are remembered.
 	rememberSeconds = 10.0
-	// maxRemembered is how many of each are kept; past it they are just dropped.
+	// maxRemembered bounds each of these tables and each list of pending messages; what exceeds it is dropped.
 	maxRemembered = 2048
-	// pendingSeconds is how long a release waits for a client's connection: it is owed within 8 s.
+	// pendingSeconds is how long a message waits for a connection: a release is due within 8 s.
 	pendingSeconds = 8.0
-	// maintenanceInterval is how often servers are looked after and clients' connections swept.
+	// maintenanceInterval is how often servers are checked and idle client connections closed, in seconds.
 	maintenanceInterval = 0.1
-	// eventQueueSize is how many events may wait for the loop; readers wait beyond.
+	// eventQueueSize is how many events may wait for the loop; readers block while it is full.
 	eventQueueSize = 256
 )
 
+// noReport is a load report that states no load.
 var noReport = choice.LoadReport{Link: -1, Uplink: -1}
 
 func str(k, v string) zap.Field     { return zap.String(k, v) }
@@ -132,23 +133,23 @@
 	return err.Error()
 }
 
-// Options is what a node is run with.
+// Options configures a node.
 type Options struct {
 	Config             *start.Start
-	ReloadConfig       func() (*start.Start, error) // the configuration file anew
+	ReloadConfig       func() (*start.Start, error) // reads the configuration file again
 	Log                *zap.Logger
-	ReloadSignals      <-chan os.Signal // to read the configuration file again
-	TerminationSignals <-chan os.Signal // to drain, then to cut
-	// Network opens and accepts connections; the system's where it is nil.
+	ReloadSignals      <-chan os.Signal // reload the configuration
+	TerminationSignals <-chan os.Signal // the first starts the drain, the second ends all sessions
+	// Network opens and accepts connections; nil is the system's network.
 	Network Network
-	// Trials is how the node departs from the usual, for trials of whoever judges it.
+	// Trials alters the node's behaviour, to test the checks that judge its traffic.
 	Trials Trials
-	// Listener is used where it is given, in place of the address of Start.
+	// Listener replaces the address of Config, unless it is nil.
 	Listener  net.Listener
-	onServing func(*Node) // for tests
+	onServing func(*Node) // called when the node serves; for tests
 }
 
-// Run is a front node from its start to its exit.
+// Run runs a front node until its exit.
 func Run(o Options) (lifecycle.ExitCode, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{config: o.Config, reloadConfig: o.ReloadConfig, log: o.Log, ctx: ctx, events: make(chan event, eventQueueSize), startedAt: time.Now(),
@@ -193,17 +194,17 @@
 	close(n.clientSlots.over)
 	l.Close()
 	n.shutDown()
-	n.log.Info("over", zap.Any("counts", n.counts))
+	n.log.Info("node stopped", zap.Any("counts", n.counts))
 	return 0, nil
 }
 
-// updateClock sets the clock: the wall's at the start, monotonic from then on.
+// updateClock sets now: the wall clock at the start plus the monotonic time since.
 func (n *Node) updateClock() { n.now = n.clock() }
 
 // clock reads the node's clock; it is safe for concurrent use.
 func (n *Node) clock() float64 { return n.epoch + time.Since(n.startedAt).Seconds() }
 
-// post hands the loop an event; false once the node is over.
+// post queues an event for the loop; false once the node has stopped.
 func (n *Node) post(e event) bool {
 	select {
 	case n.events <- e:
@@ -213,7 +214,8 @@
 	}
 }
 
-func (n *Node) loop(hangups, ends <-chan os.Signal) {
+// loop runs the event loop until the exit.
+func (n *Node) loop(reloads, terminations <-chan os.Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !n.exiting {
@@ -229,9 +231,9 @@
 		var e event
 		select {
 		case e = <-n.events:
-		case <-hangups:
+		case <-reloads:
 			e.do = func() { n.lifecycle.SetTime(n.now); n.lifecycle.RequestReload() }
-		case sig := <-ends:
+		case sig := <-terminations:
 			if n.trials.ignoresTermination() {
 				break
 			}
@@ -276,7 +278,8 @@
 	}
 }
 
-// logCountMismatches logs, once a second, the servers at which the module's count of sessions differs from the node's, where debug is on.
+// logCountMismatches logs, once a second and at level debug only, the servers for which the module's count of sessions differs
+// from the node's.
 func (n *Node) logCountMismatches() {
 	if n.now-n.countsComparedAt < 1 || !n.log.Core().Enabled(zap.DebugLevel) {
 		return
@@ -289,13 +292,13 @@
 	}
 }
 
-// notifyModule tells the module something.
+// notifyModule queues an event for the module.
 func (n *Node) notifyModule(e wire.Event) { n.moduleEvents = append(n.moduleEvents, e) }
 
-// reconcile feeds what the module has to hear, in order, and carries out what it wants, until nothing is left.
+// reconcile passes the queued events to the module in order and carries out its decisions, until no event is left.
 func (n *Node) reconcile() {
 	n.front.SetTime(n.now)
-	for range 64 { // acts bring about events at once at most a few times: a SETUP to each server left
+	for range 64 { // decisions can queue further events at once, at most one SETUP per remaining server
 		for i := 0; i < len(n.moduleEvents); i++ {
 			n.moduleEvents[i].Dispatch(n.front)
 		}
@@ -307,11 +310,11 @@
 	}
 }
 
-// updateServers takes a change to the list of servers.
+// updateServers applies an event of the coordinator to the list of servers.
 func (n *Node) updateServers(e feed.Event) {
 	n.lastIndex = max(n.lastIndex, e.Index)
 	ev := wire.Event{Kind: wire.ServerList, FullList: e.Endpoints.Reset}
-	named := map[*server]bool{}
+	listed := map[*server]bool{}
 	n.moduleEvents = append(n.moduleEvents, ev)
 	at := len(n.moduleEvents) - 1
 	for _, i := range e.Endpoints.Instances {
@@ -330,8 +333,8 @@
 			continue
 		}
 		entry = n.trials.alterListing(entry)
-		anew := sv.setListedStart(i.StartedAtMs)
-		if anew {
+		restarted := sv.setListedStart(i.StartedAtMs)
+		if restarted {
 			sv.startedAt = n.effectiveStart(i.StartedAtMs)
 		}
 		entry.StartedAt = sv.startedAt
@@ -340,20 +343,20 @@
 			n.serversByNumber[sv.number] = sv
 			n.serversByID[sv.id] = sv
 		}
-		named[sv] = true
+		listed[sv] = true
 		if i.Addr != "" && entry.State != choice.Gone {
 			sv.addr = i.Addr
 		}
-		if anew {
+		if restarted {
 			n.endSessionsBeforeRestart(sv, n.now-n.secondsSinceStart(i.StartedAtMs))
 		}
 		n.moduleEvents[at].Servers = append(n.moduleEvents[at].Servers, entry)
-		n.log.Debug("listed", str("server", i.ID), str("state", i.State), num("cell", i.Cell))
+		n.log.Debug("server listed", str("server", i.ID), str("state", i.State), num("cell", i.Cell))
 		n.setServerState(sv, entry.State)
 	}
 	if e.Endpoints.Reset {
 		for _, sv := range slices.Clone(n.servers) {
-			if !named[sv] {
+			if !listed[sv] {
 				n.setServerState(sv, choice.Gone)
 			}
 		}
@@ -363,20 +366,20 @@
 	}
 }
 
-// endSessionsBeforeRestart ends what stood at a server since before its process started: that process is another one, which knows
-// nothing of it. Its connections may be the new process's, so nothing else tells.
-func (n *Node) endSessionsBeforeRestart(sv *server, born float64) {
+// endSessionsBeforeRestart ends a server's sessions that were established before its process started: the new process does
+// not know them. The server's connections may already belong to the new process, so no broken connection reports the loss.
+func (n *Node) endSessionsBeforeRestart(sv *server, startedAt float64) {
 	for _, s := range slices.Clone(sv.sessions) {
-		if s.establishedAt < born {
+		if s.establishedAt < startedAt {
 			n.endSession(s, choice.Reset, causeCut, noReport)
 		}
 	}
 }
 
-// setServerState takes a server's new state: what waits for a connection to one that is not ready any more was never sent.
-func (n *Node) setServerState(sv *server, to choice.Lifecycle) {
-	sv.state = to
-	if to == choice.Ready {
+// setServerState sets a server's state. If it is no longer ready, SETUPs that wait for a connection to it end as never sent.
+func (n *Node) setServerState(sv *server, state choice.Lifecycle) {
+	sv.state = state
+	if state == choice.Ready {
 		return
 	}
 	for _, l := range sv.conns {
@@ -389,5 +392,5 @@
 	}
 }
 
-// probeSessionID names a test as sessions are named.
+// probeSessionID makes a probe's id, which has the form of a session id.
 func probeSessionID(seed uint64, k int) string { return fmt.Sprintf("%016x", seed+uint64(k)) }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,13 +24,13 @@
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	m := x.msg
 	if m.URL != "rtsp://media/t1" || m.Session() != testID(1) || m.Header.Get("Subject") != "paid" || string(m.Body) != requestBody || m.Header.Get("X-Facts") != "" {
-		t.Errorf("passed on as %+v %q", m.Header, m.Body)
+		t.Errorf("forwarded as %+v %q", m.Header, m.Body)
 	}
 	if q := m.Header.Get("X-Quality"); q < "1" || q > "4" {
-		t.Errorf("rung %q under the floor or over the top", q)
+		t.Errorf("rung %q below the floor or above the top", q)
 	}
-	if p, _ := strconv.Atoi(m.Header.Get("X-Patience")); p < 500 || p > 1488 { // what the client waits, less the margin and what has gone by
-		t.Errorf("waits %d ms", p)
+	if p, _ := strconv.Atoi(m.Header.Get("X-Patience")); p < 500 || p > 1488 { // the client's patience, less the margin and the elapsed time
+		t.Errorf("deadline of %d ms", p)
 	}
 	x.conn.sendf("RTSP/1.0 100 Trying\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(1))
 	x.conn.answer(m, 200, answerBody)
@@ -39,11 +39,11 @@
 	}
 	f.inspect(func(n *Node) {
 		if s := n.sessions[testID(1)]; s == nil || s.state != established || n.openRequests != 0 || len(n.servers[0].sessions) != 1 {
-			t.Error("it does not stand")
+			t.Error("the session is not established")
 		}
 	})
 	x.conn.tearDown(testID(1), 16)
-	x.conn.tearDown(testID(1), 16) // told twice
+	x.conn.tearDown(testID(1), 16) // a repeated release
 	if r := v.expect(rtsp.TearDown); r.Header.Get("Reason") != "cause=16" || r.Session() != testID(1) {
 		t.Errorf("released with %+v", r.Header)
 	}
@@ -54,35 +54,35 @@
 	v.tearDown(testID(2), 0)
 	y, _ := f.expectAt(rtsp.TearDown, s1)
 	if cause(y.msg) != causeMoved {
-		t.Errorf("cut with %+v", y.msg.Header)
+		t.Errorf("ended with %+v", y.msg.Header)
 	}
-	f.waitFor("all is forgotten", func(n *Node) bool {
+	f.waitFor("the session is forgotten", func(n *Node) bool {
 		return len(n.sessions) == 0 && n.openRequests == 0 && len(n.servers[0].sessions) == 0
 	})
 }
 
-// What each outcome of a first SETUP brings about: whether it is repeated elsewhere, and what the client is told.
+// Each outcome of a first SETUP decides whether it is retried at another server and what the client is answered.
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		class, want string
-		again       bool // a second server is asked, and serves
+		retried     bool // a second server gets a SETUP, and serves
 		do          func(x receivedMessage, h *fakeServer)
 	}{
-		"full":               {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 453, "") }},
-		"moot":               {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 454, "") }},
-		"error":              {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
-		"paid, error":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
-		"broken on its way":  {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
-		"paid, broken":       {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
-		"another status":     {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 302, "") }},
-		"released before":    {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.tearDown(x.msg.Session(), 41) }},
-		"cut":                {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
-		"paid, cut":          {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
-		"dies":               {"paid", "500", false, func(_ receivedMessage, h *fakeServer) { h.kill() }},
-		"silent":             {"free", "200", true, func(receivedMessage, *fakeServer) {}},
-		"noise":              {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("\x00\xffgarbage\r\n\r\n") }},
-		"paid, noise":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 2x0 OK\r\n\r\n") }},
-		"a line without end": {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("%s", strings.Repeat("x", 8000)) }},
+		"full":                  {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 453, "") }},
+		"not found":             {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 454, "") }},
+		"error":                 {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
+		"paid, error":           {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 500, "") }},
+		"gateway timeout":       {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
+		"paid, gateway timeout": {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 504, "") }},
+		"another status":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 302, "") }},
+		"released first":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.tearDown(x.msg.Session(), 41) }},
+		"closed":                {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
+		"paid, closed":          {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
+		"dies":                  {"paid", "500", false, func(_ receivedMessage, h *fakeServer) { h.kill() }},
+		"silent":                {"free", "200", true, func(receivedMessage, *fakeServer) {}},
+		"garbage":               {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("\x00\xffgarbage\r\n\r\n") }},
+		"paid, garbage":         {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 2x0 OK\r\n\r\n") }},
+		"an endless line":       {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("%s", strings.Repeat("x", 8000)) }},
 		"claims 3 GB": {"free", "200", true, func(x receivedMessage, _ *fakeServer) {
 			x.conn.sendf("RTSP/1.0 200 OK\r\nSession: %s\r\nContent-Length: 3221225472\r\n\r\nx", x.msg.Session())
 		}},
@@ -93,12 +93,12 @@
 			x.conn.sendf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 900\r\n\r\n%s", x.msg.Session(), answerBody)
 		}},
 		"no description": {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 200, "") }},
-		"stops short":    {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 200 OK\r\nSess") }},
-		"a second copy": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
+		"truncated":      {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 200 OK\r\nSess") }},
+		"answered twice": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
 			x.conn.answer(x.msg, 200, answerBody)
 			x.conn.answer(x.msg, 200, answerBody)
 		}},
-		"unknown id in front": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
+		"unknown id first": {"paid", "200", false, func(x receivedMessage, _ *fakeServer) {
 			x.conn.sendf("RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(99))
 			x.conn.answer(x.msg, 200, answerBody)
 		}},
@@ -113,7 +113,7 @@
 			v.setup(testID(1), c.class, "")
 			x, h := f.expectAt(rtsp.Setup, s[0], s[1])
 			c.do(x, h)
-			if c.again {
+			if c.retried {
 				other := s[0]
 				if h == other {
 					other = s[1]
@@ -122,19 +122,19 @@
 				y.conn.answer(y.msg, 200, answerBody)
 			}
 			if a := v.expect(c.want); c.want == "200" && string(a.Body) != answerBody {
-				t.Errorf("a description that no server gave: %q", a.Body)
+				t.Errorf("got a description that no server sent: %q", a.Body)
 			}
-			// Another session goes on as if nothing had been, and nothing else was said on the first.
+			// The connection keeps working, and nothing else was sent for the first session.
 			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
 			if a := v.expect("200"); a.Session() != testID(50) {
-				t.Errorf("%s said twice", a.Session())
+				t.Errorf("got a second answer for session %s", a.Session())
 			}
 			f.waitFor("no request is open", func(n *Node) bool { return n.openRequests == 0 })
 		})
 	}
 }
 
-// Nothing listens at the only server: nothing ran, so a paid session may be told to come again.
+// A refused connection proves that the SETUP had no effect: even a paid request is answered 503 (safe to repeat).
 func TestConnectionRefused(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	s1.kill()
@@ -143,7 +143,7 @@
 	v.expect("503")
 }
 
-// An idle connection that was cut meanwhile: the SETUP that meets it goes over a new one, as not a byte of it left.
+// An idle connection was reset: a SETUP that is assigned to it goes over a new connection, as no byte of it was sent.
 func TestSetupOverACutConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -151,20 +151,20 @@
 	x := f.serveNext(s1, v)
 	x.conn.Conn.(*net.TCPConn).SetLinger(0)
 	x.conn.Close()
-	f.waitFor("the cut is seen and a new connection is up", func(n *Node) bool {
+	f.waitFor("the reset is handled and a new connection is open", func(n *Node) bool {
 		c := n.servers[0].conns
 		return len(c) == 1 && c[0].up && len(n.servers[0].sessions) == 1
 	})
 	v.setup(testID(2), "paid", "")
 	y := f.serveNext(s1, v)
-	y.conn.tearDown(testID(1), 16) // no connection owns a session that stands
+	y.conn.tearDown(testID(1), 16) // an established session belongs to no connection
 	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) {
-		t.Errorf("%s was released", r.Session())
+		t.Errorf("released %s", r.Session())
 	}
 }
 
 func TestCancelledRequests(t *testing.T) {
-	t.Run("and answered after", func(t *testing.T) {
+	t.Run("answered afterwards", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
 		v := f.connect()
 		v.setup(testID(1), "free", "")
@@ -172,16 +172,16 @@
 		v.tearDown(testID(1), 0)
 		y, _ := f.expectAt(rtsp.TearDown, s1)
 		if cause(y.msg) != 0 {
-			t.Error("a SETUP that is out is given up, not released")
+			t.Error("a SETUP in flight must be cancelled, not released")
 		}
 		x.conn.answer(x.msg, 200, answerBody)
 		if z, _ := f.expectAt(rtsp.TearDown, s1); cause(z.msg) != causeMoved || z.msg.Session() != testID(1) {
-			t.Errorf("what stands unasked is left: %+v", z.msg.Header)
+			t.Errorf("the late session is not released: %+v", z.msg.Header)
 		}
 		if m := v.expect("200"); m.CSeq() != 2 {
-			t.Error("an answer that is not owed")
+			t.Error("got an answer to a cancelled request")
 		}
-		f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
+		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
 	})
 	t.Run("by closing", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
@@ -190,7 +190,7 @@
 		f.expectAt(rtsp.Setup, s1)
 		v.Close()
 		f.expectAt(rtsp.TearDown, s1)
-		f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
+		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
 	})
 	t.Run("hundreds at once", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
@@ -201,7 +201,7 @@
 		for k := range 300 {
 			v.tearDown(testID(k), 0)
 		}
-		f.waitFor("forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
+		f.waitFor("the requests are forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
 		w := f.connect()
 		w.setup(testID(1000), "free", "")
 		for {
@@ -215,37 +215,37 @@
 	})
 }
 
-// Bad clients are refused or closed, nothing of theirs is served, and usual ones notice nothing.
+// Malformed requests are refused or their connections closed, nothing of them is served, and other clients are not affected.
 func TestBadClients(t *testing.T) {
 	head := "SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + testID(7) + "\r\nSubject: free\r\n"
-	for name, c := range map[string]struct{ say, want string }{
-		"noise":               {"\x00\x01\x02 nonsense\r\n\r\n", "400"},
-		"endless line":        {strings.Repeat("a", 9000), "414"},
-		"endless header":      {head + strings.Repeat("X-A: "+strings.Repeat("b", 2000)+"\r\n", 12), "413"},
-		"60 MB":               {head + "X-Patience: 1500\r\nContent-Length: 62914560\r\n\r\nxxxx", "413"},
-		"negative length":     {head + "Content-Length: -5\r\n\r\n", "400"},
-		"length is no number": {head + "Content-Length: many\r\n\r\n", "400"},
-		"unknown class":       {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + testID(7) + "\r\nSubject: royal\r\nX-Patience: 9\r\n\r\n", "400"},
-		"no id":               {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSubject: free\r\nX-Patience: 9\r\n\r\n", "400"},
-		"patience 1e99":       {head + "X-Patience: 1e99\r\n\r\n", "400"},
-		"patience below 0":    {head + "X-Patience: -1\r\n\r\n", "400"},
-		"home 99":             {head + "X-Patience: 900\r\nX-Facts: home:99;copies:1;top:0\r\n\r\n", "400"},
-		"copies none":         {head + "X-Patience: 900\r\nX-Facts: home:0;copies:none\r\n\r\n", "400"},
-		"top 5":               {head + "X-Patience: 900\r\nX-Facts: home:0;copies:1;top:5\r\n\r\n", "400"},
-		"no title":            {strings.Replace(head, "t1", "", 1) + "X-Patience: 900\r\n\r\n", "400"},
-		"another method":      {"PLAY rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\n\r\n", "501"},
-		"a frame":             {"$\x00\xff\xff", "400"},
-		"two under one id":    {strings.Repeat(head+"X-Patience: 900\r\nX-Facts: home:0;copies:4\r\nContent-Length: 0\r\n\r\n", 2), "400"},
-		"half and a silence":  {head, "closed"},
-		"silence":             {"", "closed"},
+	for name, c := range map[string]struct{ input, want string }{
+		"garbage":                      {"\x00\x01\x02 nonsense\r\n\r\n", "400"},
+		"endless line":                 {strings.Repeat("a", 9000), "414"},
+		"endless header":               {head + strings.Repeat("X-A: "+strings.Repeat("b", 2000)+"\r\n", 12), "413"},
+		"60 MB":                        {head + "X-Patience: 1500\r\nContent-Length: 62914560\r\n\r\nxxxx", "413"},
+		"negative length":              {head + "Content-Length: -5\r\n\r\n", "400"},
+		"non-numeric length":           {head + "Content-Length: many\r\n\r\n", "400"},
+		"unknown class":                {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: " + testID(7) + "\r\nSubject: royal\r\nX-Patience: 9\r\n\r\n", "400"},
+		"no session id":                {"SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSubject: free\r\nX-Patience: 9\r\n\r\n", "400"},
+		"patience 1e99":                {head + "X-Patience: 1e99\r\n\r\n", "400"},
+		"negative patience":            {head + "X-Patience: -1\r\n\r\n", "400"},
+		"home 99":                      {head + "X-Patience: 900\r\nX-Facts: home:99;copies:1;top:0\r\n\r\n", "400"},
+		"copies none":                  {head + "X-Patience: 900\r\nX-Facts: home:0;copies:none\r\n\r\n", "400"},
+		"top 5":                        {head + "X-Patience: 900\r\nX-Facts: home:0;copies:1;top:5\r\n\r\n", "400"},
+		"no title":                     {strings.Replace(head, "t1", "", 1) + "X-Patience: 900\r\n\r\n", "400"},
+		"another method":               {"PLAY rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\n\r\n", "501"},
+		"an interleaved frame":         {"$\x00\xff\xff", "400"},
+		"duplicate session id":         {strings.Repeat(head+"X-Patience: 900\r\nX-Facts: home:0;copies:4\r\nContent-Length: 0\r\n\r\n", 2), "400"},
+		"half a request, then silence": {head, "closed"},
+		"silence":                      {"", "closed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, s1 := newSingleServerHarness(t, 256)
 			v := f.connect()
-			v.sendf("%s", c.say)
+			v.sendf("%s", c.input)
 			v.expect(c.want)
-			f.waitFor("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+			f.waitFor("the request is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 			w := f.connect()
 			w.setup(testID(8), "free", "")
 			for x := range s1.received {
@@ -259,7 +259,7 @@
 	}
 }
 
-// Another connection that names an open request's id is refused, and the request goes on.
+// A request with the session id of another connection's open request is refused, and the open request continues.
 func TestSessionIDOpenOnAnotherConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v, w := f.connect(), f.connect()
@@ -271,7 +271,7 @@
 	v.expect("200")
 }
 
-// Hundreds of connections that say nothing give way, and a usual client is served beside them.
+// Hundreds of silent connections are evicted, and another client is served meanwhile.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -280,7 +280,7 @@
 	for range 300 {
 		f.connect()
 	}
-	f.waitFor("they are bounded", func(n *Node) bool {
+	f.waitFor("the connections are within the limit", func(n *Node) bool {
 		open := 0
 		for _, v := range n.clients {
 			if !v.isEnding() {
@@ -294,10 +294,10 @@
 	w := f.connect()
 	w.setup(testID(2), "free", "")
 	f.serveNext(s1, w)
-	f.waitFor("the silent are gone", func(n *Node) bool { return len(n.clients) == 2 })
+	f.waitFor("the silent connections are closed", func(n *Node) bool { return len(n.clients) == 2 })
 }
 
-// Connections that only test, and hold every place, give way to a usual client's new one, which has said nothing yet.
+// Connections that only send OPTIONS and hold every slot are evicted in favour of a new one, which has sent nothing yet.
 func TestNewConnectionIsNotEvicted(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 64)
 	for range share.MaxViewerConns(64, 0) + 5 {
@@ -306,12 +306,12 @@
 		v.expect("200")
 	}
 	w := f.connect()
-	f.waitFor("it is taken", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
+	f.waitFor("the new connection is accepted", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
 	w.setup(testID(1), "free", "")
 	f.serveNext(s1, w)
 }
 
-// Requests past a connection's bound are told at once to come again, which is true: nothing of them ran.
+// Requests over a connection's limit are answered 503 at once: they had no effect.
 func TestRequestsOverTheLimit(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -319,7 +319,7 @@
 		v.setup(testID(k), "free", "")
 	}
 	if m := v.expect("503"); m.Session() != testID(share.MaxPendingPerConn) {
-		t.Errorf("%s was refused", m.Session())
+		t.Errorf("refused %s", m.Session())
 	}
 	for range share.MaxPendingPerConn {
 		x, _ := f.expectAt(rtsp.Setup, s1)
@@ -331,7 +331,7 @@
 }
 
 func TestServerLost(t *testing.T) {
-	t.Run("its process dies", func(t *testing.T) {
+	t.Run("process dies", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
 		v := f.connect()
 		v.setup(testID(1), "paid", "")
@@ -341,13 +341,13 @@
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
-	t.Run("it is silent", func(t *testing.T) {
+	t.Run("process is silent", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
 		v := f.connect()
 		v.setup(testID(1), "paid", "")
 		f.serveNext(s1, v)
 		s1.ignoreProbes.Store(true) // its connections stay open
-		// What could not be released is owed its end within 8 s.
+		// The client must be notified within 8 s.
 		if r := v.expectWithin(8*time.Second, rtsp.TearDown); cause(r) != causeCut {
 			t.Errorf("released with %+v", r.Header)
 		}
@@ -360,51 +360,51 @@
 	v.setup(testID(1), "paid", ";at:s-1")
 	v.setup(testID(1), "paid", ";at:s-1")
 	v.setup(testID(2), "paid", ";at:s-1")
-	f.waitFor("both stand", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
-	f.waitFor("a connection is open to hear their releases", func(n *Node) bool {
+	f.waitFor("both are established", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
+	f.waitFor("a connection is open on which releases can arrive", func(n *Node) bool {
 		return len(n.servers[0].conns) == 1 && n.servers[0].conns[0].up
 	})
 	p := s1.firstConn()
 	p.sendf("ANNOUNCE rtsp://media/t1 RTSP/1.0\r\nSession: %s\r\nX-Note: at_rung\r\nX-Reading: 3\r\nContent-Length: 0\r\n\r\n", testID(2))
 	p.tearDown(testID(1), 16)
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) { // and no answer to any of the three
+	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) { // and no answer to any of the three requests
 		t.Errorf("released %s", r.Session())
 	}
-	v.setup(testID(3), "paid", ";at:s-9") // gone meanwhile
+	v.setup(testID(3), "paid", ";at:s-9") // a server that is not listed
 	if r := v.expect(rtsp.TearDown); r.Session() != testID(3) {
 		t.Errorf("released %s", r.Session())
 	}
-	f.inspect(func(n *Node) { // what is kept of it is small
+	f.inspect(func(n *Node) { // the stored session is small
 		if s := n.sessions[testID(2)]; s == nil || s.body != nil {
-			t.Error("a handed session keeps its description")
+			t.Error("a handed-over session keeps its description")
 		}
 		n.config.MemoryMB = 0
 	})
 	w := f.connect()
-	for k := range share.MaxHandedOver(0) + 5 { // claims without end: those past the bound are released at once
+	for k := range share.MaxHandedOver(0) + 5 { // sessions over the limit are released at once
 		w.setup(testID(100+k), "free", ";at:s-1")
 	}
 	w.expect(rtsp.TearDown)
-	f.waitFor("bounded", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
+	f.waitFor("the sessions are within the limit", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
 	f.inspect(func(n *Node) { n.config.MemoryMB = 64 })
-	p.tearDown(testID(4), 41) // its release comes before it is told
-	f.waitFor("remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
+	p.tearDown(testID(4), 41) // released before it is handed over
+	f.waitFor("the release is remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
 	v.setup(testID(4), "paid", ";at:s-1")
 	if r := v.expect(rtsp.TearDown); r.Session() != testID(4) {
 		t.Errorf("released %s", r.Session())
 	}
 }
 
-// A release finds its client's connection closed: it goes out on another that served a session.
+// A release whose client's connection has closed is sent on another connection that has served a session.
 func TestReleasedOnAnotherConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
 	v.setup(testID(1), "free", "")
 	x := f.serveNext(s1, v)
 	v.Close()
-	f.waitFor("its connection is gone", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
+	f.waitFor("the client's connection is closed", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
 	x.conn.tearDown(testID(1), 16)
-	f.waitFor("the release is owed", func(n *Node) bool { return len(n.pendingReleases) == 1 })
+	f.waitFor("the release is pending", func(n *Node) bool { return len(n.pendingReleases) == 1 })
 	w := f.connect()
 	w.setup(testID(2), "free", "")
 	f.serveNext(s1, w)
@@ -447,17 +447,17 @@
 	x, _ := f.expectAt(rtsp.Setup, s2)
 	x.conn.answer(x.msg, 200, answerBody)
 	v.expect("200")
-	fmt.Fprintf(c, "9\n") // events up to 9 were never told
+	fmt.Fprintf(c, "9\n") // index 9: the events before it are missing
 	if c = f.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a gap", c.after)
 	}
-	// It stays open and says nothing.
+	// The connection stays open and silent.
 	if c = f.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a silence", c.after)
 	}
-	// s-2 goes while a session stands there, and its address belongs to s-3 now.
+	// s-2 is removed while it has a session, and its address now belongs to s-3.
 	fmt.Fprintf(c, "%s\n%s\n", listEvent(4, false, listEntry("s-2", "", "removed")), listEvent(5, false, listEntry("s-3", s2.Addr().String(), "up")))
-	f.waitFor("s-2 is kept as long as its session stands", func(n *Node) bool {
+	f.waitFor("s-2 is kept until its session ends", func(n *Node) bool {
 		return len(n.servers) == 3 && n.servers[1].id == "s-2" && n.servers[2].id == "s-3" && len(n.servers[1].sessions) == 1
 	})
 	x.conn.Close()
@@ -467,15 +467,15 @@
 	state("s-1:2 s-3:1 ")
 }
 
-// A drain that is told while a SETUP waits for its connection: it is never sent.
+// A server starts to drain while a SETUP waits for its connection: the SETUP is never sent.
 func TestDrainBeforeTheSetupLeft(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
-	f.inspect(func(n *Node) { // the connection that it takes is still being opened
+	f.inspect(func(n *Node) { // the connection is still being opened
 		n.servers[0].conns = []*serverConn{{server: n.servers[0], cancelDial: func() {}}}
 	})
 	v.setup(testID(1), "paid", "")
-	f.waitFor("it waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
+	f.waitFor("the SETUP waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
 	fmt.Fprintf(f.acceptFollower(), "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	v.expect("503")
 }
@@ -483,10 +483,10 @@
 func TestReload(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	f.acceptFollower()
-	bad := make(chan bool, 1)
-	f.reloadConfig = func() (*start.Start, error) { bad <- true; return nil, errors.New("half a file") }
+	failed := make(chan bool, 1)
+	f.reloadConfig = func() (*start.Start, error) { failed <- true; return nil, errors.New("half a file") }
 	f.reloadSignals <- syscall.SIGHUP
-	<-bad
+	<-failed
 	l, follows := f.startCoordinator()
 	f.reloadConfig = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
 	f.reloadSignals <- syscall.SIGHUP
@@ -496,10 +496,10 @@
 			t.Errorf("follows %d", c.after)
 		}
 		fmt.Fprintf(c, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-		f.waitFor("the new coordinator is heard", func(n *Node) bool { return n.servers[0].state == 2 })
+		f.waitFor("the new coordinator's event is applied", func(n *Node) bool { return n.servers[0].state == 2 })
 		c.Close()
 	case <-time.After(testTimeout):
-		t.Fatal("the new coordinator is not asked")
+		t.Fatal("the new coordinator is not followed")
 	}
 }
 
@@ -513,15 +513,15 @@
 	}
 	ping("200")
 	f.terminationSignals <- syscall.SIGTERM
-	drains := 0.0
-	f.waitFor("it drains", func(n *Node) bool { drains = n.now; return !n.ready })
+	drainStart := 0.0
+	f.waitFor("the node drains", func(n *Node) bool { drainStart = n.now; return !n.ready })
 	ping("503")
-	w := f.connect() // connections and requests are still taken
+	w := f.connect() // connections and requests are still accepted
 	w.setup(testID(1), "free", "")
 	f.serveNext(s1, w)
-	// While its session stands the node stays, but SIGKILL, 0.7 s after the longest setup timeout, finds nothing.
+	// The node stays while it has a session, but exits before SIGKILL, which follows 0.7 s after the longest setup timeout.
 	f.inspect(func(n *Node) {
-		if d := n.lifecycle.NextWakeup() - drains; d < 1.2 || d > n.config.SetupTimeout+0.7 {
+		if d := n.lifecycle.NextWakeup() - drainStart; d < 1.2 || d > n.config.SetupTimeout+0.7 {
 			t.Errorf("exit %v s after SIGTERM", d)
 		}
 	})
@@ -532,11 +532,12 @@
 		}
 		f.exitCode <- code
 	case <-time.After(testTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("the node does not exit")
 	}
 }
 
-// Ten thousand sessions and two hundred servers, each replaced at its address: tables, connections and goroutines stay.
+// Ten thousand sessions, with two hundred replacements of servers at the same address: tables, connections and goroutines must not
+// grow.
 func TestChurn(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -548,8 +549,8 @@
 		}
 		return hosts
 	})
-	quit := make(chan struct{})
-	defer close(quit)
+	stop := make(chan struct{})
+	defer close(stop)
 	for _, h := range hosts {
 		go func() {
 			for {
@@ -558,7 +559,7 @@
 					if x.msg.Method == rtsp.Setup {
 						x.conn.answer(x.msg, 200, answerBody)
 					}
-				case <-quit:
+				case <-stop:
 					return
 				}
 			}
@@ -583,7 +584,7 @@
 		index += 2
 		fmt.Fprintf(c, "%s\n%s\n", listEvent(index-1, false, listEntry(h.name, "", "removed")), listEvent(index, false, listEntry(fmt.Sprintf("s-%d", 100+round), h.Addr().String(), "up")))
 		h.name = fmt.Sprintf("s-%d", 100+round)
-		// What the module counts is what the node has.
+		// The module's count of sessions matches the node's.
 		f.inspect(func(n *Node) {
 			for _, b := range n.front.ServerEstimates() {
 				if sv := n.serversByNumber[b.Server]; len(n.moduleEvents) == 0 && (sv == nil && b.Sessions > 0 || sv != nil && b.Sessions != len(sv.sessions)+sv.pendingSetups()) {
@@ -591,10 +592,10 @@
 				}
 			}
 		})
-		f.waitFor("the round is over", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
+		f.waitFor("the round has ended", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
 		v.Close()
 	}
-	f.waitFor("all is as at the start", func(n *Node) bool {
+	f.waitFor("the tables are as at the start", func(n *Node) bool {
 		conns := 0
 		for _, sv := range n.servers {
 			conns += len(sv.conns)
@@ -603,7 +604,7 @@
 	})
 }
 
-// Whatever a client, a server or the coordinator writes, the node stays and its tables hold.
+// No input of a client or a server makes the node panic, and what it accepts is within its bounds.
 func FuzzClient(f *testing.F) {
 	f.Add([]byte("SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: 9b1f03aa5c7e2d41\r\nSubject: paid\r\nX-Patience: 1500\r\nX-Facts: home:0;copies:2;top:1;at:s-1\r\n\r\n"))
 	f.Add([]byte("TEARDOWN rtsp://media/ RTSP/1.0\r\nSession: x\r\nReason: cause=999999999999999999999\r\n\r\n"))
@@ -634,6 +635,7 @@
 	})
 }
 
+// readerConn is a connection that reads from memory.
 type readerConn struct{ *bytes.Reader }
 
 func (readerConn) Close() error                     { return nil }
@@ -644,12 +646,12 @@
 func (readerConn) SetWriteDeadline(time.Time) error { return nil }
 func (readerConn) Write(b []byte) (int, error)      { return len(b), nil }
 
-// It ends though the loop never heard of a server's connection that is open and silent.
+// The node exits even if a server connection was opened that the loop has not handled, and that stays open and silent.
 func TestExitWithUnreportedServerConnection(t *testing.T) {
 	f, _ := newSingleServerHarness(t, 256)
 	f.inspect(func(n *Node) {
 		n.dial(n.servers[0])
-		for len(n.events) == 0 { // it is up, and says so to a loop that is over
+		for len(n.events) == 0 { // the connection is open, and its event is never handled
 			time.Sleep(time.Millisecond)
 		}
 		n.exiting = true
@@ -658,6 +660,6 @@
 	case code := <-f.exitCode:
 		f.exitCode <- code
 	case <-time.After(testTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("the node does not exit")
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -10,7 +10,7 @@
 	"rainhaven/internal/wire"
 )
 
-// probe tests a server: once at a time, whoever wants it.
+// probe sends a server a probe, unless one is in flight.
 func (n *Node) probe(sv *server) {
 	if sv.probeID != "" {
 		return
@@ -36,12 +36,13 @@
 	if sv.probeConn == nil {
 		sv.probeConn = n.dial(sv)
 	}
-	if sv.probeConn == nil { // no descriptor is left: its time-out ends the test
+	if sv.probeConn == nil { // no descriptor is left: the probe times out
 		return
 	}
 	sv.probeConn.probePending = true
 }
 
+// sendProbe sends the pending probe on a connection that has opened.
 func (n *Node) sendProbe(l *serverConn) {
 	if l.server.probeConn == l && l.server.probeID != "" {
 		l.send(test(l.server.probeID))
@@ -49,29 +50,30 @@
 	}
 }
 
+// failProbe ends the probe that is assigned to a connection, if any, with an outcome.
 func (n *Node) failProbe(l *serverConn, o choice.Outcome) {
 	if l.server.probeConn == l && l.server.probeID != "" {
 		n.endProbe(l.server, o, noReport)
 	}
 }
 
-// endProbe ends a test; the module hears of it whoever wanted it.
+// endProbe ends a probe and passes its outcome to the module, also if the module did not ask for it.
 func (n *Node) endProbe(sv *server, o choice.Outcome, r choice.LoadReport) {
 	if sv.probeID == "" {
 		return
 	}
-	on := sv.probeConn
+	l := sv.probeConn
 	n.cancel(sv.probeTimer)
 	sv.probeID, sv.probeConn, sv.probeTimer = "", nil, nil
 	n.notifyModule(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
-	// Without an answer in its time the connection is of no more use; a SETUP on it may still be answered.
-	if o == choice.TimedOut && on != nil && len(on.setups) == 0 {
-		n.retire(on)
+	// A connection on which a probe timed out is retired, unless a SETUP on it may still be answered.
+	if o == choice.TimedOut && l != nil && len(l.setups) == 0 {
+		n.retire(l)
 	}
 	n.removeServerIfGone(sv)
 }
 
-// checkServers keeps watch over servers where sessions stand, and closes connections that have long been idle.
+// checkServers retires idle connections and checks the liveness of servers with established sessions or pending messages.
 func (n *Node) checkServers() {
 	for _, sv := range slices.Clone(n.servers) {
 		up, opening := 0, false
@@ -92,22 +94,22 @@
 			n.removeServerIfGone(sv)
 			continue
 		}
-		do := sv.liveness.Check(n.now, up, opening)
+		action := sv.liveness.Check(n.now, up, opening)
 		if sv.state == choice.Gone && up == 0 {
-			do = liveness.Action{Lost: true} // its address may be another's by now
+			action = liveness.Action{Lost: true} // its address may belong to another server by now
 		}
 		switch {
-		case do.Lost:
+		case action.Lost:
 			n.serverLost(sv)
-		case do.Connect:
+		case action.Connect:
 			n.dial(sv)
-		case do.Probe:
+		case action.Probe:
 			n.probe(sv)
 		}
 	}
 }
 
-// serverLost ends what stood at a server that is dead, or counts as dead.
+// serverLost ends the sessions of a server that is dead or considered dead.
 func (n *Node) serverLost(sv *server) {
 	n.log.Info("sessions lost with their server", str("server", sv.id), num("sessions", len(sv.sessions)))
 	for _, s := range slices.Clone(sv.sessions) {
--- a/internal/node/sabotage.go
+++ b/internal/node/sabotage.go
@@ -6,40 +6,40 @@
 	"strings"
 )
 
-// Sabotage names a rule that a node is made to break, to see that whoever judges it from its traffic notices. Only a program built
-// with the tag trials breaks any.
+// Sabotage makes a node break one rule on purpose, to test that the checks of its traffic detect it. It has an effect only in
+// programs built with the tag trials.
 type Sabotage string
 
-// The sabotages, one or more for each rule.
+// The sabotages: at least one for each rule.
 const (
 	SabotageAnswer    Sabotage = "answer"    // some requests get no final answer
-	SabotageTwice     Sabotage = "twice"     // some get two
-	SabotageRefusal   Sabotage = "refusal"   // requests that may have run are refused as harmless to repeat
-	SabotageRepeat    Sabotage = "repeat"    // requests that may not be repeated go to a second server
-	SabotageOverlap   Sabotage = "overlap"   // the others go to two servers at once
+	SabotageTwice     Sabotage = "twice"     // some requests get two final answers
+	SabotageRefusal   Sabotage = "refusal"   // requests that may have had an effect are refused as safe to repeat
+	SabotageRepeat    Sabotage = "repeat"    // requests that must not be repeated go to a second server
+	SabotageOverlap   Sabotage = "overlap"   // repeatable requests go to two servers at once
 	SabotageDrain     Sabotage = "drain"     // draining servers get new requests
-	SabotageSlowStart Sabotage = "slowstart" // started servers get requests as warm ones do
-	SabotageFloor     Sabotage = "floor"     // sessions play below their class's floor
-	SabotageSeats     Sabotage = "seats"     // more sessions of a title than its seats
-	SabotageBudget    Sabotage = "budget"    // attempts without a budget
-	SabotageCancel    Sabotage = "cancel"    // attempts after the client has gone
-	SabotageDeadline  Sabotage = "deadline"  // servers are told longer deadlines than clients have
-	SabotageReady     Sabotage = "ready"     // a start takes far too long
-	SabotageExit      Sabotage = "exit"      // SIGTERM is not heeded
+	SabotageSlowStart Sabotage = "slowstart" // cold servers get as many requests as warm ones
+	SabotageFloor     Sabotage = "floor"     // sessions play below the floor of their class
+	SabotageSeats     Sabotage = "seats"     // a title gets more sessions than it has seats
+	SabotageBudget    Sabotage = "budget"    // retries exceed the retry budget
+	SabotageCancel    Sabotage = "cancel"    // SETUPs are sent after the client has left
+	SabotageDeadline  Sabotage = "deadline"  // servers get longer deadlines than the clients have
+	SabotageReady     Sabotage = "ready"     // the start takes far too long
+	SabotageExit      Sabotage = "exit"      // SIGTERM is ignored
 
-	SabotageRelease     Sabotage = "release"     // some clients are not told of their sessions' ends
-	SabotageList        Sabotage = "list"        // what the coordinator tells is taken seconds late
-	SabotageDescriptors Sabotage = "descriptors" // more descriptors are held than the configuration allows
-	SabotageGuard       Sabotage = "guard"       // the node's own guard complains
-	SabotageClose       Sabotage = "close"       // connections unused for long are closed without hearing from their readers
+	SabotageRelease     Sabotage = "release"     // some clients are not notified that their sessions ended
+	SabotageList        Sabotage = "list"        // events of the coordinator are applied seconds late
+	SabotageDescriptors Sabotage = "descriptors" // the process holds more descriptors than the configuration allows
+	SabotageGuard       Sabotage = "guard"       // the node's own guard reports a false violation
+	SabotageClose       Sabotage = "close"       // idle connections are closed without waiting for their readers
 )
 
-// Sabotages are all of them.
+// Sabotages lists all sabotages.
 var Sabotages = []Sabotage{SabotageAnswer, SabotageTwice, SabotageRefusal, SabotageRepeat, SabotageOverlap, SabotageDrain, SabotageSlowStart,
 	SabotageFloor, SabotageSeats, SabotageBudget, SabotageCancel, SabotageDeadline, SabotageReady, SabotageExit,
 	SabotageRelease, SabotageList, SabotageDescriptors, SabotageGuard, SabotageClose}
 
-// ParseSabotage reads a sabotage's name; an empty one is none.
+// ParseSabotage parses the name of a sabotage; the empty name is no sabotage.
 func ParseSabotage(name string) (Sabotage, error) {
 	if name == "" || slices.Contains(Sabotages, Sabotage(name)) {
 		return Sabotage(name), nil
@@ -48,5 +48,5 @@
 	for _, s := range Sabotages {
 		names = append(names, string(s))
 	}
-	return "", fmt.Errorf("there is no sabotage %q; %s would be right", name, strings.Join(names, ", "))
+	return "", fmt.Errorf("unknown sabotage %q; expected one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -14,37 +14,37 @@
 	"rainhaven/internal/wire"
 )
 
-// server is one streaming server, by its id. It goes once it is gone from the list and nothing stands there.
+// server is a streaming server. It is removed once it is gone from the list and has no sessions and no connections.
 type server struct {
 	id              string
 	number          choice.ServerID
 	addr            string
 	state           choice.Lifecycle
-	listedStartMs   float64       // its start as the list last told it: Unix milliseconds, 0 is long ago
-	startedAt       float64       // counts as started then; 0 is long ago
-	conns           []*serverConn // emptied as they end
-	sessions        []*session    // standing there; emptied as they end
+	listedStartMs   float64       // its start as last listed, in Unix milliseconds; 0 is long ago
+	startedAt       float64       // the start that it counts from, on the node's clock; 0 is long ago
+	conns           []*serverConn // removed as they end
+	sessions        []*session    // established there; removed as they end
 	liveness        liveness.Monitor
-	probeID         string // the test that is out; empty is none
-	probeConn       *serverConn
-	probeCount      int              // counts tests, for their names
-	probeTimer      *timeout         // its time-out
-	pendingMessages []pendingMessage // what belongs to sessions that stood and found no connection; emptied by the next one and by time
+	probeID         string           // session id of the probe in flight; empty is none
+	probeConn       *serverConn      // of the probe in flight
+	probeCount      int              // probes so far
+	probeTimer      *timeout         // times out the probe in flight
+	pendingMessages []pendingMessage // about established sessions, for which no connection was open; sent on the next one, or dropped when they expire
 }
 
-// serverConn is one connection to a server, or one that is being opened.
+// serverConn is a connection to a server, open or being opened. The embedded conn is nil until it is open.
 type serverConn struct {
 	*conn
 	server       *server
 	up           bool
 	closed       bool
 	lastUsed     float64
-	setups       []*session // SETUPs out on it, or waiting for it to open; emptied by outcomes
-	probePending bool       // a test waits for it to open
+	setups       []*session // in flight on it, or waiting for it to open; removed by their outcomes
+	probePending bool       // a probe waits for it to open
 	cancelDial   context.CancelFunc
 }
 
-// pendingSetups is how many SETUPs are pendingSetups there, or wait for their connections.
+// pendingSetups is how many SETUPs are in flight at the server, or wait for their connections.
 func (sv *server) pendingSetups() (k int) {
 	for _, l := range sv.conns {
 		k += len(l.setups)
@@ -52,7 +52,7 @@
 	return k
 }
 
-// sendSetup writes a SETUP to a connection that is open.
+// sendSetup sends a SETUP on an open connection.
 func (n *Node) sendSetup(s *session, l *serverConn) {
 	wait := s.setupDeadline - n.now
 	if !n.guard.Send(n.now, s.id, wait, s.server.state == choice.Ready) {
@@ -65,8 +65,8 @@
 	n.duplicateSetup(s)
 }
 
-// handleServerMessage takes one message of a server's, which was read at the instant given.
-func (n *Node) handleServerMessage(l *serverConn, m *rtsp.Message, at float64) {
+// handleServerMessage takes a server's message, which was read at the given time.
+func (n *Node) handleServerMessage(l *serverConn, m *rtsp.Message, readAt float64) {
 	n.traceReceived(l.conn, m)
 	sv := l.server
 	sv.liveness.Heard(n.now)
@@ -90,7 +90,7 @@
 	case m.IsRequest() || m.Status < 200:
 	case sv.probeID != "" && id == sv.probeID:
 		if n.log.Core().Enabled(zap.DebugLevel) {
-			n.log.Debug("tested", str("server", sv.id), str("report", m.Header.Get(fieldState)))
+			n.log.Debug("probe answered", str("server", sv.id), str("report", m.Header.Get(fieldState)))
 		}
 		o := choice.Served
 		if m.Status != rtsp.OK {
@@ -99,14 +99,14 @@
 		n.endProbe(sv, o, readReport(m))
 	case m.Header.Get("Cseq") == seqTearDown || m.Header.Get("Cseq") == seqOptions:
 	case s != nil && s.state == attempting && s.conn == l:
-		n.handleSetupAnswer(s, m, at)
+		n.handleSetupAnswer(s, m, readAt)
 	case s == nil:
 		n.handleLateAnswer(sv, l, m)
 	}
 }
 
-// handleClosingMessage takes a message on a connection that is being closed. No SETUP is out on it any more, but what concerns sessions that
-// stand belongs to no connection.
+// handleClosingMessage takes a message on a connection that is being closed. No SETUP is in flight on it any more, but messages
+// about established sessions may arrive on any connection.
 func (n *Node) handleClosingMessage(l *serverConn, s *session, m *rtsp.Message) {
 	switch {
 	case m.Method == rtsp.TearDown:
@@ -118,7 +118,7 @@
 	}
 }
 
-// handleLateAnswer tears down at its server what a SETUP given up has set up after all.
+// handleLateAnswer releases a session at its server that a cancelled SETUP has set up after all.
 func (n *Node) handleLateAnswer(sv *server, l *serverConn, m *rtsp.Message) {
 	if m.Status == rtsp.OK && n.abandonedSetups[m.Session()] == sv {
 		delete(n.abandonedSetups, m.Session())
@@ -131,7 +131,7 @@
 	}
 }
 
-// trySendToServer sends what belongs to no SETUP on any open connection; false where there is none.
+// trySendToServer sends a message that belongs to no SETUP on any open connection; false if there is none.
 func (n *Node) trySendToServer(sv *server, b []byte) bool {
 	for _, l := range sv.conns {
 		if l.up && l.sendKept(n.now, b) {
@@ -142,7 +142,8 @@
 	return false
 }
 
-// sendToServer is say, and opens a connection where there is none. The address of a server that is gone may be another's.
+// sendToServer sends a message like trySendToServer. If no connection is open, the message waits and one is dialled, unless the
+// server is gone from the list: its address may already belong to another one.
 func (n *Node) sendToServer(sv *server, b []byte) {
 	if n.trySendToServer(sv, b) || sv.state == choice.Gone || len(sv.pendingMessages) >= maxRemembered {
 		return
@@ -154,12 +155,12 @@
 }
 
 // handleSetupAnswer takes a server's final answer to a SETUP.
-func (n *Node) handleSetupAnswer(s *session, m *rtsp.Message, at float64) {
-	s.history.add(at, stepServerAnswered, strconv.Itoa(m.Status))
+func (n *Node) handleSetupAnswer(s *session, m *rtsp.Message, readAt float64) {
+	s.history.add(readAt, stepServerAnswered, strconv.Itoa(m.Status))
 	switch {
 	case m.Status == rtsp.OK && len(m.Body) > 0:
 		n.establishSession(s, m)
-	case m.Status == rtsp.OK: // an answer without a description is spoilt
+	case m.Status == rtsp.OK: // an answer without a description is malformed
 		l := s.conn
 		n.disown(s)
 		n.retire(l)
@@ -174,7 +175,7 @@
 	}
 }
 
-// handleNote takes a note on a session that stands.
+// handleNote takes a server's note on an established session.
 func (n *Node) handleNote(sv *server, s *session, m *rtsp.Message) {
 	x, err := strconv.ParseFloat(m.Header.Get(fieldFigure), 64)
 	kind := noteKinds[m.Header.Get(fieldNote)]
@@ -184,11 +185,11 @@
 	if kind == wire.RungInForce && int(x) >= len(n.config.Figures.Ladder) {
 		return
 	}
-	n.log.Debug("note", str("server", sv.id), str("kind", m.Header.Get(fieldNote)), str("figure", m.Header.Get(fieldFigure)))
+	n.log.Debug("note received", str("server", sv.id), str("kind", m.Header.Get(fieldNote)), str("figure", m.Header.Get(fieldFigure)))
 	n.notifyModule(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
 }
 
-// removeServerIfGone forgets a server that is gone once nothing of it is left.
+// removeServerIfGone removes a server that is gone from the list once it has no sessions, probe or connections.
 func (n *Node) removeServerIfGone(sv *server) {
 	if sv.state != choice.Gone || len(sv.sessions) > 0 || sv.probeID != "" {
 		return
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -14,23 +14,24 @@
 	"rainhaven/internal/wire"
 )
 
-// acceptRequest takes a new session to the module. Its deadline counts from when it was read, however long it waited for the loop.
-func (n *Node) acceptRequest(v *client, a ask, at float64) {
+// acceptRequest passes a new session to the module. Its deadline counts from the instant at which it was read, however long it
+// waited in the queue.
+func (n *Node) acceptRequest(v *client, a ask, readAt float64) {
 	s := &session{ask: a, client: v, rung: n.config.Figures.Groups[a.group].Floor, setupStart: -1}
-	s.request.SetupTimeout = at + max(a.patience-share.AnswerMargin, 0)
-	n.guard.RequestRead(n.now, s.id, n.config.Figures.Groups[a.group].Paid, at+a.patience)
+	s.request.SetupTimeout = readAt + max(a.patience-share.AnswerMargin, 0)
+	n.guard.RequestRead(n.now, s.id, n.config.Figures.Groups[a.group].Paid, readAt+a.patience)
 	n.sessions[s.id] = s
 	v.held = append(v.held, s)
 	v.Pending++
 	n.openRequests++
 	n.counts["asked"]++
 	n.reportFalseViolation(s.id)
-	s.history.add(at, stepRead, v.peer())
-	n.log.Debug("asked", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.CellCount), zap.Float64("patience", s.patience))
+	s.history.add(readAt, stepRead, v.peer())
+	n.log.Debug("session requested", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.CellCount), zap.Float64("patience", s.patience))
 	n.notifyModule(wire.Event{Kind: wire.Request, Request: s.request})
 }
 
-// acceptHandover takes a session that stands already. It wants no answer.
+// acceptHandover takes over a session that is already established at a server. It is not answered.
 func (n *Node) acceptHandover(v *client, a ask) {
 	if n.sessions[a.id] != nil {
 		return
@@ -52,7 +53,7 @@
 	n.notifyModule(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
 }
 
-// dispatchSetup takes a session's SETUP to a connection. The list may have taken its server from new work since it was chosen.
+// dispatchSetup assigns a session's SETUP to a connection. The server may have stopped being ready since the module chose it.
 func (n *Node) dispatchSetup(s *session) {
 	if s.server.state != choice.Ready {
 		n.setupEnded(s, choice.Unsent, noReport)
@@ -70,7 +71,7 @@
 	}
 }
 
-// detachSetup takes a SETUP off its connection.
+// detachSetup removes a SETUP from its connection.
 func (n *Node) detachSetup(s *session) {
 	if s.conn != nil {
 		s.conn.setups = slices.DeleteFunc(s.conn.setups, func(o *session) bool { return o == s })
@@ -79,16 +80,16 @@
 	}
 }
 
-// setupEnded ends a SETUP that is out.
+// setupEnded ends the SETUP of a session with an outcome, which the module learns.
 func (n *Node) setupEnded(s *session, o choice.Outcome, r choice.LoadReport) {
 	sv := s.server
-	if s.earlyRelease != nil { // it has stood, and its end was heard before its answer
+	if s.earlyRelease != nil { // it was established, and its release arrived before its answer
 		o = choice.EndedUnanswered
 	}
 	n.guard.AttemptEnded(s.id, provesNoEffect(o))
 	s.history.add(n.now, stepOutcome, outcomeName(o))
 	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.EndedUnanswered
-	n.log.Debug("setup over", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
+	n.log.Debug("SETUP ended", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
 	n.counts[fmt.Sprintf("outcome %d", o)]++
 	n.detachSetup(s)
 	n.cancel(s.setupTimer)
@@ -97,8 +98,8 @@
 	n.removeServerIfGone(sv)
 }
 
-// recallSetup takes a SETUP back of which nothing has left yet: from the queue, or, where the writer has it and its peer does
-// not read, with the whole connection, whose reader tells the loop. False where some of it has left.
+// recallSetup withdraws a SETUP of which no byte has been sent: from the send queue, or, if the writer already holds it and
+// its peer does not read, by closing the connection, whose reader reports that to the loop. False if a byte was sent.
 func (n *Node) recallSetup(s *session) bool {
 	l := s.conn
 	if l == nil || !l.up || s.setupStart < 0 {
@@ -115,7 +116,8 @@
 	return s.setupStart >= l.left() && s.setupStart >= l.close()
 }
 
-// cancelSetup tells a server that a SETUP is given up. Its connection is of no more use where it was silent.
+// cancelSetup notifies a server that a SETUP is cancelled. If the server was silent and no other SETUP is in flight on the
+// connection, the connection is retired.
 func (n *Node) cancelSetup(s *session, silent bool) {
 	l := s.conn
 	l.send(tearDown(s.url, s.id, 0))
@@ -126,7 +128,8 @@
 	}
 }
 
-// awaitLateAnswer remembers a SETUP that is over without an answer: what its server sets up after all is released there.
+// awaitLateAnswer remembers a SETUP that ended without an answer. If its server sets the session up after all, it is released
+// there.
 func (n *Node) awaitLateAnswer(s *session) {
 	if len(n.abandonedSetups) >= maxRemembered {
 		return
@@ -140,12 +143,12 @@
 	})
 }
 
-// setupTimedOut ends a SETUP that was waited for long enough.
+// setupTimedOut ends a SETUP that was not answered in time.
 func (n *Node) setupTimedOut(s *session) {
 	s.setupTimer = nil
 	if n.recallSetup(s) {
 		o := choice.NoConnection
-		if s.conn == nil { // the own machine had none to give
+		if s.conn == nil { // this machine had no connection for it
 			o = choice.Unsent
 		}
 		n.setupEnded(s, o, noReport)
@@ -155,29 +158,29 @@
 	n.setupEnded(s, choice.TimedOut, noReport)
 }
 
-// cancelRequest takes it that the client has given up its SETUP: nothing is owed.
+// cancelRequest ends a request that its client has cancelled: no answer is due.
 func (n *Node) cancelRequest(s *session) {
-	was, sv := s.state, s.server
-	if was == attempting && !n.recallSetup(s) {
+	state, sv := s.state, s.server
+	if state == attempting && !n.recallSetup(s) {
 		n.cancelSetup(s, false)
 	}
 	n.detachSetup(s)
 	n.sendAfterCancel(s, sv)
 	n.counts["given up"]++
-	s.history.unusual = s.history.unusual || was == attempting
+	s.history.unusual = s.history.unusual || state == attempting
 	n.guard.Cancelled(s.id)
-	n.log.Debug("given up", str("sess", s.id), zap.Bool("out", was == attempting))
+	n.log.Debug("request cancelled", str("sess", s.id), zap.Bool("out", state == attempting))
 	n.removeSession(s)
 	n.notifyModule(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
-	if was == attempting {
+	if state == attempting {
 		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: choice.Cancelled, Final: true, Report: noReport})
 		n.removeServerIfGone(sv)
 	}
 }
 
-// removeSession takes a session from all tables.
+// removeSession removes a session from all tables.
 func (n *Node) removeSession(s *session) {
-	n.logHistory(s, "over")
+	n.logHistory(s, "ended")
 	n.cancel(s.setupTimer)
 	s.setupTimer = nil
 	n.detachSetup(s)
@@ -199,7 +202,7 @@
 	delete(n.sessions, s.id)
 }
 
-// establishSession takes a server's good answer and gives it to the client.
+// establishSession takes a server's 200 and passes its description on to the client.
 func (n *Node) establishSession(s *session, m *rtsp.Message) {
 	n.detachSetup(s)
 	n.cancel(s.setupTimer)
@@ -220,13 +223,13 @@
 		s.history.add(n.clock(), stepAnswered, answerDetail(v, s.answerEnd))
 	}
 	s.body = nil
-	n.log.Debug("served", str("sess", s.id), str("server", s.server.id), str("to", v.peer()), zap.Int64("ends", s.answerEnd))
+	n.log.Debug("session served", str("sess", s.id), str("server", s.server.id), str("to", v.peer()), zap.Int64("ends", s.answerEnd))
 	if r := s.earlyRelease; r != nil {
 		n.endSession(s, r.outcome(), r.cause, r.report)
 	}
 }
 
-// endSession ends a session that stood, and releases its client.
+// endSession ends an established session and sends its client the release.
 func (n *Node) endSession(s *session, o choice.Outcome, cause int, r choice.LoadReport) {
 	sv := s.server
 	v := s.client
@@ -242,7 +245,8 @@
 	n.removeServerIfGone(sv)
 }
 
-// sendRelease sends a client its session's end: on its own connection, else on any that served a session.
+// sendRelease sends a release on the client's own connection, or else on the newest that has served a session. If there is none,
+// the release waits for one.
 func (n *Node) sendRelease(v *client, b []byte) {
 	if v != nil && !v.closed && v.sendKept(n.now, b) {
 		return
@@ -257,29 +261,29 @@
 	}
 }
 
-// sendPendingReleases sends the releases that found no connection before.
+// sendPendingReleases retries the releases for which no connection was available. They keep their expiry.
 func (n *Node) sendPendingReleases() {
-	list := n.pendingReleases
+	pending := n.pendingReleases
 	n.pendingReleases = nil
-	for _, o := range list {
-		if n.now < o.expiresAt {
-			had := len(n.pendingReleases)
-			n.sendRelease(nil, o.data)
-			if len(n.pendingReleases) > had {
-				n.pendingReleases[had].expiresAt = o.expiresAt
+	for _, m := range pending {
+		if n.now < m.expiresAt {
+			count := len(n.pendingReleases)
+			n.sendRelease(nil, m.data)
+			if len(n.pendingReleases) > count {
+				n.pendingReleases[count].expiresAt = m.expiresAt
 			}
 		}
 	}
 }
 
-// endSessionForClient ends a session that stood because its client has, or is gone.
+// endSessionForClient ends an established session because its client ended it or is gone.
 func (n *Node) endSessionForClient(s *session) {
 	n.sendToServer(s.server, tearDown(s.url, s.id, causeMoved))
 	n.notifyModule(wire.Event{Kind: wire.ClientLeft, Request: choice.Request{ID: choice.SessID(s.id)}})
 	n.endSession(s, choice.Cancelled, causeMoved, noReport)
 }
 
-// serverRelease is a server's serverRelease of a session that stood.
+// serverRelease is a server's release of an established session.
 type serverRelease struct {
 	cause  int
 	report choice.LoadReport
@@ -292,9 +296,10 @@
 	return choice.Cancelled
 }
 
-// handleReleaseBeforeAnswer takes a release for a SETUP that has had no answer. The session is over, so nothing is sent elsewhere. What its server
-// wrote before on the same connection has been read, so no answer is on its way and the request is refused at once. A
-// release on another connection may have overtaken the answer, which then has a moment to come.
+// handleReleaseBeforeAnswer takes a release of a session whose SETUP has not been answered. The session has ended, so no SETUP
+// goes to another server. On the SETUP's own connection everything that the server wrote earlier has been read, so no answer is
+// in flight and the request is refused at once. A release on another connection may have overtaken the answer, which is then
+// awaited for share.OvertakenAnswerWait.
 func (n *Node) handleReleaseBeforeAnswer(l *serverConn, s *session, m *rtsp.Message) {
 	if s.earlyRelease != nil {
 		return
@@ -315,13 +320,14 @@
 	})
 }
 
-// endUnanswered ends a SETUP whose session has ended at its server. Should an answer follow after all, the server is told.
+// endUnanswered ends a SETUP whose session has ended at its server without an answer. If a 200 follows after all, the session
+// is released at the server.
 func (n *Node) endUnanswered(s *session) {
 	n.awaitLateAnswer(s)
 	n.setupEnded(s, choice.EndedUnanswered, s.earlyRelease.report)
 }
 
-// handleServerRelease takes a server's release.
+// handleServerRelease takes a server's release of a session. s is nil if the session is not known at that server.
 func (n *Node) handleServerRelease(l *serverConn, s *session, id string, m *rtsp.Message) {
 	if s != nil {
 		s.history.add(n.now, stepServerReleased, strconv.Itoa(cause(m)))
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	testTimeout = 5 * time.Second // that tests have with what must come
+	testTimeout = 5 * time.Second // bounds each wait for something that must happen
 	requestBody = "9d41c07a5be2f318\r\nc=IN IP4 127.0.0.1\r\n"
 	answerBody  = "7e55aa0012345678\r\nc=IN IP4 127.0.0.2\r\nm=video 31000 RTP/AVP 33\r\n"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is a test's end of a connection: what comes waits in its channel, nil once it is closed.
+// peer is the test's end of a connection. Received messages wait in its channel, which is closed with the connection.
 type peer struct {
 	net.Conn
 	t        testing.TB
@@ -56,46 +56,48 @@
 	return p
 }
 
+// sendf writes formatted text to the connection.
 func (p *peer) sendf(format string, args ...any) {
 	if _, err := fmt.Fprintf(p.Conn, format, args...); err != nil {
 		p.t.Logf("%s: %v", p.name, err)
 	}
 }
 
-// next is the next message, nil where the connection was closed.
+// next returns the next message, nil if the connection was closed.
 func (p *peer) next() *rtsp.Message {
 	p.t.Helper()
 	return p.nextWithin(testTimeout)
 }
 
-// nextWithin is next with a time limit of its own.
+// nextWithin is next with another time limit.
 func (p *peer) nextWithin(limit time.Duration) *rtsp.Message {
 	p.t.Helper()
 	select {
 	case m := <-p.messages:
 		return m
 	case <-time.After(limit):
-		p.t.Fatalf("%s: nothing came", p.name)
+		p.t.Fatalf("%s: no message within %v", p.name, limit)
 	}
 	return nil
 }
 
-// expect is the next message, which must be a status or a method.
-func (p *peer) expect(what string) *rtsp.Message {
+// expect returns the next message, which must have this status or method.
+func (p *peer) expect(kind string) *rtsp.Message {
 	p.t.Helper()
-	return p.expectWithin(testTimeout, what)
+	return p.expectWithin(testTimeout, kind)
 }
 
-// expectWithin is want with a time limit of its own.
-func (p *peer) expectWithin(limit time.Duration, what string) *rtsp.Message {
+// expectWithin is expect with another time limit.
+func (p *peer) expectWithin(limit time.Duration, kind string) *rtsp.Message {
 	p.t.Helper()
 	m := p.nextWithin(limit)
-	if got := messageKind(m); got != what {
-		p.t.Fatalf("%s: %s where %s is due", p.name, got, what)
+	if got := messageKind(m); got != kind {
+		p.t.Fatalf("%s: got %s, want %s", p.name, got, kind)
 	}
 	return m
 }
 
+// messageKind is a message's method or status, or "closed" for nil.
 func messageKind(m *rtsp.Message) string {
 	switch {
 	case m == nil:
@@ -123,16 +125,17 @@
 	p.sendf("TEARDOWN rtsp://media/t1 RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\n%sContent-Length: 0\r\n\r\n", id, reason)
 }
 
-// fakeServer is a stand-in for a server. What is not a test reaches do; each connection's end comes there as nil.
+// fakeServer stands in for a server. It answers probes itself; every other message goes to received.
 type fakeServer struct {
 	net.Listener
 	name         string
 	mu           sync.Mutex
 	conns        []*peer
 	received     chan receivedMessage
-	ignoreProbes atomic.Bool // answers no tests
+	ignoreProbes atomic.Bool // leaves probes unanswered
 }
 
+// receivedMessage is a message that a fake server received, with the connection on which it arrived.
 type receivedMessage struct {
 	conn *peer
 	msg  *rtsp.Message
@@ -172,7 +175,8 @@
 	return h
 }
 
-// firstConn is the firstConn connection that the stand-in took; the system lets a node see it open before that.
+// firstConn returns the first connection that the fake server accepted, once there is one: the node may see the connection open
+// before it is accepted.
 func (h *fakeServer) firstConn() (p *peer) {
 	for end := time.Now().Add(testTimeout); p == nil && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
 		h.mu.Lock()
@@ -184,7 +188,7 @@
 	return p
 }
 
-// kill ends the stand-in as a process that dies: its connections are reset, and none is taken.
+// kill ends the fake server like a process that dies: its connections are reset and no further one is accepted.
 func (h *fakeServer) kill() {
 	h.Close()
 	h.mu.Lock()
@@ -195,19 +199,19 @@
 	}
 }
 
-// expectAt is the next message of a kind at any of some hosts; responses to releases are passed over.
-func (f *harness) expectAt(method string, hosts ...*fakeServer) (receivedMessage, *fakeServer) {
+// expectAt returns the next request at any of some servers, which must have this method; responses are skipped.
+func (f *harness) expectAt(method string, servers ...*fakeServer) (receivedMessage, *fakeServer) {
 	f.t.Helper()
 	end := time.After(testTimeout)
 	for {
-		for _, h := range hosts {
+		for _, h := range servers {
 			select {
 			case x := <-h.received:
 				if !x.msg.IsRequest() {
 					continue
 				}
 				if x.msg.Method != method {
-					f.t.Fatalf("%s: %s where %s is due", h.name, x.msg.Method, method)
+					f.t.Fatalf("%s: got %s, want %s", h.name, x.msg.Method, method)
 				}
 				return x, h
 			default:
@@ -215,13 +219,13 @@
 		}
 		select {
 		case <-end:
-			f.t.Fatalf("no %s came", method)
+			f.t.Fatalf("no %s arrived", method)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// harness is a front node with stand-ins around it.
+// harness runs a front node with fake servers and a fake coordinator.
 type harness struct {
 	t                   testing.TB
 	node                *Node
@@ -232,13 +236,13 @@
 	coordinatorListener net.Listener
 	followers           chan *followerConn
 	reloadConfig        func() (*start.Start, error)
-	network             Network           // the system's where it is nil
-	onLog               func(what string) // hears of each line of the log as it is written
-	writeDelay          time.Duration     // what the node writes to clients leaves so much later
-	openClients         *atomic.Int64     // counts the clients' connections that the node holds, where it is given
+	network             Network              // nil is the system's network
+	onLog               func(message string) // called for each log line as it is written
+	writeDelay          time.Duration        // delays each write of the node to a client
+	openClients         *atomic.Int64        // counts the client connections that the node holds, unless nil
 }
 
-// countingListener counts the accepted connections that are open.
+// countingListener counts its accepted connections that are open.
 type countingListener struct {
 	net.Listener
 	open *atomic.Int64
@@ -264,7 +268,7 @@
 	return c.Conn.Close()
 }
 
-// slowListener accepts connections on which each write takes so much longer.
+// slowListener accepts connections on which each write is delayed.
 type slowListener struct {
 	net.Listener
 	writeDelay time.Duration
@@ -280,24 +284,26 @@
 
 type slowWriteConn struct {
 	net.Conn
-	long time.Duration
+	writeDelay time.Duration
 }
 
 func (c slowWriteConn) Write(b []byte) (int, error) {
-	time.Sleep(c.long)
+	time.Sleep(c.writeDelay)
 	return c.Conn.Write(b)
 }
 
-// followerConn is the coordinator's end of a connection, and the number that it was asked to follow.
+// followerConn is the coordinator's end of a connection, with the index after which the node asked to follow.
 type followerConn struct {
 	net.Conn
 	after int
 }
 
+// listEntry is an entry of the coordinator's list of servers.
 func listEntry(id, addr, state string) string {
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","machineType":"std","cell":1,"lifecycle":%q,"weight":1,"startedAtMs":0}`, id, addr, state)
 }
 
+// listEvent is an event of the coordinator.
 func listEvent(index int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"endpoints":{"generation":1,"reset":%v,"instances":[%s]}}`, index, reset, strings.Join(entries, ","))
 }
@@ -310,12 +316,12 @@
 "reporting":{"fields":["cpu","x1"],"source":"pull"},
 "rules":{"cold":12000000,"counted_over":5000000,"fall":1000000,"overload_factor":3.0,"repeat_ratio":0.5,"spare_attempts":50.0,"start_capacity":0.4,"stop_sending_within":250000}}`
 
-// newHarness starts a front node that knows these hosts.
-func newHarness(t testing.TB, sockets int, hosts func(f *harness) []*fakeServer) *harness {
+// newHarness starts a front node whose list has these servers; servers may also set up the harness.
+func newHarness(t testing.TB, sockets int, servers func(f *harness) []*fakeServer) *harness {
 	f := &harness{t: t, reloadSignals: make(chan os.Signal, 1), terminationSignals: make(chan os.Signal, 3), exitCode: make(chan lifecycle.ExitCode, 1)}
 	f.coordinatorListener, f.followers = f.startCoordinator()
 	var entries []string
-	for _, h := range hosts(f) {
+	for _, h := range servers(f) {
 		entries = append(entries, listEntry(h.name, h.Addr().String(), "up"))
 	}
 	text := f.config(sockets, 1, listEvent(1, true, entries...))
@@ -338,21 +344,21 @@
 	if os.Getenv("NODE_TEST_LOG") != "" {
 		log, _ = zap.NewDevelopment(zap.Hooks(f.checkLogEntry))
 	}
-	got := make(chan *Node, 1)
+	serving := make(chan *Node, 1)
 	go func() {
-		code, err := Run(Options{Config: s, Listener: l, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { got <- n },
+		code, err := Run(Options{Config: s, Listener: l, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { serving <- n },
 			Network: f.network, ReloadConfig: func() (*start.Start, error) { return f.reloadConfig() }})
 		if err != nil {
 			t.Error(err)
 		}
 		f.exitCode <- code
 	}()
-	f.node = <-got
+	f.node = <-serving
 	t.Cleanup(f.stop)
 	return f
 }
 
-// checkLogEntry takes each line of the node's log: an error there, a violated invariant among them, is one of the test.
+// checkLogEntry is called for each line of the node's log. A line at level error, such as a violated invariant, fails the test.
 func (f *harness) checkLogEntry(e zapcore.Entry) error {
 	if e.Level >= zapcore.ErrorLevel {
 		f.t.Errorf("the node logs: %s", e.Message)
@@ -368,6 +374,7 @@
 		f.coordinatorListener.Addr().String(), index, events, sockets, fmt.Sprintf(settingsJSON, false))
 }
 
+// startCoordinator starts a fake coordinator, which passes on the connections that ask to follow it.
 func (f *harness) startCoordinator() (net.Listener, chan *followerConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -392,6 +399,7 @@
 	return l, ch
 }
 
+// acceptFollower returns the next connection to the first coordinator.
 func (f *harness) acceptFollower() *followerConn {
 	f.t.Helper()
 	select {
@@ -399,11 +407,12 @@
 		f.t.Cleanup(func() { p.Close() })
 		return p
 	case <-time.After(testTimeout):
-		f.t.Fatal("nobody asks the coordinator")
+		f.t.Fatal("nobody follows the coordinator")
 	}
 	return nil
 }
 
+// stop ends the node, unless it has ended, and waits for its exit.
 func (f *harness) stop() {
 	select {
 	case code := <-f.exitCode:
@@ -416,10 +425,11 @@
 	case code := <-f.exitCode:
 		f.exitCode <- code
 	case <-time.After(testTimeout):
-		f.t.Error("the front node does not end")
+		f.t.Error("the front node does not exit")
 	}
 }
 
+// connect opens a client connection to the node.
 func (f *harness) connect() *peer {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.addr)
@@ -430,41 +440,42 @@
 	return newPeer(f.t, c, "client")
 }
 
-// inspect runs a look at the node's tables within its loop.
-func (f *harness) inspect(look func(n *Node)) {
+// inspect runs a function within the node's loop.
+func (f *harness) inspect(fn func(n *Node)) {
 	done := make(chan struct{})
-	if f.node.post(event{do: func() { look(f.node); close(done) }}) {
+	if f.node.post(event{do: func() { fn(f.node); close(done) }}) {
 		select {
 		case <-done:
-		case <-f.node.ctx.Done(): // it is over
+		case <-f.node.ctx.Done(): // the node has stopped
 		}
 	}
 }
 
-// waitFor waits for something to be true of the node's tables.
-func (f *harness) waitFor(what string, is func(n *Node) bool) {
+// waitFor waits until a condition on the node's tables holds.
+func (f *harness) waitFor(description string, condition func(n *Node) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		ok := false
-		f.inspect(func(n *Node) { ok = is(n) })
+		f.inspect(func(n *Node) { ok = condition(n) })
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Fatalf("not so: %s", what)
+			f.t.Fatalf("condition not met: %s", description)
 		}
 	}
 }
 
+// testID is the k-th session id.
 func testID(k int) string { return fmt.Sprintf("%016x", 0xab00000000000000+uint64(k)) }
 
-// newSingleServerHarness is a farm with one host.
+// newSingleServerHarness starts a harness with one server.
 func newSingleServerHarness(t testing.TB, sockets int) (f *harness, h *fakeServer) {
 	f = newHarness(t, sockets, func(f *harness) []*fakeServer { h = f.startServer("s-1"); return []*fakeServer{h} })
 	return f, h
 }
 
-// serveNext has the host answer the next SETUP, and takes the answer at its client.
+// serveNext has the server answer the next SETUP, and expects the answer at the client.
 func (f *harness) serveNext(h *fakeServer, v *peer) receivedMessage {
 	f.t.Helper()
 	x, _ := f.expectAt(rtsp.Setup, h)
--- a/internal/node/started.go
+++ b/internal/node/started.go
@@ -2,22 +2,23 @@
 
 import "rainhaven/choice/slowstart"
 
-// A server's start is told by the wall clock of another machine, and wall clocks are stepped. The functions of this file
-// alone compare the two; whatever else is timed is a span of the own monotonic clock.
+// The list gives a server's start by the wall clock of another machine, and wall clocks are stepped. Only the functions of this
+// file compare that clock with the node's own; everything else measures durations on the node's monotonic clock.
 
-// setListedStart takes the start that the list tells of a server; true where that is another one than before.
+// setListedStart stores a server's start as listed and reports whether it has changed.
 func (sv *server) setListedStart(ms float64) bool {
-	anew := ms > 0 && ms != sv.listedStartMs
+	changed := ms > 0 && ms != sv.listedStartMs
 	sv.listedStartMs = ms
-	return anew
+	return changed
 }
 
-// secondsSinceStart is how many seconds ago a server started as far as the own wall clock can tell, within what is likely.
+// secondsSinceStart estimates by the node's wall clock how many seconds ago a server started, bounded by
+// slowstart.Age.
 func (n *Node) secondsSinceStart(ms float64) float64 {
 	return slowstart.Age(n.now - ms/1000)
 }
 
-// effectiveStart is the instant from which a server counts as effectiveStart.
+// effectiveStart is the time on the node's clock at which a server counts as started.
 func (n *Node) effectiveStart(ms float64) float64 {
 	return slowstart.StartedAt(n.now, n.now-ms/1000, n.ready)
 }
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -21,7 +21,7 @@
 	"rainhaven/internal/rtsp"
 )
 
-// failingNetwork fails so many dials with an error of the system's.
+// failingNetwork fails the next failuresLeft dials with errno.
 type failingNetwork struct {
 	systemNetwork
 	failuresLeft atomic.Int32
@@ -35,8 +35,8 @@
 	return f.systemNetwork.Dial(ctx, addr)
 }
 
-// What the own machine lacks speaks against no server: the request is served there as soon as there is a connection, and the
-// server is not set aside. A peer that can't be reached is.
+// An error of the node's own machine must not count against a server: the request is served there as soon as a connection can be
+// opened, and the server is not ejected. An unreachable server is ejected.
 func TestErrorsOfTheOwnMachine(t *testing.T) {
 	for _, c := range []struct {
 		errno syscall.Errno
@@ -58,16 +58,17 @@
 			} else {
 				v.expect("503")
 			}
-			aside := false
-			f.inspect(func(n *Node) { aside = n.front.ServerEstimates()[0].Ejected })
-			if aside == c.local {
-				t.Errorf("set aside: %v", aside)
+			ejected := false
+			f.inspect(func(n *Node) { ejected = n.front.ServerEstimates()[0].Ejected })
+			if ejected == c.local {
+				t.Errorf("ejected: %v", ejected)
 			}
 		})
 	}
 }
 
-// Where the own machine has no connection for as long as the client waits, the request is refused in time, as nothing ran.
+// If the node's own machine has no connection until the client's deadline, the request is refused in time with 503, as it had no
+// effect.
 func TestNoLocalConnectionUntilDeadline(t *testing.T) {
 	failing := &failingNetwork{errno: syscall.EADDRNOTAVAIL}
 	f := newHarness(t, 256, func(f *harness) []*fakeServer { f.network = failing; return []*fakeServer{f.startServer("s-1")} })
@@ -75,63 +76,63 @@
 	v := f.connect()
 	v.setup(testID(1), "paid", "")
 	v.expect("503")
-	f.waitFor("nothing is left of it", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+	f.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 }
 
-// A server's start is told by a clock that may be off by an hour, either way: the server is cold from when it was told, and
-// warm again after its time, not an hour later. An entry that tells the same start again starts nothing anew.
+// The clock by which the list gives a server's start may be off by an hour, either way: the server counts as cold from when the start
+// was listed, and as warm after the warm-up, not an hour later. An entry that repeats the same start changes nothing.
 func TestStartToldByAClockThatIsOff(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(off.String(), func(t *testing.T) {
 			f, _ := newSingleServerHarness(t, 256)
-			feed := f.acceptFollower()
+			coordinator := f.acceptFollower()
 			s2 := f.startServer("s-2")
-			told := strings.Replace(listEntry("s-2", s2.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().Add(off).UnixMilli()), 1)
-			fmt.Fprintln(feed, listEvent(2, false, told))
-			f.waitFor("it is known", func(n *Node) bool { return n.serversByID["s-2"] != nil })
-			born := 0.0
+			started := strings.Replace(listEntry("s-2", s2.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().Add(off).UnixMilli()), 1)
+			fmt.Fprintln(coordinator, listEvent(2, false, started))
+			f.waitFor("the server is known", func(n *Node) bool { return n.serversByID["s-2"] != nil })
+			startedAt := 0.0
 			f.inspect(func(n *Node) {
-				if born = n.serversByID["s-2"].startedAt; born > n.now || born < n.now-5 {
-					t.Errorf("counts as started %.1f s ago", n.now-born)
+				if startedAt = n.serversByID["s-2"].startedAt; startedAt > n.now || startedAt < n.now-5 {
+					t.Errorf("counts as started %.1f s ago", n.now-startedAt)
 				}
 			})
-			fmt.Fprintln(feed, listEvent(3, false, told))
-			f.waitFor("it is told again", func(n *Node) bool { return n.lastIndex == 3 })
+			fmt.Fprintln(coordinator, listEvent(3, false, started))
+			f.waitFor("the entry is repeated", func(n *Node) bool { return n.lastIndex == 3 })
 			f.inspect(func(n *Node) {
-				if again := n.serversByID["s-2"].startedAt; again != born {
-					t.Errorf("starts anew %.1f s later", again-born)
+				if again := n.serversByID["s-2"].startedAt; again != startedAt {
+					t.Errorf("counts as started %.1f s later", again-startedAt)
 				}
 			})
 		})
 	}
 }
 
-// Requests with very little time left are answered in time, or their server is told no more than that.
+// Requests with very little time left are answered in time, and their servers get no longer deadline than that.
 func TestShortDeadlines(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	for k, patience := range []int{1, 5, 12, 13, 30, 50} {
+	for k, milliseconds := range []int{1, 5, 12, 13, 30, 50} {
 		v := f.connect()
-		v.sendf("%s", request(k, patience))
+		v.sendf("%s", request(k, milliseconds))
 		sent := time.Now()
-		m := v.nextWithin(time.Duration(patience)*time.Millisecond + 500*time.Millisecond)
+		m := v.nextWithin(time.Duration(milliseconds)*time.Millisecond + 500*time.Millisecond)
 		if s := messageKind(m); s != "503" && s != "500" {
-			t.Errorf("%d ms: %s after %v", patience, s, time.Since(sent))
+			t.Errorf("%d ms: %s after %v", milliseconds, s, time.Since(sent))
 		}
 	}
 	for len(s1.received) > 0 {
 		if x := <-s1.received; x.msg.Method == rtsp.Setup {
 			var wait int
 			if fmt.Sscan(x.msg.Header.Get(fieldWait), &wait); wait > 50 {
-				t.Errorf("a server is told %d ms", wait)
+				t.Errorf("a server got a deadline of %d ms", wait)
 			}
 		}
 	}
 }
 
-// A process that starts while the one before it still has the address serves as soon as that has ended.
+// A process that starts while its predecessor still holds the address serves as soon as the predecessor has ended.
 func TestAddressFreedLate(t *testing.T) {
 	f, _ := newSingleServerHarness(t, 256)
-	before, err := net.Listen("tcp", "127.0.0.1:0")
+	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,16 +140,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Listen = before.Addr().String()
-	ends, over := make(chan os.Signal, 3), make(chan lifecycle.ExitCode, 1)
+	s.Listen = predecessor.Addr().String()
+	terminationSignals, exitCode := make(chan os.Signal, 3), make(chan lifecycle.ExitCode, 1)
 	go func() {
-		code, err := Run(Options{Config: s, Log: zap.NewNop(), TerminationSignals: ends})
+		code, err := Run(Options{Config: s, Log: zap.NewNop(), TerminationSignals: terminationSignals})
 		if err != nil {
 			t.Error(err)
 		}
-		over <- code
+		exitCode <- code
 	}()
-	time.AfterFunc(200*time.Millisecond, func() { before.Close() })
+	time.AfterFunc(200*time.Millisecond, func() { predecessor.Close() })
 	ready := false
 	for end := time.Now().Add(testTimeout); !ready && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		c, err := net.Dial("tcp", s.Listen)
@@ -165,16 +166,16 @@
 		c.Close()
 	}
 	if !ready {
-		t.Error("it does not serve")
+		t.Error("the node does not serve")
 	}
-	ends <- syscall.SIGTERM
-	if code := <-over; code != lifecycle.ExitClean {
+	terminationSignals <- syscall.SIGTERM
+	if code := <-exitCode; code != lifecycle.ExitClean {
 		t.Errorf("exit %d", code)
 	}
 }
 
-// A new configuration names a coordinator that takes connections and says nothing yet: a drain that only the one before tells
-// is heeded. Once the new one has spoken the old one is left, and its connection closed.
+// A new configuration names a coordinator that accepts connections but sends nothing yet: a drain that only the old coordinator
+// reports still takes effect. After the new one's first message the connection to the old one is closed.
 func TestOldCoordinatorIsHeardUntilTheNewOneSpeaks(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	old := f.acceptFollower()
@@ -184,17 +185,17 @@
 	c := <-follows
 	defer c.Close()
 	fmt.Fprintln(old, listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("the drain is heard", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	f.waitFor("the drain is applied", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	fmt.Fprintln(c, "2")
-	f.waitFor("the old one is left", func(n *Node) bool { return len(n.watches) == 1 && n.watches[0].addr == l.Addr().String() })
+	f.waitFor("the old coordinator is no longer followed", func(n *Node) bool { return len(n.watches) == 1 && n.watches[0].addr == l.Addr().String() })
 	old.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the old one's connection: %v", err)
+		t.Errorf("connection to the old coordinator: %v", err)
 	}
 }
 
-// Ten configurations in a row, some of them broken, some naming the coordinator before: the last good one is in force, and no
-// more coordinators are followed than needed.
+// Ten reloads in a row, some with a broken configuration, some naming the previous coordinator: the last valid one takes effect, and
+// only its coordinator remains followed.
 func TestConfigurationsInARow(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	f.acceptFollower()
@@ -217,20 +218,20 @@
 		<-read
 	}
 	last := 9 % len(addrs)
-	over := make(chan bool)
-	defer close(over)
-	go func() { // a connection on which nothing is said for some seconds is given up for another
+	stop := make(chan bool)
+	defer close(stop)
+	go func() { // the node replaces a connection that is silent for some seconds
 		for {
 			select {
 			case c := <-follows[last]:
 				defer c.Close()
 				fmt.Fprintln(c, listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-			case <-over:
+			case <-stop:
 				return
 			}
 		}
 	}()
-	f.waitFor("the last one is in force", func(n *Node) bool {
+	f.waitFor("the last configuration is in force", func(n *Node) bool {
 		return n.servers[0].state == choice.Draining && len(n.watches) == 1 && n.watches[0].addr == addrs[last]
 	})
 }
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -9,20 +9,20 @@
 	"rainhaven/internal/rtsp"
 )
 
-// traceReceived logs one message as the loop takes it, where debug is on.
+// traceReceived logs a received message, at level debug, as the loop handles it.
 func (n *Node) traceReceived(c *conn, m *rtsp.Message) {
 	if !n.log.Core().Enabled(zap.DebugLevel) {
 		return
 	}
-	what := m.Method
+	kind := m.Method
 	if !m.IsRequest() {
-		what = strconv.Itoa(m.Status)
+		kind = strconv.Itoa(m.Status)
 	}
-	n.log.Debug("received", str("from", c.peer()), str("message", what), str("session", m.Session()), str("reason", m.Header.Get(fieldReason)))
+	n.log.Debug("received", str("from", c.peer()), str("message", kind), str("session", m.Session()), str("reason", m.Header.Get(fieldReason)))
 }
 
-// traceSent logs one message as it was handed to the connection, where debug is on. Its bytes are those from begins to
-// ends of all that the connection sends, below 0 where it takes no more; written tells that they left at once.
+// traceSent logs a message, at level debug, as it is passed to the connection. begins and ends are its byte offsets in all that the
+// connection sends, below 0 if the connection takes no more; written is set if it was written at once.
 func (c *conn) traceSent(b []byte, begins, ends int64, written bool) {
 	if !c.log.Core().Enabled(zap.DebugLevel) {
 		return
@@ -32,10 +32,10 @@
 		zap.Int64("begins", begins), zap.Int64("ends", ends), zap.Bool("written", written))
 }
 
-// peer names the other end in logs.
+// peer is the remote address, for logs.
 func (c *conn) peer() string { return c.nc.RemoteAddr().String() }
 
-// sessionIDIn finds the session id among a message's header lines.
+// sessionIDIn extracts the session id from a message's header lines.
 func sessionIDIn(header []byte) string {
 	for line := range bytes.Lines(header) {
 		if value, ok := bytes.CutPrefix(line, []byte("Session: ")); ok {
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// sabotageEvery is one of how many requests a sabotage of single requests spoils.
+	// sabotageEvery: a sabotage of single requests affects one in so many session ids.
 	sabotageEvery = 10
-	// sabotagedStartDelay is how long a sabotaged start takes.
+	// sabotagedStartDelay is the delay of a sabotaged start.
 	sabotagedStartDelay = 40 * time.Second
-	// sendAfterCancelSeconds is how long after a client has gone a sabotaged attempt begins, in seconds.
+	// sendAfterCancelSeconds is how long after a client has left a sabotaged node sends its SETUP.
 	sendAfterCancelSeconds = 0.3
-	// shortWaitSeconds is how long a sabotaged attempt is waited for, in seconds: most are then repeated.
+	// shortWaitSeconds is the timeout of a sabotaged SETUP, so short that most are retried.
 	shortWaitSeconds = 0.005
-	// extraDeadlineSeconds is what is added to the deadlines that servers are told, in seconds.
+	// extraDeadlineSeconds is added to the deadlines that a sabotaged node sends to servers.
 	extraDeadlineSeconds = 1.0
-	// listDelaySeconds is how late a sabotaged node takes what the coordinator tells, in seconds.
+	// listDelaySeconds is how late a sabotaged node applies events of the coordinator.
 	listDelaySeconds = 7.0
 	// extraDescriptors is how many descriptors a sabotaged node holds beyond its limit.
 	extraDescriptors = 20
 )
 
-// heldFiles are the descriptors that a sabotaged process holds to its end.
+// heldFiles keeps the extra descriptors of a sabotaged process open until its exit.
 var heldFiles []*os.File
 
-// Trials is how a node departs from the usual in trials.
+// Trials alters a node's behaviour in trials.
 type Trials struct {
-	// WallOffset is how far the wall clock that the node starts by is off.
+	// WallOffset is added to the wall clock that the node reads at its start.
 	WallOffset time.Duration
-	// Sabotage has the node break a rule.
+	// Sabotage makes the node break a rule.
 	Sabotage Sabotage
 }
 
 func (t Trials) wallOffset() time.Duration { return t.WallOffset }
 
-// alterConfig spoils what a node starts with.
+// alterConfig applies a sabotage to the configuration, or to the start itself.
 func (t Trials) alterConfig(f *start.Start) {
 	s := t.Sabotage
 	switch s {
@@ -70,12 +70,12 @@
 	}
 }
 
-// sabotages tells whether this sabotage is in force for a session.
+// sabotages reports whether a sabotage is in force for a session.
 func (n *Node) sabotages(s Sabotage, id string) bool {
 	return n.trials.Sabotage == s && int(id[len(id)-1])%sabotageEvery == 0
 }
 
-// afterListDelay does something as late as a sabotaged list is taken, or at once.
+// afterListDelay calls do after the delay of a sabotaged list, or else at once.
 func (n *Node) afterListDelay(do func()) {
 	if n.trials.Sabotage == SabotageList {
 		n.after(listDelaySeconds, do)
@@ -84,14 +84,14 @@
 	do()
 }
 
-// reportFalseViolation has the guard report something for a request.
+// reportFalseViolation logs a violation that has not happened, for a sabotaged request.
 func (n *Node) reportFalseViolation(id string) {
 	if n.sabotages(SabotageGuard, id) {
 		n.logViolation(invariant.Violation{Reason: invariant.AnswerMissing, Request: id, Detail: "sabotaged"})
 	}
 }
 
-// alterListing spoils an alterListing of the list.
+// alterListing applies a sabotage to an entry of the list.
 func (t Trials) alterListing(l choice.Listing) choice.Listing {
 	if t.Sabotage == SabotageDrain && l.State == choice.Draining {
 		l.State = choice.Ready
@@ -99,7 +99,7 @@
 	return l
 }
 
-// alterWait spoils how long an attempt is waited for.
+// alterWait applies a sabotage to the timeout of a SETUP.
 func (t Trials) alterWait(seconds float64) float64 {
 	if t.Sabotage == SabotageBudget {
 		return min(seconds, shortWaitSeconds)
@@ -107,7 +107,7 @@
 	return seconds
 }
 
-// alterDeadline spoils the deadline that a server is alterDeadline.
+// alterDeadline applies a sabotage to the deadline that is sent to a server.
 func (t Trials) alterDeadline(seconds float64) float64 {
 	if t.Sabotage == SabotageDeadline {
 		seconds += extraDeadlineSeconds
@@ -115,13 +115,13 @@
 	return seconds
 }
 
-// ignoresTermination tells whether signals to end are not heeded.
+// ignoresTermination reports whether termination signals are ignored.
 func (t Trials) ignoresTermination() bool { return t.Sabotage == SabotageExit }
 
-// closesWithoutReader tells whether connections are closed without hearing from their readers.
+// closesWithoutReader reports whether idle connections are closed without waiting for their readers.
 func (t Trials) closesWithoutReader() bool { return t.Sabotage == SabotageClose }
 
-// duplicateSetup sends a SETUP to a second server as well.
+// duplicateSetup sends a sabotaged SETUP to a second server as well.
 func (n *Node) duplicateSetup(s *session) {
 	paid := n.config.Figures.Groups[s.group].Paid
 	sabotage := n.trials.Sabotage
@@ -140,7 +140,7 @@
 	}
 }
 
-// sendAfterCancel sends a SETUP whose client has gone.
+// sendAfterCancel sends a sabotaged SETUP after its client has left.
 func (n *Node) sendAfterCancel(s *session, sv *server) {
 	if n.trials.Sabotage != SabotageCancel || sv == nil {
 		return
--- a/internal/node/trials_off.go
+++ b/internal/node/trials_off.go
@@ -9,7 +9,7 @@
 	"rainhaven/internal/node/start"
 )
 
-// Trials is how a node departs from the usual in trials: not at all, as this program was built without them.
+// Trials has no effect in programs built without the tag trials.
 type Trials struct{}
 
 func (Trials) wallOffset() time.Duration                    { return 0 }
