--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// A connection is reset while a SETUP is in flight on it. The server may have set the session up, so the node releases it there, over
-// a new connection if there is none.
+// A connection is reset while a SETUP is in flight on it. The server may have set the session up, so the node releases it there,
+// over a new connection if there is none.
 func TestResetAttemptIsWithdrawn(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,8 +83,8 @@
 	servers         []*server                   // in the order of the list; removed by removeServerIfGone
 	serversByNumber map[choice.ServerID]*server // removed with servers
 	serversByID     map[string]*server          // removed with servers
-	abandonedSetups map[string]*server          // cancelled SETUPs, by session id, whose answer may still arrive; removed after rememberSeconds
-	unknownReleases map[string]bool             // releases of sessions that are not known (yet); removed after rememberSeconds
+	abandonedSetups map[string]*server          // SETUPs ended unanswered, by session id; removed after rememberSeconds
+	unknownReleases map[string]bool             // released sessions that are not known (yet); removed after rememberSeconds
 	pendingReleases []pendingMessage            // releases for which no client connection was available; dropped when they expire
 	clients         []*client
 	clientSlots     *places       // bounds the client connections
@@ -108,7 +108,7 @@
 }
 
 const (
-	// rememberSeconds is how long cancelled SETUPs and releases of unknown sessions are remembered.
+	// rememberSeconds is how long unanswered SETUPs, whose answer may still arrive, and releases of unknown sessions are remembered.
 	rememberSeconds = 10.0
 	// maxRemembered bounds each of these tables and each list of pending messages; what exceeds it is dropped.
 	maxRemembered = 2048
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -29,7 +29,7 @@
 	probeConn       *serverConn      // of the probe in flight
 	probeCount      int              // probes so far
 	probeTimer      *timeout         // times out the probe in flight
-	pendingMessages []pendingMessage // about established sessions, for which no connection was open; sent on the next one, or dropped when they expire
+	pendingMessages []pendingMessage // about established sessions; sent on the next connection, or dropped when they expire
 }
 
 // serverConn is a connection to a server, open or being opened. The embedded conn is nil until it is open.
@@ -118,7 +118,7 @@
 	}
 }
 
-// handleLateAnswer releases a session at its server that a cancelled SETUP has set up after all.
+// handleLateAnswer releases a session at its server that a SETUP has set up after it was given up (abandonedSetups).
 func (n *Node) handleLateAnswer(sv *server, l *serverConn, m *rtsp.Message) {
 	if m.Status == rtsp.OK && n.abandonedSetups[m.Session()] == sv {
 		delete(n.abandonedSetups, m.Session())
@@ -189,7 +189,8 @@
 	n.notifyModule(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
 }
 
-// removeServerIfGone removes a server that is gone from the list once it has no sessions, probe or connections.
+// removeServerIfGone retires the idle connections of a server that is gone from the list, once it has no sessions and no probe,
+// and removes it when no connection is left.
 func (n *Node) removeServerIfGone(sv *server) {
 	if sv.state != choice.Gone || len(sv.sessions) > 0 || sv.probeID != "" {
 		return
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -79,8 +79,8 @@
 	f.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 }
 
-// The clock by which the list gives a server's start may be off by an hour, either way: the server counts as cold from when the start
-// was listed, and as warm after the warm-up, not an hour later. An entry that repeats the same start changes nothing.
+// The clock by which the list gives a server's start may be off by an hour, either way: the server counts as cold from when the
+// start was listed, and as warm after the warm-up, not an hour later. An entry that repeats the same start changes nothing.
 func TestStartToldByAClockThatIsOff(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(off.String(), func(t *testing.T) {
@@ -194,8 +194,8 @@
 	}
 }
 
-// Ten reloads in a row, some with a broken configuration, some naming the previous coordinator: the last valid one takes effect, and
-// only its coordinator remains followed.
+// Ten reloads in a row, some with a broken configuration, some naming the previous coordinator: the last valid one takes effect,
+// and only its coordinator remains followed.
 func TestConfigurationsInARow(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	f.acceptFollower()
