--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -21,13 +21,13 @@
 	closed chan struct{} // closed when no further connection is accepted
 }
 
-func newConnSlots(most int) *connSlots {
+func newConnSlots(limit int) *connSlots {
 	p := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
-	p.setLimit(most)
+	p.setLimit(limit)
 	return p
 }
 
-func (p *connSlots) setLimit(most int) { p.limit.Store(int64(most + share.AcceptSlack)) }
+func (p *connSlots) setLimit(limit int) { p.limit.Store(int64(limit + share.AcceptSlack)) }
 
 func (p *connSlots) isFull() bool { return p.inUse.Load() >= p.limit.Load() }
 
@@ -60,7 +60,7 @@
 }
 
 // acceptClients takes clients' connections until the listener is closed.
-func (n *Node) acceptClients(l net.Listener) {
+func (n *Node) acceptClients(listener net.Listener) {
 	defer n.wg.Done()
 	defer close(n.accepting)
 	for !n.places.isClosed() {
@@ -69,7 +69,7 @@
 			n.places.awaitFree()
 			continue
 		}
-		nc, err := l.Accept()
+		nc, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -31,14 +31,14 @@
 func (n *Node) readClient(v *client) {
 	defer n.wg.Done()
 	defer context.AfterFunc(n.ctx, func() { v.nc.Close() })()
-	in := rtsp.NewConn(v.nc, messageBounds)
+	messages := rtsp.NewConn(v.nc, messageBounds)
 	v.awaitFirstMessage()
 	for {
-		err := in.Await()
+		err := messages.Await()
 		if err == nil {
 			v.messageStarted()
 			var m *rtsp.Message
-			if m, _, err = in.Next(); err == nil && m != nil {
+			if m, _, err = messages.Next(); err == nil && m != nil {
 				v.messageEnded()
 				at := n.clock()
 				if !n.tell(event{do: func() { n.handleClientMessage(v, m, at) }}) {
@@ -48,7 +48,7 @@
 			}
 		}
 		if v.wasStopped(err) {
-			if n.tell(event{do: func() { n.handleReaderStopped(v, in.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
+			if n.tell(event{do: func() { n.handleReaderStopped(v, messages.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
 				continue
 			}
 			v.awaitFlush(n.ctx) // the last answer may not have been written yet
@@ -65,25 +65,25 @@
 // readFailed has the loop end a connection from which nothing more can be read.
 func (n *Node) readFailed(v *client, err error) {
 	v.readErr = err
-	var bad *rtsp.MalformedError
+	var malformed *rtsp.MalformedError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		if n.tell(event{do: func() { n.clientSentEOF(v) }}) {
 			v.awaitFlush(n.ctx)
 		}
 		return
 	}
-	late := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
-	if !late && !errors.As(err, &bad) && err != nil {
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
+	if !timedOut && !errors.As(err, &malformed) && err != nil {
 		return
 	}
-	heard := n.tell(event{do: func() {
-		if late {
+	delivered := n.tell(event{do: func() {
+		if timedOut {
 			n.messageTimedOut(v)
 		} else {
-			n.rejectMalformed(v, bad)
+			n.rejectMalformed(v, malformed)
 		}
 	}})
-	if heard {
+	if delivered {
 		v.discardInput()
 	}
 }
@@ -108,8 +108,8 @@
 
 // enforceClientLimit closes clients' connections past their share of descriptors: those who give way first.
 func (n *Node) enforceClientLimit() {
-	most := share.MaxViewerConns(n.start.MaxDescriptors, n.serverConnCount())
-	n.places.setLimit(most)
+	limit := share.MaxViewerConns(n.start.MaxDescriptors, n.serverConnCount())
+	n.places.setLimit(limit)
 	open, ending := 0, 0
 	for _, v := range n.clients {
 		if v.isClosing() || v.pendingClose != "" {
@@ -120,27 +120,27 @@
 	}
 	// Those that are being closed hold a descriptor as well: past as many as may be open none waits for its peer.
 	for _, v := range n.clients {
-		if open+ending <= most {
+		if open+ending <= limit {
 			return
 		}
 		if v.isClosing() && v.closeIfFlushed() {
 			ending--
 		}
 	}
-	for ; open > most; open-- {
-		var first *client
+	for ; open > limit; open-- {
+		var candidate *client
 		for _, v := range n.clients {
 			if v.isClosing() || v.pendingClose != "" || v.EvictionRank(n.now) < 0 {
 				continue
 			}
-			if first == nil || v.EvictionRank(n.now) < first.EvictionRank(n.now) || v.EvictionRank(n.now) == first.EvictionRank(n.now) && v.LastUsed < first.LastUsed {
-				first = v
+			if candidate == nil || v.EvictionRank(n.now) < candidate.EvictionRank(n.now) || v.EvictionRank(n.now) == candidate.EvictionRank(n.now) && v.LastUsed < candidate.LastUsed {
+				candidate = v
 			}
 		}
-		if first == nil {
+		if candidate == nil {
 			return
 		}
-		n.requestClose(first, reasonEvicted)
+		n.requestClose(candidate, reasonEvicted)
 	}
 }
 
@@ -165,20 +165,20 @@
 }
 
 // rejectMalformed answers what can't be read, and ends the connection: where its next message begins can't be known.
-func (n *Node) rejectMalformed(v *client, bad *rtsp.MalformedError) {
+func (n *Node) rejectMalformed(v *client, malformed *rtsp.MalformedError) {
 	n.wrongs++
 	status := rtsp.BadRequest
-	r := &rtsp.Message{Header: rtsp.Header{}}
-	if bad != nil {
-		if bad.Status != 0 {
-			status = bad.Status
+	request := &rtsp.Message{Header: rtsp.Header{}}
+	if malformed != nil {
+		if malformed.Status != 0 {
+			status = malformed.Status
 		}
-		if bad.CSeq != "" {
-			r.Header["Cseq"] = []string{bad.CSeq}
+		if malformed.CSeq != "" {
+			request.Header["Cseq"] = []string{malformed.CSeq}
 		}
 	}
 	n.abortOpenRequests(v, true)
-	v.send(responseMessage(r, status))
+	v.send(responseMessage(request, status))
 	v.readerStopped = true
 	n.closeClient(v, reasonMalformed)
 }
@@ -221,7 +221,7 @@
 }
 
 // handleClientMessage takes one message of a client's.
-func (n *Node) handleClientMessage(v *client, m *rtsp.Message, at float64) {
+func (n *Node) handleClientMessage(v *client, m *rtsp.Message, readAt float64) {
 	n.traceReceived(v.conn, m)
 	if v.closed || v.isClosing() {
 		n.log.Debug("said on a connection that has ended", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
@@ -230,7 +230,7 @@
 	v.SentMessage, v.LastUsed = true, n.now
 	switch m.Method {
 	case rtsp.Setup:
-		n.handleSetup(v, m, at)
+		n.handleSetup(v, m, readAt)
 	case rtsp.TearDown:
 		n.handleTeardown(v, m)
 	case rtsp.Options:
@@ -255,23 +255,23 @@
 	}
 }
 
-func (n *Node) handleSetup(v *client, m *rtsp.Message, at float64) {
-	a, err := n.parseSetup(m)
+func (n *Node) handleSetup(v *client, m *rtsp.Message, readAt float64) {
+	setup, err := n.parseSetup(m)
 	if err != nil {
 		n.log.Debug("refused a SETUP", str("why", err.Error()))
 		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
 	}
 	v.RequestedSession = true
-	if a.currentServer != "" {
-		n.handed(v, a)
+	if setup.currentServer != "" {
+		n.handed(v, setup)
 		return
 	}
-	if old := n.sessions[a.id]; old != nil {
+	if existing := n.sessions[setup.id]; existing != nil {
 		// Two requests under one id: answers are matched by it, so on one connection both get the one.
-		if old.client == v && old.state != established {
-			n.guard.Answer(n.now, old.id, invariant.Failed)
-			n.giveUp(old)
+		if existing.client == v && existing.state != established {
+			n.guard.Answer(n.now, existing.id, invariant.Failed)
+			n.giveUp(existing)
 		}
 		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
@@ -282,7 +282,7 @@
 		v.send(responseMessage(m, rtsp.ServiceUnavailable))
 		return
 	}
-	n.ask(v, a, at)
+	n.ask(v, setup, readAt)
 }
 
 // handleTeardown takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -13,12 +13,12 @@
 
 // requestClose closes a client's connection on which nothing is open, once its reader has handed over what it has: a request
 // among that keeps the connection.
-func (n *Node) requestClose(v *client, why closeReason) {
+func (n *Node) requestClose(v *client, reason closeReason) {
 	if v.pendingClose != "" || v.closed || v.isClosing() {
 		return
 	}
-	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(why)), num("rank", v.EvictionRank(n.now)))
-	v.pendingClose = why
+	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(reason)), num("rank", v.EvictionRank(n.now)))
+	v.pendingClose = reason
 	if n.trials.hasty() {
 		v.closeOnceFlushed()
 		return
@@ -46,9 +46,9 @@
 }
 
 // closeClient closes a client's connection once what is queued on it was written.
-func (n *Node) closeClient(v *client, why closeReason) {
+func (n *Node) closeClient(v *client, reason closeReason) {
 	n.guard.Close(v.peer(), v.Pending, v.readerStopped)
-	v.pendingClose = why
-	n.counts["closed: "+string(why)]++
+	v.pendingClose = reason
+	n.counts["closed: "+string(reason)]++
 	v.closeOnceFlushed()
 }
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -147,24 +147,26 @@
 }
 
 // sendRetained queues a message as send does, and keeps it in case the connection ends.
-func (c *conn) sendRetained(now float64, b []byte) bool {
-	_, to := c.send(b)
+func (c *conn) sendRetained(now float64, data []byte) bool {
+	_, to := c.send(data)
 	if to < 0 {
 		return false
 	}
-	written := c.bytesWritten()
-	c.retained = slices.DeleteFunc(c.retained, func(k retainedMessage) bool { return k.end <= written && now-k.queuedAt > share.AssumedArrivalSeconds })
+	writtenNow := c.bytesWritten()
+	c.retained = slices.DeleteFunc(c.retained, func(k retainedMessage) bool {
+		return k.end <= writtenNow && now-k.queuedAt > share.AssumedArrivalSeconds
+	})
 	if len(c.retained) >= maxRetainedMessages { // the oldest has most surely arrived
 		c.retained = slices.Delete(c.retained, 0, 1)
 	}
-	c.retained = append(c.retained, retainedMessage{b, to, now})
+	c.retained = append(c.retained, retainedMessage{data, to, now})
 	return true
 }
 
 // undelivered gives what was kept and has not surely arrived, once left bytes are known to have left for good.
-func (c *conn) undelivered(now float64, left int64) (list [][]byte) {
+func (c *conn) undelivered(now float64, written int64) (list [][]byte) {
 	for _, k := range c.retained {
-		if k.end > left || now-k.queuedAt <= share.AssumedArrivalSeconds {
+		if k.end > written || now-k.queuedAt <= share.AssumedArrivalSeconds {
 			list = append(list, k.data)
 		}
 	}
@@ -305,9 +307,9 @@
 func (c *conn) discardInput() {
 	c.nc.SetReadDeadline(time.Now().Add(closeTimeout))
 	var b [4 << 10]byte
-	for left := maxDiscardBytes; left > 0; {
+	for remaining := maxDiscardBytes; remaining > 0; {
 		n, err := c.nc.Read(b[:])
-		if left -= n; err != nil {
+		if remaining -= n; err != nil {
 			return
 		}
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -27,16 +27,16 @@
 func (f *farm) batch(steps ...func()) {
 	f.t.Helper()
 	f.see(func(n *Node) {
-		had := len(n.events)
+		queued := len(n.events)
 		for _, step := range steps {
 			step()
-			for end := time.Now().Add(patience); len(n.events) <= had; time.Sleep(100 * time.Microsecond) {
+			for end := time.Now().Add(patience); len(n.events) <= queued; time.Sleep(100 * time.Microsecond) {
 				if time.Now().After(end) {
 					f.t.Error("a step brought the loop nothing")
 					return
 				}
 			}
-			had = len(n.events)
+			queued = len(n.events)
 		}
 	})
 }
@@ -75,12 +75,12 @@
 func (f *farm) sendTerminate() {
 	f.t.Helper()
 	f.ends <- syscall.SIGTERM
-	first := 0.0
-	f.see(func(n *Node) { first = n.now })
+	signalledAt := 0.0
+	f.see(func(n *Node) { signalledAt = n.now })
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		now := first + 1 // once it is over
+		now := signalledAt + 1 // once it is over
 		f.see(func(n *Node) { now = n.now })
-		if now > first+0.25 {
+		if now > signalledAt+0.25 {
 			return
 		}
 	}
@@ -248,23 +248,23 @@
 
 // A client goes in the instant in which its SETUP is refused, before or after: there is no second SETUP.
 func TestClientGoneBetweenTwoSetups(t *testing.T) {
-	for name, gone := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(id(1), 0) }} {
-		for _, first := range []string{"refused first", "gone first"} {
-			t.Run(name+", "+first, func(t *testing.T) {
-				var s [2]*host
-				f := newFarm(t, 256, func(f *farm) []*host { s = [2]*host{f.host("s-1"), f.host("s-2")}; return s[:] })
+	for name, leave := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(id(1), 0) }} {
+		for _, order := range []string{"refused first", "gone first"} {
+			t.Run(name+", "+order, func(t *testing.T) {
+				var hosts [2]*host
+				f := newFarm(t, 256, func(f *farm) []*host { hosts = [2]*host{f.host("s-1"), f.host("s-2")}; return hosts[:] })
 				v := f.client()
 				v.setup(id(1), "free", "")
-				x, h := f.wanted(rtsp.Setup, s[:]...)
-				steps := []func(){func() { x.on.answer(x.m, 453, "") }, func() { gone(v) }}
-				if first == "gone first" {
+				x, h := f.wanted(rtsp.Setup, hosts[:]...)
+				steps := []func(){func() { x.on.answer(x.m, 453, "") }, func() { leave(v) }}
+				if order == "gone first" {
 					slices.Reverse(steps)
 				}
 				f.batch(steps...)
 				f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
 				w := f.client() // what comes next at the other server is another's
 				w.setup(id(2), "free", "")
-				y, at := f.nextSetup(s[:]...)
+				y, at := f.nextSetup(hosts[:]...)
 				if y.m.Session() != id(2) {
 					t.Errorf("%s got %s after its client had gone", at.name, y.m.Session())
 				}
--- a/internal/node/feed/event.go
+++ b/internal/node/feed/event.go
@@ -49,14 +49,14 @@
 }
 
 // AssignID makes the module's number of a server's id, alike at all fronts; taken tells whether it has one already.
-func AssignID(id string, taken func(choice.ServerID) bool) choice.ServerID {
+func AssignID(id string, inUse func(choice.ServerID) bool) choice.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	n := choice.ServerID(h.Sum32())
-	for taken(n) {
-		n++
+	number := choice.ServerID(h.Sum32())
+	for inUse(number) {
+		number++
 	}
-	return n
+	return number
 }
 
 // parseLine reads one parseLine of the coordinator's: an event, or the last number alone.
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -22,18 +22,18 @@
 // Follow asks the coordinator at addr for what follows number last, and hands each new event on once and in order,
 // until ctx ends; pauses between connections follow from the seed. Each whole line is told to heard before what it holds
 // is handed on; why connections ended goes to broke.
-func Follow(ctx context.Context, addr string, last int64, seed uint64, heard func(), take func(Event) bool, broke func(error)) {
-	pace := backoff.New(seed)
+func Follow(ctx context.Context, addr string, last int64, seed uint64, onLine func(), handle func(Event) bool, onDisconnect func(error)) {
+	retry := backoff.New(seed)
 	for ctx.Err() == nil {
-		had, began := last, time.Now()
-		err := readEvents(ctx, addr, &last, seconds(pace.SilenceTimeout()), heard, take)
+		previous, startedAt := last, time.Now()
+		err := readEvents(ctx, addr, &last, seconds(retry.SilenceTimeout()), onLine, handle)
 		if ctx.Err() != nil {
 			return
 		}
-		broke(err)
+		onDisconnect(err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(pace.Next(time.Since(began).Seconds(), last > had))):
+		case <-time.After(seconds(retry.Next(time.Since(startedAt).Seconds(), last > previous))):
 		}
 	}
 }
@@ -41,7 +41,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // readEvents is one connection's life; it ends after so much silence.
-func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, heard func(), take func(Event) bool) error {
+func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, onLine func(), handle func(Event) bool) error {
 	d := net.Dialer{Timeout: connectTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -56,14 +56,14 @@
 		return err
 	}
 	in := bufio.NewReaderSize(c, 4096)
-	var long []byte
+	var partial []byte
 	for {
 		if err := c.SetReadDeadline(time.Now().Add(silence)); err != nil {
 			return err
 		}
-		part, err := in.ReadSlice('\n')
+		chunk, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if long = append(long, part...); len(long) > maxLineBytes {
+			if partial = append(partial, chunk...); len(partial) > maxLineBytes {
 				return fmt.Errorf("a line of over %d bytes", maxLineBytes)
 			}
 			continue
@@ -71,22 +71,22 @@
 		if err != nil { // half a line is dropped
 			return err
 		}
-		b := part
-		if len(long) > 0 {
-			b = append(long, part...)
-			long = nil
+		b := chunk
+		if len(partial) > 0 {
+			b = append(partial, chunk...)
+			partial = nil
 		}
-		e, number, err := parseLine(b)
+		e, latest, err := parseLine(b)
 		if err != nil {
 			return err
 		}
-		heard()
+		onLine()
 		switch {
-		case e.Index == 0 && number > *last:
-			return fmt.Errorf("events up to %d were not told, the last was %d", number, *last)
+		case e.Index == 0 && latest > *last:
+			return fmt.Errorf("events up to %d were not told, the last was %d", latest, *last)
 		case e.Index == *last+1 || e.Index > 0 && e.Endpoints.Reset && e.Index > *last:
 			*last = e.Index
-			if !take(e) {
+			if !handle(e) {
 				return ctx.Err()
 			}
 		case e.Index > *last+1:
--- a/internal/node/feed/feed_test.go
+++ b/internal/node/feed/feed_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestNumber(t *testing.T) {
-	none := func(choice.ServerID) bool { return false }
-	a := AssignID("s-00c41f7a", none)
-	if b := AssignID("s-00c41f7a", none); a != b {
+	neverUsed := func(choice.ServerID) bool { return false }
+	a := AssignID("s-00c41f7a", neverUsed)
+	if b := AssignID("s-00c41f7a", neverUsed); a != b {
 		t.Error("not alike at all fronts")
 	}
 	if b := AssignID("s-00c41f7a", func(x choice.ServerID) bool { return x == a }); b == a {
@@ -46,7 +46,7 @@
 	ev := func(i int) string {
 		return fmt.Sprintf(`{"index":%d,"endpoints":{"reset":false,"instances":[]}}`+"\n", i)
 	}
-	says := []string{
+	scripts := []string{
 		ev(3) + ev(3) + "3\n" + ev(4)[:20], // breaks off within an event
 		ev(4) + ev(4)[:12],                 // and falls silent within one
 		"not json\n" + ev(5),               // can't be read
@@ -56,7 +56,7 @@
 		`{"endpoints":{}}` + "\n",                     // an event without a number
 		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // an old one again
 	}
-	var asked []int
+	var requested []int
 	go func() {
 		for i := 0; ; i++ {
 			c, err := l.Accept()
@@ -66,23 +66,23 @@
 			defer c.Close()
 			n := -1
 			fmt.Fscanf(c, "follow %d\n", &n)
-			asked = append(asked, n)
-			if i < len(says) {
-				c.Write([]byte(says[i]))
+			requested = append(requested, n)
+			if i < len(scripts) {
+				c.Write([]byte(scripts[i]))
 			}
-			if i != 1 && i < len(says)-1 {
+			if i != 1 && i < len(scripts)-1 {
 				c.Close()
 			}
 		}
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got []int64
+	var received []int64
 	done := make(chan bool)
-	began := time.Now()
+	startedAt := time.Now()
 	go func() {
 		Follow(ctx, l.Addr().String(), 2, 7, func() {}, func(e Event) bool {
-			if got = append(got, e.Index); e.Index == 7 {
+			if received = append(received, e.Index); e.Index == 7 {
 				cancel()
 			}
 			return true
@@ -94,11 +94,11 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the events did not come")
 	}
-	if !slices.Equal(got, []int64{3, 4, 5, 6, 7}) {
-		t.Errorf("got %v in %v", got, time.Since(began))
+	if !slices.Equal(received, []int64{3, 4, 5, 6, 7}) {
+		t.Errorf("got %v in %v", received, time.Since(startedAt))
 	}
-	if !slices.Equal(asked[:6], []int{2, 3, 4, 4, 4, 5}) {
-		t.Errorf("asked for %v", asked)
+	if !slices.Equal(requested[:6], []int{2, 3, 4, 4, 4, 5}) {
+		t.Errorf("asked for %v", requested)
 	}
 }
 
--- a/internal/node/feed/list_test.go
+++ b/internal/node/feed/list_test.go
@@ -42,9 +42,9 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	got := 0
-	Follow(ctx, l.Addr().String(), 0, 7, func() {}, func(e Event) bool { got = len(e.Endpoints.Instances); cancel(); return true }, func(error) {})
-	if got != servers {
-		t.Errorf("%d servers came", got)
+	received := 0
+	Follow(ctx, l.Addr().String(), 0, 7, func() {}, func(e Event) bool { received = len(e.Endpoints.Instances); cancel(); return true }, func(error) {})
+	if received != servers {
+		t.Errorf("%d servers came", received)
 	}
 }
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -63,58 +63,58 @@
 const maxPatienceMs = 600_000
 
 // parseSetup reads a client's SETUP; what is wrong with it is an error.
-func (n *Node) parseSetup(m *rtsp.Message) (a clientSetup, err error) {
+func (n *Node) parseSetup(m *rtsp.Message) (setup clientSetup, err error) {
 	// What is kept must not keep a line of 4 kB alive.
-	a = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
+	setup = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
 	title, ok := strings.CutPrefix(m.URL, mediaRoot)
 	if !ok || title == "" || len(title) > 256 {
-		return a, fmt.Errorf("address %.60q", m.URL)
+		return setup, fmt.Errorf("address %.60q", m.URL)
 	}
-	if !validID(a.id) || len(m.Header["Session"]) > 1 {
-		return a, fmt.Errorf("session id %.30q", a.id)
+	if !validID(setup.id) || len(m.Header["Session"]) > 1 {
+		return setup, fmt.Errorf("session id %.30q", setup.id)
 	}
-	for a.group = 0; a.group < len(n.start.Groups) && n.start.Groups[a.group] != a.class; a.group++ {
+	for setup.group = 0; setup.group < len(n.start.Groups) && n.start.Groups[setup.group] != setup.class; setup.group++ {
 	}
-	if a.group == len(n.start.Groups) {
-		return a, fmt.Errorf("class %.30q", a.class)
+	if setup.group == len(n.start.Groups) {
+		return setup, fmt.Errorf("class %.30q", setup.class)
 	}
-	a.class = n.start.Groups[a.group]
-	figures := n.start.Config
-	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(mediaRoot):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
+	setup.class = n.start.Groups[setup.group]
+	config := n.start.Config
+	setup.request = choice.Request{ID: choice.SessID(setup.id), Group: setup.group, Title: setup.url[len(mediaRoot):], CellCount: 1, BestRung: len(config.Ladder) - 1}
 	for _, pair := range strings.Split(m.Header.Get(headerFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
-		var to *int
-		least, most := 0, max(figures.Cells, 1)-1
+		var target *int
+		minValue, maxValue := 0, max(config.Cells, 1)-1
 		switch name {
 		case "home":
-			to = &a.request.StartCell
+			target = &setup.request.StartCell
 		case "copies":
-			to, least, most = &a.request.CellCount, 1, max(figures.Cells, 1)
+			target, minValue, maxValue = &setup.request.CellCount, 1, max(config.Cells, 1)
 		case "top":
-			to, most = &a.request.BestRung, len(figures.Ladder)-1
+			target, maxValue = &setup.request.BestRung, len(config.Ladder)-1
 		case "at":
-			if a.currentServer = strings.Clone(value); value == "" {
-				return a, fmt.Errorf("at no server")
+			if setup.currentServer = strings.Clone(value); value == "" {
+				return setup, fmt.Errorf("at no server")
 			}
 			continue
 		default:
 			continue
 		}
-		x, err := strconv.Atoi(value)
-		if err != nil || x < least || x > most {
-			return a, fmt.Errorf("%s:%.20s", name, value)
+		number, err := strconv.Atoi(value)
+		if err != nil || number < minValue || number > maxValue {
+			return setup, fmt.Errorf("%s:%.20s", name, value)
 		}
-		*to = x
+		*target = number
 	}
-	if a.currentServer != "" {
-		return a, nil
+	if setup.currentServer != "" {
+		return setup, nil
 	}
 	ms, err := strconv.Atoi(m.Header.Get(headerPatience))
 	if err != nil || ms <= 0 || ms > maxPatienceMs {
-		return a, fmt.Errorf("patience %.20q", m.Header.Get(headerPatience))
+		return setup, fmt.Errorf("patience %.20q", m.Header.Get(headerPatience))
 	}
-	a.patience = float64(ms) / 1000
-	return a, nil
+	setup.patience = float64(ms) / 1000
+	return setup, nil
 }
 
 // parseLoadReport reads a server's load report; what can't be read says nothing.
@@ -139,10 +139,10 @@
 	return c
 }
 
-func addHeaders(m *rtsp.Message, seq, id string) *rtsp.Message {
+func addHeaders(m *rtsp.Message, cseq, id string) *rtsp.Message {
 	m.Header["Content-Length"] = nil
-	if seq != "" {
-		m.Header["Cseq"] = []string{seq}
+	if cseq != "" {
+		m.Header["Cseq"] = []string{cseq}
 	}
 	if id != "" {
 		m.Header["Session"] = []string{id}
@@ -151,12 +151,12 @@
 }
 
 // responseMessage makes a responseMessage to a request, for its session.
-func responseMessage(to *rtsp.Message, status int) []byte {
-	id := to.Session()
+func responseMessage(request *rtsp.Message, status int) []byte {
+	id := request.Session()
 	if len(id) > 64 {
 		id = ""
 	}
-	return addHeaders(rtsp.Response(to, status), "", id).Append(nil)
+	return addHeaders(rtsp.Response(request, status), "", id).Append(nil)
 }
 
 // servedMessage is the answer to a session's SETUP: the server's own description.
@@ -167,10 +167,10 @@
 }
 
 // refusalMessage is the answer that refuses a session's SETUP.
-func refusalMessage(id string, status int, comeBack float64) []byte {
+func refusalMessage(id string, status int, retryAfter float64) []byte {
 	m := addHeaders(&rtsp.Message{Status: status, Header: rtsp.Header{}}, cseqSetup, id)
-	if comeBack > 0 {
-		m.With(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+	if retryAfter > 0 {
+		m.With(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 	}
 	return m.Append(nil)
 }
@@ -184,10 +184,10 @@
 	return m.Append(nil)
 }
 
-func setupMessage(s *session, wait float64) []byte {
+func setupMessage(s *session, timeout float64) []byte {
 	m := addHeaders(rtsp.Request(rtsp.Setup, s.url), cseqSetup, s.id)
 	m.With(headerClass, s.class)
-	m.With(headerPatience, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
+	m.With(headerPatience, strconv.Itoa(max(int(math.Ceil(timeout*1000)), 1)))
 	m.With(headerRung, strconv.Itoa(s.rung))
 	m.Body = s.body
 	return m.Append(nil)
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -41,14 +41,14 @@
 
 // listenWithRetry listens on an address. One that is still another process's, as just after a restart, and what the own machine lacks
 // for a moment are tried again for a while; a signal to end ends that.
-func (n *Node) listenWithRetry(addr string, ends <-chan os.Signal) (net.Listener, error) {
-	for began := time.Now(); ; {
+func (n *Node) listenWithRetry(addr string, signals <-chan os.Signal) (net.Listener, error) {
+	for startedAt := time.Now(); ; {
 		l, err := n.network.Listen(addr)
-		if err == nil || !isLocalError(err) || time.Since(began).Seconds() > share.ListenTimeout {
+		if err == nil || !isLocalError(err) || time.Since(startedAt).Seconds() > share.ListenTimeout {
 			return l, err
 		}
 		select {
-		case <-ends:
+		case <-signals:
 			return nil, err
 		case <-time.After(listenRetryPause):
 		}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -35,7 +35,7 @@
 // EndSessions ends it; finish answers what is open.
 func (o lifecycleActions) EndSessions() { o.n.life.SessionsEnded() }
 
-func (o lifecycleActions) Exit(code lifecycle.ExitCode, why string) {
+func (o lifecycleActions) Exit(code lifecycle.ExitCode, reason string) {
 	o.n.over = true
-	o.n.log.Info("exit", num("code", int(code)), str("why", why))
+	o.n.log.Info("exit", num("code", int(code)), str("why", reason))
 }
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -16,14 +16,14 @@
 // pickServerConn gives the connection for a SETUP, nil where there is none.
 func (n *Node) pickServerConn(sv *server) *link {
 	var links []*link
-	var list []share.ServerConn
+	var candidates []share.ServerConn
 	for _, l := range sv.conns {
 		if !l.closed && !(l.up && l.isClosing()) {
 			links = append(links, l)
-			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.open), LastUsed: l.used})
+			candidates = append(candidates, share.ServerConn{Up: l.up, Pending: len(l.open), LastUsed: l.used})
 		}
 	}
-	switch i := share.PickConn(list, n.maxConnsPerServer(), n.start.MaxSetupsPerConn); i {
+	switch i := share.PickConn(candidates, n.maxConnsPerServer(), n.start.MaxSetupsPerConn); i {
 	case share.OpenNew:
 		l := n.dialServer(sv)
 		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
@@ -82,11 +82,11 @@
 	if !n.reserveServerConn() {
 		return nil
 	}
-	wait := n.start.ConnectTimeout
-	if wait <= 0 {
-		wait = limits.Defaults.ConnectTimeout
+	timeout := n.start.ConnectTimeout
+	if timeout <= 0 {
+		timeout = limits.Defaults.ConnectTimeout
 	}
-	ctx, stop := context.WithTimeout(n.ctx, time.Duration(wait*float64(time.Second)))
+	ctx, stop := context.WithTimeout(n.ctx, time.Duration(timeout*float64(time.Second)))
 	l := &link{sv: sv, used: n.now, stop: stop}
 	sv.conns = append(sv.conns, l)
 	n.enforceClientLimit()
@@ -110,16 +110,16 @@
 		c.close()
 		return
 	}
-	in := rtsp.NewConn(nc, messageBounds)
+	messages := rtsp.NewConn(nc, messageBounds)
 	for err == nil {
-		if err = in.Await(); err != nil {
+		if err = messages.Await(); err != nil {
 			break
 		}
 		if !c.isClosing() {
 			nc.SetReadDeadline(time.Now().Add(serverMessageTimeout))
 		}
 		var m *rtsp.Message
-		if m, _, err = in.Next(); err == nil && (m == nil || in.Astray()) {
+		if m, _, err = messages.Next(); err == nil && (m == nil || messages.Astray()) {
 			err = errTrailingData
 		}
 		if err == nil {
@@ -132,8 +132,8 @@
 			}
 		}
 	}
-	left := c.close()
-	n.tell(event{do: func() { n.serverConnClosed(l, left, err) }})
+	written := c.close()
+	n.tell(event{do: func() { n.serverConnClosed(l, written, err) }})
 }
 
 // errTrailingData ends a connection on which what follows a message is none.
@@ -217,7 +217,7 @@
 
 // serverConnClosed takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
 // are sent anew.
-func (n *Node) serverConnClosed(l *link, left int64, err error) {
+func (n *Node) serverConnClosed(l *link, written int64, err error) {
 	if l.closed {
 		return
 	}
@@ -225,7 +225,7 @@
 	n.log.Debug("connection to a server ended", str("server", l.sv.id), str("why", errText(err)), num("open", len(l.open)))
 	n.failTest(l, choice.Reset)
 	for _, s := range slices.Clone(l.open) {
-		if s.from >= 0 && s.from < left {
+		if s.from >= 0 && s.from < written {
 			n.tearDownUnanswered(s)
 			n.setupOver(s, choice.Reset, noReport)
 			continue
@@ -239,7 +239,7 @@
 		}
 		n.carry(s)
 	}
-	for _, b := range l.undelivered(n.now, left) {
+	for _, b := range l.undelivered(n.now, written) {
 		n.toServer(l.sv, b)
 	}
 	n.settleServer(l.sv)
@@ -258,10 +258,10 @@
 	}
 	n.failTest(l, choice.Reset)
 	for _, s := range slices.Clone(l.open) {
-		o := choice.Reset
+		outcome := choice.Reset
 		if !l.up || s.from < 0 {
-			o = choice.Unsent
+			outcome = choice.Unsent
 		}
-		n.setupOver(s, o, noReport)
+		n.setupOver(s, outcome, noReport)
 	}
 }
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -60,43 +60,43 @@
 
 // Parse reads a file's text.
 func Parse(text []byte) (*Start, error) {
-	var f configFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	for _, a := range [][2]string{{"listen", f.Listen}, {"coordinator", f.Coordinator}} {
+	for _, a := range [][2]string{{"listen", file.Listen}, {"coordinator", file.Coordinator}} {
 		if _, _, err := net.SplitHostPort(a[1]); err != nil {
 			return nil, fmt.Errorf("%s: %q is no address with a port", a[0], a[1])
 		}
 	}
-	if f.Limits.Sockets < 0 || f.Limits.MemoryMB < 0 {
-		return nil, fmt.Errorf("limits: %d sockets, %d MB", f.Limits.Sockets, f.Limits.MemoryMB)
+	if file.Limits.Sockets < 0 || file.Limits.MemoryMB < 0 {
+		return nil, fmt.Errorf("limits: %d sockets, %d MB", file.Limits.Sockets, file.Limits.MemoryMB)
 	}
-	if f.Known.Index < 0 {
-		return nil, fmt.Errorf("known: index %d", f.Known.Index)
+	if file.Known.Index < 0 {
+		return nil, fmt.Errorf("known: index %d", file.Known.Index)
 	}
 	flat := map[string]string{}
-	flatten("", f.Settings, flat)
-	figures, err := wire.ParseStartFigures(flat)
+	flatten("", file.Settings, flat)
+	config, err := wire.ParseStartFigures(flat)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	figures.UnsyncedClock = true // processes on machines whose clocks are stepped
-	if figures.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed %.30q is not a number in hex", f.Seed)
+	config.UnsyncedClock = true // processes on machines whose clocks are stepped
+	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed %.30q is not a number in hex", file.Seed)
 	}
-	s := &Start{Name: f.Name, Listen: f.Listen, Coordinator: f.Coordinator, MemoryMB: f.Limits.MemoryMB, MaxDescriptors: cmp.Or(f.Limits.Sockets, defaultMaxDescriptors),
-		LastIndex: f.Known.Index, InitialEvents: f.Known.Updates, Config: figures}
-	if len(figures.Groups) == 0 || len(figures.Ladder) == 0 {
+	s := &Start{Name: file.Name, Listen: file.Listen, Coordinator: file.Coordinator, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: cmp.Or(file.Limits.Sockets, defaultMaxDescriptors),
+		LastIndex: file.Known.Index, InitialEvents: file.Known.Updates, Config: config}
+	if len(config.Groups) == 0 || len(config.Ladder) == 0 {
 		return nil, fmt.Errorf("settings: no service groups or no ladder")
 	}
-	for i, g := range figures.Groups {
-		if g.Floor < 0 || g.Top >= len(figures.Ladder) || g.Floor > g.Top {
-			return nil, fmt.Errorf("settings: service group %d has rungs %d to %d of %d", i, g.Floor, g.Top, len(figures.Ladder))
+	for i, g := range config.Groups {
+		if g.Floor < 0 || g.Top >= len(config.Ladder) || g.Floor > g.Top {
+			return nil, fmt.Errorf("settings: service group %d has rungs %d to %d of %d", i, g.Floor, g.Top, len(config.Ladder))
 		}
-		at := fmt.Sprintf("grades.%d.", i)
-		s.Groups = append(s.Groups, flat[at+"name"])
-		us, _ := strconv.ParseFloat(flat[at+"hard_limit"], 64)
+		prefix := fmt.Sprintf("grades.%d.", i)
+		s.Groups = append(s.Groups, flat[prefix+"name"])
+		us, _ := strconv.ParseFloat(flat[prefix+"hard_limit"], 64)
 		s.SetupTimeout = max(s.SetupTimeout, us/1e6)
 	}
 	s.ConnectTimeout, s.IdleTimeout = parseMicroseconds(flat["caps.connect_timeout"]), parseMicroseconds(flat["caps.keepalive"])
@@ -118,31 +118,31 @@
 }
 
 // flatten puts nested values under the names that the simulator's first message has.
-func flatten(name string, v any, to map[string]string) {
+func flatten(name string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
 			if name != "" {
 				k = name + "." + k
 			}
-			flatten(k, x, to)
+			flatten(k, x, out)
 		}
 	case []any:
 		var flat []string
 		for i, x := range v {
 			if _, deep := x.(map[string]any); deep {
-				flatten(name+"."+strconv.Itoa(i), x, to)
-				to[name+".count"] = strconv.Itoa(i + 1)
+				flatten(name+"."+strconv.Itoa(i), x, out)
+				out[name+".count"] = strconv.Itoa(i + 1)
 			} else {
 				flat = append(flat, scalar(x))
 			}
 		}
 		if len(flat) > 0 {
-			to[name] = strings.Join(flat, ",")
+			out[name] = strings.Join(flat, ",")
 		}
 	case nil:
 	default:
-		to[name] = scalar(v)
+		out[name] = scalar(v)
 	}
 }
 
--- a/internal/node/timeouts.go
+++ b/internal/node/timeouts.go
@@ -18,27 +18,27 @@
 	h[i].index, h[j].index = i, j
 }
 func (h *timeoutHeap) Push(x any) {
-	a := x.(*timeout)
-	a.index = len(*h)
-	*h = append(*h, a)
+	t := x.(*timeout)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
 func (h *timeoutHeap) Pop() any {
 	old := *h
-	a := old[len(old)-1]
+	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	a.index = -1
-	return a
+	t.index = -1
+	return t
 }
 
 func (n *Node) after(seconds float64, do func()) *timeout {
-	a := &timeout{at: n.now + seconds, do: do}
-	heap.Push(&n.timeouts, a)
-	return a
+	t := &timeout{at: n.now + seconds, do: do}
+	heap.Push(&n.timeouts, t)
+	return t
 }
 
-func (n *Node) cancelTimeout(a *timeout) {
-	if a != nil && a.index >= 0 {
-		heap.Remove(&n.timeouts, a.index)
+func (n *Node) cancelTimeout(t *timeout) {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&n.timeouts, t.index)
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -20,9 +20,9 @@
 // followCoordinator follows a coordinator. Those followed before are left once it has said something: until then they alone
 // may tell of a server that drains.
 func (n *Node) followCoordinator(addr string) {
-	if k := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); k >= 0 { // back to one before
-		w := n.watches[k]
-		n.watches = append(slices.Delete(n.watches, k, k+1), w)
+	if i := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); i >= 0 { // back to one before
+		w := n.watches[i]
+		n.watches = append(slices.Delete(n.watches, i, i+1), w)
 		if w.responded {
 			n.coordinatorResponded(w)
 		}
@@ -35,14 +35,14 @@
 	ctx, stop := context.WithCancel(n.ctx)
 	w := &coordinatorFollow{addr: addr, cancel: stop}
 	n.watches = append(n.watches, w)
-	last := n.index
-	told := false
+	lastIndex := n.index
+	reported := false
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		feed.Follow(ctx, addr, last, n.start.Config.Seed, func() {
-			if !told {
-				told = n.tell(event{do: func() { n.coordinatorResponded(w) }})
+		feed.Follow(ctx, addr, lastIndex, n.start.Config.Seed, func() {
+			if !reported {
+				reported = n.tell(event{do: func() { n.coordinatorResponded(w) }})
 			}
 		}, func(e feed.Event) bool {
 			return n.tell(event{do: func() {
@@ -61,9 +61,9 @@
 // coordinatorResponded takes a coordinator's first word: the ones before it are no longer followed.
 func (n *Node) coordinatorResponded(w *coordinatorFollow) {
 	w.responded = true
-	k := max(slices.Index(n.watches, w), 0)
-	for _, before := range n.watches[:k] {
+	current := max(slices.Index(n.watches, w), 0)
+	for _, before := range n.watches[:current] {
 		before.cancel()
 	}
-	n.watches = slices.Delete(n.watches, 0, k)
+	n.watches = slices.Delete(n.watches, 0, current)
 }
