--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -9,15 +9,15 @@
 	"rainhaven/choice/share"
 )
 
-// acceptRetryPause lies between two tries to accept where descriptors are short, or no place is free.
+// acceptRetryPause is the delay before the next attempt to accept when descriptors are short or no slot is free.
 const acceptRetryPause = 5 * time.Millisecond
 
-// connSlots bounds the clients' connections that are held, whether the loop has heard of them or not: each is a descriptor. The
-// listener's goroutine takes them, the readers free them, the loop says how many there may be.
+// connSlots limits the open connections of clients, including those that the loop has not been notified of: each holds
+// a descriptor. The accepting goroutine takes slots, the readers release them, and the loop sets the limit.
 type connSlots struct {
 	inUse  atomic.Int64
 	limit  atomic.Int64
-	freed  chan struct{} // something was freed
+	freed  chan struct{} // signals that a slot was released
 	closed chan struct{} // closed when no further connection is accepted
 }
 
@@ -39,7 +39,7 @@
 	}
 }
 
-// awaitFree waits until something was freed, for a moment, or until no further connection is accepted.
+// awaitFree waits until a slot is released, acceptRetryPause has passed, or no further connection is accepted.
 func (p *connSlots) awaitFree() {
 	timeout := time.NewTimer(acceptRetryPause)
 	defer timeout.Stop()
@@ -59,12 +59,12 @@
 	}
 }
 
-// acceptClients takes clients' connections until the listener is closed.
+// acceptClients accepts connections of clients until the listener is closed.
 func (n *Node) acceptClients(listener net.Listener) {
 	defer n.wg.Done()
 	defer close(n.accepting)
 	for !n.places.isClosed() {
-		if n.places.isFull() { // those that give way free some
+		if n.places.isFull() { // evicted connections release some
 			n.tell(event{do: n.enforceClientLimit})
 			n.places.awaitFree()
 			continue
@@ -73,7 +73,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // descriptors are short
+		if err != nil { // descriptors are exhausted
 			n.tell(event{do: n.enforceClientLimit})
 			n.places.awaitFree()
 			continue
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -9,8 +9,8 @@
 	"rainhaven/choice/share"
 )
 
-// Connections that come while the loop has no time for them are bounded as the others are: what it has not heard of holds a
-// descriptor as well. Once it has time again they are taken, and the newest is served.
+// Connections accepted while the loop is blocked count against the limit, as each holds a descriptor. Once the loop
+// runs again they are handled, and the newest is served.
 func TestConnectionsThatTheLoopHasNotHeardOf(t *testing.T) {
 	const sockets, many = 64, 120
 	most := int64(share.MaxViewerConns(sockets, 0) + share.AcceptSlack)
@@ -30,10 +30,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 		if n := open.Load(); n > most {
-			t.Errorf("%d connections are held, %d may be", n, most)
+			t.Errorf("%d connections are open, the limit is %d", n, most)
 		}
 	})
 	v := f.client()
 	v.setup(id(1), "free", "")
-	v.want("503") // no server holds it
+	v.want("503") // there are no servers
 }
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -14,20 +14,20 @@
 	"rainhaven/internal/rtsp"
 )
 
-// client is one of the clients' connections, which carries many sessions.
+// client is a connection of a client. It carries many sessions.
 type client struct {
 	*conn
 	share.ConnUsage
 	readControl
-	hasServed     bool // a session was served on it
+	hasServed     bool // a session was served on this connection, or handed over on it
 	closed        bool
-	pendingClose  closeReason // why it is to be closed once its reader has stopped; empty where it is not
-	readerStopped bool        // its reader has handed over all that it read
+	pendingClose  closeReason // reason for closing it once its reader has stopped; empty if it stays open
+	readerStopped bool        // its reader has passed on all that it read
 	readErr       error       // why its reader ended
-	sessions      []*session  // asked or standing with this connection; emptied as they end
+	sessions      []*session  // requested or established over this connection; removed as they end
 }
 
-// readClient hands the loop what a client sends, until its connection ends or the loop has it stopped.
+// readClient passes the messages of a client to the loop until its connection ends or the loop stops it.
 func (n *Node) readClient(v *client) {
 	defer n.wg.Done()
 	defer context.AfterFunc(n.ctx, func() { v.nc.Close() })()
@@ -88,8 +88,8 @@
 	}
 }
 
-// clientSentEOF takes it that a client sends nothing more. Whether it has gone or still reads can't be told: its open requests are
-// given up, and get their final answers all the same.
+// clientSentEOF handles the end of a client's input. Whether the client has gone or still reads is unknown: its open
+// requests are given up and get a final answer all the same.
 func (n *Node) clientSentEOF(v *client) {
 	if v.closed {
 		return
@@ -99,6 +99,7 @@
 	v.closeGracefully()
 }
 
+// clientOpened registers a new connection of a client.
 func (n *Node) clientOpened(v *client) {
 	v.OpenedAt, v.LastUsed = n.now, n.now
 	n.counts["viewers"]++
@@ -106,7 +107,7 @@
 	n.enforceClientLimit()
 }
 
-// enforceClientLimit closes clients' connections past their share of descriptors: those who give way first.
+// enforceClientLimit closes connections of clients past their share of the descriptors, by eviction rank.
 func (n *Node) enforceClientLimit() {
 	limit := share.MaxViewerConns(n.start.MaxDescriptors, n.serverConnCount())
 	n.places.setLimit(limit)
@@ -118,7 +119,7 @@
 			open++
 		}
 	}
-	// Those that are being closed hold a descriptor as well: past as many as may be open none waits for its peer.
+	// Connections that are being closed hold a descriptor as well: past the limit they don't wait for their peers.
 	for _, v := range n.clients {
 		if open+ending <= limit {
 			return
@@ -144,7 +145,7 @@
 	}
 }
 
-// closeIdleClients closes clients' connections that have had no session for long.
+// closeIdleClients closes connections of clients that have had no session for a long time.
 func (n *Node) closeIdleClients() {
 	for _, v := range n.clients {
 		if v.Idle(n.now) {
@@ -153,18 +154,18 @@
 	}
 }
 
-// messageTimedOut ends a connection whose message does not come to its end: what is open beside it is answered; where nothing is,
-// it is just closed.
+// messageTimedOut ends a connection with a message that was not completed in time. Open requests on it are answered;
+// without any, it is just closed.
 func (n *Node) messageTimedOut(v *client) {
 	if v.Pending == 0 {
-		v.readerStopped = true // what its reader has is no whole message
+		v.readerStopped = true // its reader holds no complete message
 		n.closeClient(v, reasonMessageTimeout)
 		return
 	}
 	n.rejectMalformed(v, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
 }
 
-// rejectMalformed answers what can't be read, and ends the connection: where its next message begins can't be known.
+// rejectMalformed answers malformed input and ends the connection, as the start of its next message is unknown.
 func (n *Node) rejectMalformed(v *client, malformed *rtsp.MalformedError) {
 	n.wrongs++
 	status := rtsp.BadRequest
@@ -183,7 +184,7 @@
 	n.closeClient(v, reasonMalformed)
 }
 
-// abortOpenRequests ends the requests of a connection that are without their answers; they get one only if it is wanted.
+// abortOpenRequests ends the unanswered requests of a connection, and answers them if answer is set.
 func (n *Node) abortOpenRequests(v *client, answer bool) {
 	if v.Pending == 0 {
 		return
@@ -201,12 +202,14 @@
 	}
 }
 
+// clientClosed handles the end of a client's connection. Established sessions go on, except those whose answer was not
+// written.
 func (n *Node) clientClosed(v *client) {
 	if v.closed {
 		return
 	}
 	v.closed, v.readerStopped = true, true
-	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
+	n.log.Debug("client connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
 	n.abortOpenRequests(v, false)
 	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
 	for _, b := range v.undelivered(n.now, v.writtenTotal) {
@@ -214,17 +217,17 @@
 	}
 	for _, s := range slices.Clone(v.sessions) {
 		s.client = nil
-		if s.answered < 0 || s.answered > v.writtenTotal { // it never got its answer: nobody plays there
+		if s.answered < 0 || s.answered > v.writtenTotal { // the client never received its answer, so nobody plays this session
 			n.clientLeft(s)
 		}
 	}
 }
 
-// handleClientMessage takes one message of a client's.
+// handleClientMessage handles one message of a client.
 func (n *Node) handleClientMessage(v *client, m *rtsp.Message, readAt float64) {
 	n.traceReceived(v.conn, m)
 	if v.closed || v.isClosing() {
-		n.log.Debug("said on a connection that has ended", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
+		n.log.Debug("ignored a message on a closed connection", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
 		return
 	}
 	v.SentMessage, v.LastUsed = true, n.now
@@ -239,14 +242,14 @@
 			status = rtsp.ServiceUnavailable
 		}
 		v.send(responseMessage(m, status))
-	case "": // a response: to a release, or to nothing of ours
-	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // want no answer
+	case "": // a response to a release, or one that answers no request
+	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // no answer is expected
 	default:
 		n.rejectRequest(v, m, rtsp.NotImplemented)
 	}
 }
 
-// rejectRequest refuses a request that makes no sense, and closes connections that send many.
+// rejectRequest refuses an invalid request, and closes connections that send many of them.
 func (n *Node) rejectRequest(v *client, m *rtsp.Message, status int) {
 	n.wrongs++
 	v.send(responseMessage(m, status))
@@ -255,6 +258,7 @@
 	}
 }
 
+// handleSetup handles a SETUP: of a new session, or of an established one that is handed over to this node.
 func (n *Node) handleSetup(v *client, m *rtsp.Message, readAt float64) {
 	setup, err := n.parseSetup(m)
 	if err != nil {
@@ -268,7 +272,7 @@
 		return
 	}
 	if existing := n.sessions[setup.id]; existing != nil {
-		// Two requests under one id: answers are matched by it, so on one connection both get the one.
+		// Answers are matched by session id, so two requests with one id on one connection get one answer.
 		if existing.client == v && existing.state != established {
 			n.guard.Answer(n.now, existing.id, invariant.Failed)
 			n.giveUp(existing)
@@ -277,7 +281,7 @@
 		return
 	}
 	if v.TooManyPending(n.open) {
-		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.open))
+		n.log.Debug("too many open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.open))
 		n.counts["past the bound"]++
 		v.send(responseMessage(m, rtsp.ServiceUnavailable))
 		return
@@ -285,7 +289,8 @@
 	n.ask(v, setup, readAt)
 }
 
-// handleTeardown takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
+// handleTeardown handles a TEARDOWN: it gives up a pending SETUP, or ends an established session, whichever connection
+// it arrives on.
 func (n *Node) handleTeardown(v *client, m *rtsp.Message) {
 	s := n.sessions[m.Session()]
 	if s == nil {
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -1,23 +1,23 @@
 package node
 
-// closeReason says why the node closes a client's connection.
+// closeReason says why the node closes a connection of a client.
 type closeReason string
 
 const (
-	reasonIdle            closeReason = "without sessions for long"
-	reasonEvicted         closeReason = "gives way to a newer one"
-	reasonInvalidRequests closeReason = "too many requests that make no sense"
-	reasonMessageTimeout  closeReason = "a message did not come to its end"
-	reasonMalformed       closeReason = "what came can't be read"
+	reasonIdle            closeReason = "no sessions for a long time"
+	reasonEvicted         closeReason = "evicted for a newer connection"
+	reasonInvalidRequests closeReason = "too many invalid requests"
+	reasonMessageTimeout  closeReason = "message not completed in time"
+	reasonMalformed       closeReason = "malformed message"
 )
 
-// requestClose closes a client's connection on which nothing is open, once its reader has handed over what it has: a request
-// among that keeps the connection.
+// requestClose closes a connection of a client without open requests, once its reader has passed on what it read. If a
+// request is among that, the connection stays open.
 func (n *Node) requestClose(v *client, reason closeReason) {
 	if v.pendingClose != "" || v.closed || v.isClosing() {
 		return
 	}
-	n.log.Debug("a client's connection is to be closed", str("from", v.peer()), str("why", string(reason)), num("rank", v.EvictionRank(n.now)))
+	n.log.Debug("closing a client connection", str("from", v.peer()), str("why", string(reason)), num("rank", v.EvictionRank(n.now)))
 	v.pendingClose = reason
 	if n.trials.hasty() {
 		v.closeOnceFlushed()
@@ -26,7 +26,8 @@
 	v.requestStop(!v.SentMessage)
 }
 
-// handleReaderStopped takes it that a connection's reader has handed over all that it read; partial tells that a message had begun.
+// handleReaderStopped handles the report that a reader has stopped and passed on all that it read; partial says that
+// the start of another message was read.
 func (n *Node) handleReaderStopped(v *client, partial bool) {
 	switch {
 	case v.closed:
@@ -36,7 +37,7 @@
 		v.readerStopped = true
 		n.closeClient(v, v.pendingClose)
 		v.endReading()
-	case partial: // it was stopped within a message, and can't go on there
+	case partial: // stopped within a message, where reading can't resume
 		n.rejectMalformed(v, nil)
 		v.endReading()
 	default:
@@ -45,7 +46,7 @@
 	}
 }
 
-// closeClient closes a client's connection once what is queued on it was written.
+// closeClient closes a connection of a client once its queued bytes are written.
 func (n *Node) closeClient(v *client, reason closeReason) {
 	n.guard.Close(v.peer(), v.Pending, v.readerStopped)
 	v.pendingClose = reason
--- a/internal/node/conn.go
+++ b/internal/node/conn.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	// maxQueuedBytes is how many bytes wait for a peer that does not read; then its connection is closed. A dead server with a
-	// thousand sessions has as many releases of some 130 bytes queued at once for a few clients. Usual messages
-	// have some 200 bytes.
+	// maxQueuedBytes limits what is queued for a peer that does not read; past it the connection is closed. A dead
+	// server with a thousand sessions causes as many releases of about 130 bytes to be queued at once for a few
+	// clients. Other messages have about 200 bytes.
 	maxQueuedBytes = 256 << 10
-	// maxRetainedMessages is how many messages are kept in case the connection ends: as many releases as may wait for a peer that does
-	// not read. Past it the oldest is dropped. Harm: a release that was lost in a break among so many within a quarter of a second.
+	// maxRetainedMessages limits the messages retained for the case that the connection ends: as many releases as fit
+	// into the queue of a peer that does not read. Past it the oldest is dropped. Drawback: a dropped release is lost
+	// if the connection breaks with so many released within a quarter of a second.
 	maxRetainedMessages = 2048
-	// writeTimeout is how long one write may take.
+	// writeTimeout limits one write.
 	writeTimeout = 2 * time.Second
-	// serverMessageTimeout is how long a message may take from its first byte on.
+	// serverMessageTimeout limits the time from the first to the last byte of a message from a server.
 	serverMessageTimeout = time.Second
-	// closeTimeout is how long a connection that is being closed still discards what comes, and maxDiscardBytes how much.
+	// closeTimeout limits how long a connection that is being closed discards input, and maxDiscardBytes how much.
 	closeTimeout, maxDiscardBytes = 500 * time.Millisecond, 256 << 10
 )
 
-// messageBounds are the protocol's: no message exceeds 16 KiB. There are no frames.
+// messageBounds are the limits of the protocol: a message has at most 16 KiB, and there are no interleaved frames.
 var messageBounds = rtsp.Bounds{Line: 4096, Headers: 40, Body: 16 << 10, Whole: 16 << 10, Frame: 1, Buffer: 16 << 10}
 
-// conn is a connection's sending side: what is queued is written by a goroutine of its own, in order.
+// conn is the sending side of a connection. A goroutine of its own writes the queued bytes in order.
 type conn struct {
 	nc           net.Conn
 	log          *zap.Logger
 	mu           sync.Mutex
-	buffer       []byte            // at most mostQueued
-	queuedTotal  int64             // bytes ever queued
-	writtenTotal int64             // bytes that left
-	closing      bool              // nothing more is queued; close once all is written
-	writing      bool              // the writer has something that is not yet written
-	retained     []retainedMessage // releases, and what belongs to sessions that stand; the loop's alone, emptied by time, at most mostKept
+	buffer       []byte            // queued bytes, at most maxQueuedBytes
+	queuedTotal  int64             // bytes queued since the connection was opened
+	writtenTotal int64             // bytes that the system accepted
+	closing      bool              // nothing more is queued; closes once all is written
+	writing      bool              // the writer holds bytes that are not written yet
+	retained     []retainedMessage // releases and messages of established sessions; used by the loop only, at most maxRetainedMessages, dropped by age
 	failed       bool
 	wake         chan struct{}
-	writerDone   chan struct{} // closed when the writer is through
+	writerDone   chan struct{} // closed when writeLoop has returned
 }
 
 func newConn(nc net.Conn, log *zap.Logger) *conn {
@@ -55,7 +56,8 @@
 	return c
 }
 
-// send queues bytes and gives where they begin and end in all that is sent; the start is below 0 where they are not queued.
+// send queues bytes and returns their start and end offsets in all that the connection sends; the start is negative if
+// they are not queued.
 func (c *conn) send(b []byte) (from, to int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +66,7 @@
 	return from, to
 }
 
-// enqueue is send with the lock held.
+// enqueue is send for callers that hold the lock.
 func (c *conn) enqueue(b []byte) (from, to int64) {
 	if c.closing || c.failed {
 		return -1, -1
@@ -82,19 +84,19 @@
 	return from, c.queuedTotal
 }
 
-// sendNow is send that does not leave the bytes to the writer's next turn: where nothing is before them they are written at
-// once, as many as the peer's window takes. Against sessions that their clients end at the server in the instant of the
-// answer: a platform that loses sight of the request then has one unanswered the oftener the later the answer leaves.
-// Harm: a write a message, and its time in the loop; so for good answers only.
+// sendNow is send without waiting for the writer: if nothing is queued before them, as many bytes as the peer's window
+// takes are written at once. It guards against sessions that their client ends at the server at the instant of the
+// answer: the platform then loses sight of the request and counts it as unanswered, the more often the later the
+// answer leaves. Drawback: one write per message, and its time in the loop; so it is used for successful answers only.
 func (c *conn) sendNow(b []byte) (from, to int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	if sc, ok := c.nc.(syscall.Conn); ok && !c.closing && !c.failed && !c.writing && len(c.buffer) == 0 {
 		if raw, err := sc.SyscallConn(); err == nil {
-			c.nc.SetWriteDeadline(time.Time{}) // the writer's last one may have passed
+			c.nc.SetWriteDeadline(time.Time{}) // the deadline of the writer's last write may have passed
 			err = raw.Write(func(fd uintptr) bool { n, err = syscall.Write(int(fd), b); return true })
-			n = max(n, 0) // what an error leaves is the writer's
+			n = max(n, 0) // what an error leaves unwritten is queued
 		}
 	}
 	if n == len(b) {
@@ -114,7 +116,7 @@
 	return from, to
 }
 
-// unqueue takes what was queued from one place to another back; false where the writer has it already.
+// unqueue removes the bytes between two offsets from the queue; it returns false if the writer has them already.
 func (c *conn) unqueue(from, to int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,38 +134,40 @@
 	return true
 }
 
-// bytesWritten is how many bytes bytesWritten so far.
+// bytesWritten returns how many bytes the system has accepted so far.
 func (c *conn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writtenTotal
 }
 
-// retainedMessage is a message that belongs to no connection: where this one ends before it surely arrived, it goes over another.
+// retainedMessage is a message that is not tied to a connection: if its connection ends before it must have arrived,
+// it is sent over another one.
 type retainedMessage struct {
 	data     []byte
-	end      int64 // where it ends in all that is sent
+	end      int64 // offset of its end in all that the connection sends
 	queuedAt float64
 }
 
-// sendRetained queues a message as send does, and keeps it in case the connection ends.
+// sendRetained queues a message as send does and retains it for the case that the connection ends.
 func (c *conn) sendRetained(now float64, data []byte) bool {
 	_, to := c.send(data)
 	if to < 0 {
 		return false
 	}
-	writtenNow := c.bytesWritten()
+	written := c.bytesWritten()
 	c.retained = slices.DeleteFunc(c.retained, func(k retainedMessage) bool {
-		return k.end <= writtenNow && now-k.queuedAt > share.AssumedArrivalSeconds
+		return k.end <= written && now-k.queuedAt > share.AssumedArrivalSeconds
 	})
-	if len(c.retained) >= maxRetainedMessages { // the oldest has most surely arrived
+	if len(c.retained) >= maxRetainedMessages { // the oldest is the most likely to have arrived
 		c.retained = slices.Delete(c.retained, 0, 1)
 	}
 	c.retained = append(c.retained, retainedMessage{data, to, now})
 	return true
 }
 
-// undelivered gives what was kept and has not surely arrived, once left bytes are known to have left for good.
+// undelivered returns the retained messages that may not have arrived, given how many bytes were written by the end of
+// the connection.
 func (c *conn) undelivered(now float64, written int64) (list [][]byte) {
 	for _, k := range c.retained {
 		if k.end > written || now-k.queuedAt <= share.AssumedArrivalSeconds {
@@ -174,6 +178,7 @@
 	return list
 }
 
+// wakeWriter has writeLoop look at the connection's state again.
 func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -181,14 +186,14 @@
 	}
 }
 
-// closeGracefully closes the connection once what is queued was written.
+// closeGracefully closes the connection once the queued bytes are written.
 func (c *conn) closeGracefully() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeGracefullyLocked()
 }
 
-// closeGracefullyLocked is end with the lock held.
+// closeGracefullyLocked is closeGracefully for callers that hold the lock.
 func (c *conn) closeGracefullyLocked() {
 	if !c.closing {
 		c.closing = true
@@ -197,8 +202,8 @@
 	}
 }
 
-// closeOnceFlushed closes the connection at once, or, where an answer or a release is still being written, once it is. What crosses
-// meets a closed connection, not one that listens and says nothing.
+// closeOnceFlushed closes the connection at once, or as soon as an answer or a release that is still being written has
+// left. A request that crosses the close then meets a closed connection, not one that is open and never answers.
 func (c *conn) closeOnceFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,8 +216,8 @@
 	c.wakeWriter()
 }
 
-// closeIfFlushed closes a connection that is being closed without waiting for its peer; false where it is closed already, or
-// something is still being written.
+// closeIfFlushed closes a connection that is being closed without waiting for its peer. It returns false if the
+// connection is closed already or something is still being written.
 func (c *conn) closeIfFlushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,7 +230,7 @@
 	return true
 }
 
-// isFlushed tells whether all that was queued has been written, or never will be.
+// isFlushed reports whether all queued bytes have been written, or never will be.
 func (c *conn) isFlushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,8 +243,8 @@
 	return c.closing || c.failed
 }
 
-// close ends it at once; left tells how many bytes left, for good.
-func (c *conn) close() (left int64) {
+// close closes the connection at once and returns the final number of bytes written.
+func (c *conn) close() (written int64) {
 	c.mu.Lock()
 	c.failed = true
 	c.wakeWriter()
@@ -249,6 +254,7 @@
 	return c.writtenTotal
 }
 
+// writeLoop writes queued bytes until the connection is closed.
 func (c *conn) writeLoop() {
 	defer close(c.writerDone)
 	var spare []byte
@@ -265,7 +271,7 @@
 			}
 			return
 		}
-		if len(b) == 0 { // out and spare must never be one: what is queued would overwrite what is being written
+		if len(b) == 0 { // buffer and spare must not share memory: newly queued bytes would overwrite those being written
 			c.mu.Unlock()
 			<-c.wake
 			continue
@@ -282,7 +288,7 @@
 		}
 		c.mu.Unlock()
 		if err != nil {
-			c.nc.Close() // its reader tells the loop
+			c.nc.Close() // its reader reports the end to the loop
 			return
 		}
 		if spare = b; cap(spare) > 4<<10 {
@@ -291,8 +297,8 @@
 	}
 }
 
-// awaitFlush waits until all that was queued on a connection that is being closed has been written, for so long as its peer may
-// take, and not past the end of the context.
+// awaitFlush waits until the queued bytes of a connection that is being closed are written, at most closeTimeout and
+// not past the end of the context.
 func (c *conn) awaitFlush(ctx context.Context) {
 	timeout := time.NewTimer(closeTimeout)
 	defer timeout.Stop()
@@ -303,7 +309,7 @@
 	}
 }
 
-// discardInput takes what still comes on a connection that is being closed.
+// discardInput reads and discards what still arrives on a connection that is being closed.
 func (c *conn) discardInput() {
 	c.nc.SetReadDeadline(time.Now().Add(closeTimeout))
 	var b [4 << 10]byte
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -4,34 +4,36 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"go.uber.org/zap"
 	"io"
 	"net"
 	"testing"
 	"time"
+
+	"go.uber.org/zap"
 )
 
-// What is queued while a write is under way comes whole and in order. Two buffers were one after a wake-up for nothing.
+// Bytes queued during a write arrive whole and in order. A spurious wake-up once made the queue and the writer share
+// one buffer.
 func TestQueueKeepsOrder(t *testing.T) {
 	a, b := net.Pipe()
 	c := newConn(a, zap.NewNop())
 	defer c.close()
 	in := bufio.NewReader(b)
 	for k := range 20000 {
-		c.wakeWriter() // for nothing
+		c.wakeWriter() // spurious
 		if _, to := c.send(fmt.Appendf(nil, "%07d\n", 2*k)); to != int64(16*k+8) {
-			t.Fatalf("ends at %d", to)
+			t.Fatalf("the message ends at %d", to)
 		}
 		c.send(fmt.Appendf(nil, "%07d\n", 2*k+1))
 		for j := range 2 {
 			if line, err := in.ReadString('\n'); err != nil || line != fmt.Sprintf("%07d\n", 2*k+j) {
-				t.Fatalf("%q %v where %d is due", line, err, 2*k+j)
+				t.Fatalf("received %q %v, want %d", line, err, 2*k+j)
 			}
 		}
 	}
 }
 
-// A peer that does not read is given up once so much waits for it.
+// The connection of a peer that does not read is closed once too much is queued for it.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
@@ -43,14 +45,14 @@
 		}
 	}
 	if k < 250 || k > 600 || !c.isClosing() {
-		t.Errorf("given up after %d kB", k)
+		t.Errorf("closed after %d kB", k)
 	}
 	if left := c.close(); left != 0 {
-		t.Errorf("%d bytes left", left)
+		t.Errorf("%d bytes were written", left)
 	}
 }
 
-// tcpPair is both ends of a connection on loopback.
+// tcpPair returns both ends of a loopback connection.
 func tcpPair(t *testing.T) (a, b net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,32 +71,32 @@
 	return a, b
 }
 
-// An answer leaves at once, whether or not the writer has had its turn: a session may be ended by its client meanwhile, and
-// the request passes for unanswered.
+// An answer is written at once, even before the writer has run. Otherwise the client may end the session at its server
+// meanwhile, and the request counts as unanswered.
 func TestAnswerLeavesBeforeTheWritersTurn(t *testing.T) {
 	a, b := tcpPair(t)
-	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // its writer never has its turn
+	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // no writer runs
 	for k := range 3 {
 		said := fmt.Appendf(nil, "answer %d", k)
 		if from, to := c.sendNow(said); from != int64(8*k) || to != int64(8*k+8) {
-			t.Fatalf("from %d to %d", from, to)
+			t.Fatalf("offsets %d to %d", from, to)
 		}
 		got := make([]byte, len(said))
 		if _, err := io.ReadFull(b, got); err != nil || !bytes.Equal(got, said) {
-			t.Fatalf("%q %v where %q is due", got, err, said)
+			t.Fatalf("received %q %v, want %q", got, err, said)
 		}
 	}
 	if c.bytesWritten() != 24 {
-		t.Errorf("%d bytes left", c.bytesWritten())
+		t.Errorf("%d bytes were written", c.bytesWritten())
 	}
 }
 
-// What is written at once and what is queued keep their order, also where the peer's window is full in between.
+// Messages written at once and queued messages keep their order, also while the peer's window is full.
 func TestAnswersAtOnceKeepOrder(t *testing.T) {
 	a, b := tcpPair(t)
 	c := newConn(a, zap.NewNop())
 	want := 0
-	for k, behind := 0, 0; behind < 64<<10; k++ { // until much more waits than one message
+	for k, behind := 0, 0; behind < 64<<10; k++ { // until much more than one message is queued
 		line := fmt.Appendf(nil, "%08d %s\n", k, bytes.Repeat([]byte{'a' + byte(k%26)}, 990))
 		from, to := c.send, c.sendNow
 		if k%3 == 0 {
@@ -102,7 +104,7 @@
 		}
 		for i, say := range []func([]byte) (int64, int64){from, to} {
 			if from, to := say(line[500*i : 500*i+500]); from != int64(want) || to != int64(want+500) {
-				t.Fatalf("%d: from %d to %d, not from %d", k, from, to, want)
+				t.Fatalf("message %d: offsets %d to %d, want start %d", k, from, to, want)
 			}
 			want += 500
 		}
@@ -116,14 +118,14 @@
 		}
 	}
 	if left := c.close(); left != int64(want) {
-		t.Errorf("%d of %d bytes left", left, want)
+		t.Errorf("%d of %d bytes were written", left, want)
 	}
 }
 
-// A write's time limit that has passed does not keep later answers waiting for the writer.
+// An expired deadline of an earlier write does not leave later answers to the writer.
 func TestAnswerAfterAnOldTimeLimit(t *testing.T) {
 	a, b := tcpPair(t)
-	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // its writer never has its turn
+	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // no writer runs
 	a.SetWriteDeadline(time.Now().Add(-time.Second))
 	c.sendNow([]byte("later"))
 	got := make([]byte, 5)
@@ -132,7 +134,7 @@
 	}
 }
 
-// What is kept in case the connection ends has a bound, and the newest stays.
+// The number of retained messages is limited, and the newest are kept.
 func TestKeptHasABound(t *testing.T) {
 	a, b := tcpPair(t)
 	go io.Copy(io.Discard, b)
@@ -142,11 +144,11 @@
 		for end := time.Now().Add(patience); c.bytesWritten() < int64(8*k-64<<10) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 		if !c.sendRetained(1, fmt.Appendf(nil, "%08d", k)) {
-			t.Fatalf("message %d was not taken", k)
+			t.Fatalf("message %d was not queued", k)
 		}
 	}
 	list := c.undelivered(1, 1<<40)
 	if len(list) != maxRetainedMessages || string(list[maxRetainedMessages-1]) != fmt.Sprintf("%08d", maxRetainedMessages+99) {
-		t.Errorf("%d are kept, the last is %q", len(list), list[len(list)-1])
+		t.Errorf("%d messages are retained, the last is %q", len(list), list[len(list)-1])
 	}
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -20,10 +20,10 @@
 	"rainhaven/internal/rtsp"
 )
 
-// The tests of this file force two events to cross; the table in docs/node.md names them.
+// The tests of this file force races between two events; the table in docs/node.md lists them.
 
-// batch blocks the loop while steps are taken, and waits after each until it has brought the loop one event more: they are
-// then one batch, in that order.
+// batch blocks the loop while it runs steps, and waits after each until it has queued one more event: the loop then
+// handles the events as one batch, in that order.
 func (f *farm) batch(steps ...func()) {
 	f.t.Helper()
 	f.see(func(n *Node) {
@@ -32,7 +32,7 @@
 			step()
 			for end := time.Now().Add(patience); len(n.events) <= queued; time.Sleep(100 * time.Microsecond) {
 				if time.Now().After(end) {
-					f.t.Error("a step brought the loop nothing")
+					f.t.Error("a step queued no event")
 					return
 				}
 			}
@@ -41,7 +41,7 @@
 	})
 }
 
-// stalledLink puts a connection in place of a server's, on which nothing leaves.
+// stalledLink adds a connection to the first server on which no byte leaves.
 func (f *farm) stalledLink() *link {
 	f.t.Helper()
 	a, b := net.Pipe()
@@ -49,7 +49,7 @@
 	return f.addLink(a)
 }
 
-// addLink puts a connection among those of the first server.
+// addLink adds a connection to the first server.
 func (f *farm) addLink(nc net.Conn) (l *link) {
 	f.see(func(n *Node) {
 		s := n.servers[0]
@@ -60,25 +60,25 @@
 	return l
 }
 
-// breakLink ends such a connection as its reader would.
+// breakLink ends a connection made by addLink or stalledLink, as its reader would.
 func (f *farm) breakLink(l *link) {
 	f.see(func(n *Node) { n.serverConnClosed(l, l.close(), errors.New("broken")) })
 }
 
-// setupText is a client's whole SETUP, with its patience in milliseconds.
+// setupText returns a complete SETUP of a client, with its patience in milliseconds.
 func setupText(k, patience int) string {
 	return fmt.Sprintf("SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nSubject: paid\r\nX-Patience: %d\r\nX-Facts: home:0;copies:4;top:4\r\nContent-Length: %d\r\n\r\n%s",
 		id(k), patience, len(sdp), sdp)
 }
 
-// sendTerminate sends a signal to end, and waits until a further one is another wish.
+// sendTerminate sends a signal to end, and waits until a second one counts as another request to end.
 func (f *farm) sendTerminate() {
 	f.t.Helper()
 	f.ends <- syscall.SIGTERM
 	signalledAt := 0.0
 	f.see(func(n *Node) { signalledAt = n.now })
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		now := signalledAt + 1 // once it is over
+		now := signalledAt + 1 // if the loop has ended
 		f.see(func(n *Node) { now = n.now })
 		if now > signalledAt+0.25 {
 			return
@@ -86,7 +86,7 @@
 	}
 }
 
-// wantNoSetup tells that a host was sent no SETUP, once all that the node had to send it has come.
+// wantNoSetup fails the test if a host has received a SETUP. All that the node had to send must have arrived before.
 func (f *farm) wantNoSetup(h *host) {
 	f.t.Helper()
 	for {
@@ -101,8 +101,8 @@
 	}
 }
 
-// What is open when the process is told a second time to end is answered before its connections close: paid requests that
-// may have run are torn down, the others busy-replied. Without finish both connections just closed.
+// Requests that are open at the second signal to end are answered before their connections close: paid ones that may
+// have run fail, the others get a busy reply. Without finish both connections were just closed.
 func TestEndAnswersWhatIsOpen(t *testing.T) {
 	f, s1 := single(t, 256)
 	v, w := f.client(), f.client()
@@ -113,7 +113,7 @@
 		sv.conns = append(sv.conns, &link{sv: sv, stop: func() {}})
 	})
 	w.setup(id(2), "paid", "")
-	f.until("both are open", func(n *Node) bool { return n.open == 2 })
+	f.until("both requests are open", func(n *Node) bool { return n.open == 2 })
 	f.sendTerminate()
 	f.ends <- syscall.SIGTERM
 	v.want("500")
@@ -125,7 +125,7 @@
 	}
 }
 
-// A request is read in the instant in which the loop ends: it is answered as well.
+// A request that is read as the loop ends is answered as well.
 func TestRequestReadAsTheLoopEnds(t *testing.T) {
 	var s1 *host
 	var w *peer
@@ -149,12 +149,12 @@
 	f.wanted(rtsp.Setup, s1)
 	f.until("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
 	f.sendTerminate()
-	f.ends <- syscall.SIGTERM // and nothing of the test's own in the queue
+	f.ends <- syscall.SIGTERM // with no event of the test itself in the queue
 	w.want("503")
 	v.want("500")
 }
 
-// An answer that is still being written when its connection has to give way leaves whole. It was thrown away.
+// An answer that is still being written when its connection is evicted is written whole. It was discarded.
 func TestCutWaitsForTheAnswer(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
@@ -164,15 +164,15 @@
 	c.closeOnceFlushed()
 	got := make([]byte, len(answer))
 	if _, err := io.ReadFull(b, got); err != nil || string(got) != string(answer) {
-		t.Errorf("%q came, %v", got, err)
+		t.Errorf("received %q, %v", got, err)
 	}
 	if from, _ := c.send(answer); from >= 0 {
-		t.Error("more is queued on a connection that is being closed")
+		t.Error("a message was queued on a connection that is being closed")
 	}
 	c.close()
 }
 
-// A release is written to a client's connection that is just closing: it goes over another one. It was lost.
+// A release written to a client's connection that is just closing is sent over another one. It was lost.
 func TestReleaseCrossesAClose(t *testing.T) {
 	f, s1 := single(t, 256)
 	c, err := net.Dial("tcp", f.addr)
@@ -183,12 +183,12 @@
 	c.Write([]byte(setupText(1, 1500)))
 	x, _ := f.wanted(rtsp.Setup, s1)
 	x.on.answer(x.m, 200, given)
-	f.until("it stands", func(n *Node) bool { s := n.sessions[id(1)]; return s != nil && s.state == established })
+	f.until("the session is established", func(n *Node) bool { s := n.sessions[id(1)]; return s != nil && s.state == established })
 	w := f.client()
 	w.setup(id(2), "free", "")
 	f.serve(s1, w)
-	f.batch(func() { x.on.tearDown(id(1), 16) }) // and its client, which reads nothing, goes
-	f.until("it is released", func(n *Node) bool { return n.sessions[id(1)] == nil })
+	f.batch(func() { x.on.tearDown(id(1), 16) }) // its client, which reads nothing, closes next
+	f.until("the session is released", func(n *Node) bool { return n.sessions[id(1)] == nil })
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	if r := w.want(rtsp.TearDown); r.Session() != id(1) {
@@ -196,8 +196,8 @@
 	}
 }
 
-// A handed session is released by its client before a connection to its server was opened: its server hears of it all the
-// same. It was told nobody, and the session played on.
+// A session that was handed over is released by its client before a connection to its server was opened: the server is
+// notified all the same. It was not, and the session played on.
 func TestReleaseBeforeAConnection(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
@@ -209,23 +209,24 @@
 	f.until("nothing is owed", func(n *Node) bool { return len(n.servers[0].owed) == 0 && len(n.sessions) == 0 })
 }
 
-// A drain is told after a SETUP was queued; its connection breaks before a byte of it left: it is not sent anew. It was
-// sent to the draining server over a new connection, however long after.
+// A drain is reported after a SETUP was queued, and the connection breaks before a byte of it was written: it is not
+// sent again. It was sent to the draining server over a new connection, however long after.
 func TestDrainBeforeTheSetupIsSentAnew(t *testing.T) {
 	f, s1 := single(t, 256)
 	feed := f.followed()
 	l := f.stalledLink()
 	v := f.client()
 	v.setup(id(1), "paid", "")
-	f.until("it is queued", func(*Node) bool { return len(l.open) == 1 })
+	f.until("the SETUP is queued", func(*Node) bool { return len(l.open) == 1 })
 	fmt.Fprintf(feed, "%s\n", change(2, false, entry("s-1", s1.Addr().String(), "draining")))
-	f.until("the drain is heard", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	f.until("the drain is handled", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	f.breakLink(l)
 	v.want("503")
 	f.wantNoSetup(s1)
 }
 
-// A server ends each connection before a byte of the SETUP left: that goes over one new connection, not over any number.
+// A server ends each connection before a byte of the SETUP was written: the SETUP is sent over one new connection, not
+// over any number of them.
 func TestSetupIsSentAnewOnce(t *testing.T) {
 	f, s1 := single(t, 256)
 	dams := []*link{f.stalledLink(), f.stalledLink(), f.stalledLink()}
@@ -233,7 +234,7 @@
 	v.setup(id(1), "paid", "")
 	for range 2 {
 		var l *link
-		f.until("it is queued", func(n *Node) bool {
+		f.until("the SETUP is queued", func(n *Node) bool {
 			i := slices.IndexFunc(dams, func(l *link) bool { return len(l.open) == 1 && !l.closed })
 			if i >= 0 {
 				l = dams[i]
@@ -242,11 +243,11 @@
 		})
 		f.breakLink(l)
 	}
-	v.want("503") // nothing of it ran
+	v.want("503") // the SETUP never ran
 	f.wantNoSetup(s1)
 }
 
-// A client goes in the instant in which its SETUP is refused, before or after: there is no second SETUP.
+// A client leaves at the instant at which its SETUP is refused, just before or after: there is no second SETUP.
 func TestClientGoneBetweenTwoSetups(t *testing.T) {
 	for name, leave := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(id(1), 0) }} {
 		for _, order := range []string{"refused first", "gone first"} {
@@ -261,12 +262,12 @@
 					slices.Reverse(steps)
 				}
 				f.batch(steps...)
-				f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
-				w := f.client() // what comes next at the other server is another's
+				f.until("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 })
+				w := f.client() // the next SETUP at the other server must be of this client
 				w.setup(id(2), "free", "")
 				y, at := f.nextSetup(hosts[:]...)
 				if y.m.Session() != id(2) {
-					t.Errorf("%s got %s after its client had gone", at.name, y.m.Session())
+					t.Errorf("%s received %s after its client had left", at.name, y.m.Session())
 				}
 				y.on.answer(y.m, 200, given)
 				w.want("200")
@@ -276,7 +277,7 @@
 	}
 }
 
-// nextSetup is the next SETUP, whatever comes before it.
+// nextSetup returns the next SETUP at any of the hosts and skips other messages.
 func (f *farm) nextSetup(hosts ...*host) (heard, *host) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -290,11 +291,11 @@
 			}
 		}
 	}
-	f.t.Fatal("no SETUP came")
+	f.t.Fatal("no SETUP received")
 	return heard{}, nil
 }
 
-// A connection comes up after the SETUP that waited for it was given up: it carries the next one, not that.
+// A connection is opened after the SETUP that waited for it was given up: it carries the next SETUP, not that one.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	f, s1 := single(t, 256)
 	var l *link
@@ -304,9 +305,9 @@
 	})
 	v := f.client()
 	v.setup(id(1), "paid", "")
-	f.until("it waits", func(*Node) bool { return len(l.open) == 1 })
+	f.until("the SETUP waits for the connection", func(*Node) bool { return len(l.open) == 1 })
 	v.Close()
-	f.until("it is given up", func(n *Node) bool { return n.open == 0 && len(l.open) == 0 })
+	f.until("the SETUP is given up", func(n *Node) bool { return n.open == 0 && len(l.open) == 0 })
 	nc, err := net.Dial("tcp", s1.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -317,14 +318,14 @@
 	w := f.client()
 	w.setup(id(2), "free", "")
 	if x, _ := f.wanted(rtsp.Setup, s1); x.m.Session() != id(2) {
-		t.Errorf("a SETUP for %s", x.m.Session())
+		t.Errorf("received a SETUP for %s", x.m.Session())
 	}
 }
 
-// SETUPs wait behind a server that reads nothing, one in its writer's hands and one behind it, when their clients go: neither
-// leaves, though it reads again. They left as soon as it did.
+// Two SETUPs wait for a server that reads nothing, one held by the writer and one queued behind it, when their clients
+// leave: neither is sent, although the server reads again. They were sent as soon as it did.
 func TestClientGoneBeforeTheSetupLeft(t *testing.T) {
-	f, s1 := single(t, 3) // one connection to the server
+	f, s1 := single(t, 3) // allows one connection to the server
 	a, b := net.Pipe()
 	defer b.Close()
 	l := f.addLink(a)
@@ -332,24 +333,24 @@
 	for k := range v {
 		v[k] = f.client()
 		v[k].setup(id(k), "free", "")
-		f.until("it is queued", func(*Node) bool { return len(l.open) == k+1 })
+		f.until("the SETUP is queued", func(*Node) bool { return len(l.open) == k+1 })
 	}
 	f.until("the first is being written", func(*Node) bool { l.mu.Lock(); defer l.mu.Unlock(); return l.queuedTotal > int64(len(l.buffer)) })
 	v[1].Close()
-	f.until("it is given up", func(*Node) bool { return len(l.open) == 2 })
+	f.until("the SETUP is given up", func(*Node) bool { return len(l.open) == 2 })
 	f.see(func(*Node) {
 		if x, y := l.open[0], l.open[1]; x.to != y.from {
-			t.Errorf("one ends at %d, the next begins at %d", x.to, y.from)
+			t.Errorf("one SETUP ends at %d, the next begins at %d", x.to, y.from)
 		}
 	})
 	v[0].Close()
-	f.until("its connection is given up", func(n *Node) bool { return l.isClosing() && n.open == 1 })
+	f.until("the connection is closed", func(n *Node) bool { return l.isClosing() && n.open == 1 })
 	if k, err := b.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes left", k)
+		t.Errorf("%d bytes were written", k)
 	}
-	f.breakLink(l) // as its reader tells
+	f.breakLink(l) // as its reader reports
 	if x, _ := f.wanted(rtsp.Setup, s1); x.m.Session() != id(2) {
-		t.Errorf("a SETUP for %s", x.m.Session())
+		t.Errorf("received a SETUP for %s", x.m.Session())
 	}
 }
 
@@ -357,7 +358,7 @@
 // answer at most, and what stands at the server unwanted is released there.
 func TestAnswerCrosses(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
+		t.Run(fmt.Sprintf("TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := single(t, 256)
 			v := f.client()
 			v.setup(id(1), "paid", "")
@@ -379,9 +380,9 @@
 			if seen > 1 || seen == 1 && !answerFirst {
 				t.Errorf("%d answers", seen)
 			}
-			f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 && len(n.past) == 0 })
+			f.until("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.open == 0 && len(n.past) == 0 })
 		})
-		t.Run(fmt.Sprintf("the time-out, answer first %v", answerFirst), func(t *testing.T) {
+		t.Run(fmt.Sprintf("time-out, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := single(t, 256)
 			v := f.client()
 			v.setup(id(1), "paid", "")
@@ -418,7 +419,7 @@
 	}
 }
 
-// A server with all the connections that it takes refuses one more: what stands there goes on. It was released as lost.
+// A server at its limit of connections refuses one more: its sessions go on. They were released as lost.
 func TestRefusedBesideALiveConnection(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
@@ -426,10 +427,10 @@
 	x := f.serve(s1, v)
 	s1.Listener.Close()
 	v.setup(id(2), "paid", "")
-	y, _ := f.wanted(rtsp.Setup, s1) // on the one connection that is up
+	y, _ := f.wanted(rtsp.Setup, s1) // over the one open connection
 	v.setup(id(3), "paid", "")
 	if m := v.want("503"); m.Session() != id(3) {
-		t.Errorf("%s is refused", m.Session())
+		t.Errorf("%s was refused", m.Session())
 	}
 	y.on.answer(y.m, 200, given)
 	v.want("200")
@@ -439,8 +440,8 @@
 	}
 }
 
-// A server's process is started anew under its id and address, and answers tests: what stood there is released as soon as
-// the list tells of the start. It stood for good.
+// A server's process is restarted under its id and address, and answers probes: its earlier sessions are released as
+// soon as the list reports the start. They were kept for ever.
 func TestServerStartedAnew(t *testing.T) {
 	f, s1 := single(t, 256)
 	feed := f.followed()
@@ -452,25 +453,25 @@
 	if r := v.want(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != id(1) {
 		t.Errorf("released %+v", r.Header)
 	}
-	f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].held) == 0 })
+	f.until("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].held) == 0 })
 }
 
-// A message that never ends stands behind a request that is open: that one is answered. Its connection was just closed.
+// A message that never ends follows an open request: that request is answered. Its connection was just closed.
 func TestHalfAMessageBesideAnOpenRequest(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
-	v.say("%s", setupText(1, 4000)) // longer than half a message is waited for
+	v.say("%s", setupText(1, 4000)) // longer than the time limit of a message
 	f.wanted(rtsp.Setup, s1)
 	v.say("%s", setupText(2, 4000)[:50])
 	if m := v.want("500"); m.Session() != id(1) {
-		t.Errorf("%s is answered", m.Session())
+		t.Errorf("%s was answered", m.Session())
 	}
 	v.want("408")
 	f.wanted(rtsp.TearDown, s1)
 }
 
-// The server's answer finds its client's connection broken, of which the loop has not heard yet: nobody plays there, and the
-// server is told. It played on for nobody.
+// The server's answer meets a broken connection of its client, before the loop is notified of the break: nobody plays
+// the session, and the server is notified. It played on for nobody.
 func TestAnswerCrossesAClose(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
@@ -480,10 +481,10 @@
 	if y, _ := f.wanted(rtsp.TearDown, s1); y.m.Session() != id(1) {
 		t.Errorf("released %s", y.m.Session())
 	}
-	f.until("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
+	f.until("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
 }
 
-// Requests come in pieces: by the byte, two in one segment, and a piece before a close.
+// Requests arrive in pieces: byte by byte, two in one segment, and a part before a close.
 func TestRequestsInPieces(t *testing.T) {
 	f, s1 := single(t, 256)
 	text := func(k int) string { return setupText(k, 1500) }
@@ -509,10 +510,11 @@
 	v.want("200")
 	v.say("%s", text(4)[:50])
 	v.Close()
-	f.until("it is gone", func(n *Node) bool { return len(n.clients) == 0 && n.open == 0 && n.sessions[id(4)] == nil })
+	f.until("the client is removed", func(n *Node) bool { return len(n.clients) == 0 && n.open == 0 && n.sessions[id(4)] == nil })
 }
 
-// SIGHUP with the coordinator unchanged: its connection stays. It was opened anew, which is priced at hundreds of nodes.
+// SIGHUP with an unchanged coordinator keeps its connection. It was opened again, which the platform charges for at
+// hundreds of nodes.
 func TestReloadOfTheSameCoordinator(t *testing.T) {
 	f, s1 := single(t, 256)
 	feed := f.followed()
@@ -525,14 +527,14 @@
 	<-read
 	f.see(func(*Node) {})
 	fmt.Fprintf(feed, "%s\n", change(2, false, entry("s-1", s1.Addr().String(), "draining")))
-	f.until("it is heard still", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	f.until("the coordinator is still followed", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	if len(f.follows) > 0 {
-		t.Error("it was asked anew")
+		t.Error("a new connection to the coordinator was opened")
 	}
 }
 
-// The old coordinator's last event waits in the queue when the new one is followed, which tells it as well and one more:
-// each is taken once, in order.
+// The old coordinator's last event is still queued when the new one is followed, which sends it as well and one more:
+// each is handled once, in order.
 func TestReloadCrossesTheOldCoordinatorsLastEvent(t *testing.T) {
 	f, s1 := single(t, 256)
 	feed := f.followed()
@@ -542,19 +544,20 @@
 	f.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
 		func() {
-			lifecycleActions{f.node}.Reload() // it has heard up to 1
+			lifecycleActions{f.node}.Reload() // the last event handled is 1
 			c := <-follows
 			if c.after != 1 {
-				t.Errorf("follows %d", c.after)
+				t.Errorf("follows from event %d", c.after)
 			}
 			t.Cleanup(func() { c.Close() })
 			fmt.Fprintf(c, "%s\n%s\n", up, drains)
 		})
-	f.until("all is heard", func(n *Node) bool { return n.index == 3 && n.servers[0].state == choice.Draining })
+	f.until("all events are handled", func(n *Node) bool { return n.index == 3 && n.servers[0].state == choice.Draining })
 }
 
-// Many servers and hundreds of silent clients on few descriptors, while discovery is down: a tenth of them stays free, idle
-// connections to servers give way, and the node follows the coordinator as soon as it is back.
+// Many servers and hundreds of silent clients share few descriptors while discovery is down: a tenth of the
+// descriptors stays free, idle connections to servers are closed for new ones, and the node follows the coordinator as
+// soon as it is back.
 func TestDescriptorsInReserve(t *testing.T) {
 	const sockets = 64
 	f := newFarm(t, sockets, func(f *farm) (all []*host) {
@@ -564,17 +567,17 @@
 		return all
 	})
 	f.followed().Close()
-	for range 100 { // tests keep them from counting as silent
+	for range 100 { // after a probe they do not count as silent
 		v := f.client()
 		v.say("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	}
 	for k := range 60 {
 		f.see(func(n *Node) { n.dialServer(n.servers[k]) })
-		f.until("it is up, or gave way", func(n *Node) bool {
+		f.until("the connection is open, or was closed to make room", func(n *Node) bool {
 			return !slices.ContainsFunc(n.servers[k].conns, func(l *link) bool { return !l.up })
 		})
 	}
-	f.until("a tenth is free", func(n *Node) bool {
+	f.until("a tenth of the descriptors is free", func(n *Node) bool {
 		if n.serverConnCount() > share.MaxServerConns(sockets) {
 			t.Errorf("%d connections to servers", n.serverConnCount())
 		}
@@ -583,13 +586,14 @@
 	f.followed()
 }
 
-// Two nodes one after the other at one address, and a third beside them, each with its own settings: none knows another's.
+// Two nodes run one after the other at one address, and a third beside them, each with its own settings: none uses
+// another's.
 func TestNodesShareNothing(t *testing.T) {
 	f, s1 := single(t, 256)
 	v := f.client()
 	v.setup(id(1), "free", "")
 	f.serve(s1, v)
-	f.stop() // its client's connection lingers
+	f.stop() // its client's connection stays open
 	text := strings.NewReplacer(`"free"`, `"gratis"`, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, f.addr), `"class_floor":[0,1]`, `"class_floor":[2,1]`).
 		Replace(f.config(256, 1, change(1, true, entry("s-1", s1.Addr().String(), "up"))))
 	s, err := start.Parse([]byte(text))
@@ -609,7 +613,7 @@
 	select {
 	case next.node = <-got:
 	case <-next.over:
-		t.Fatal("it does not start")
+		t.Fatal("the node does not start")
 	}
 	t.Cleanup(next.stop)
 	w, u := next.client(), other.client()
@@ -620,7 +624,7 @@
 	w.setup(id(1), "gratis", "")
 	x, _ := next.wanted(rtsp.Setup, s1)
 	if q := x.m.Header.Get("X-Quality"); q < "2" {
-		t.Errorf("rung %s under its own floor", q)
+		t.Errorf("rung %s is below the node's own floor", q)
 	}
 	u.setup(id(1), "free", "")
 	other.wanted(rtsp.Setup, s2)
--- a/internal/node/feed/event.go
+++ b/internal/node/feed/event.go
@@ -1,5 +1,5 @@
-// Package feed speaks with the platform's coordinator: numbered changes to the list of servers, each taken once and in
-// order, over a connection that may break, fall silent, double events or stop within one.
+// Package feed follows the platform's coordinator, which publishes numbered changes to the list of servers. Each
+// change is handled once and in order, although connections may break, fall silent, repeat events or end within one.
 package feed
 
 import (
@@ -11,7 +11,7 @@
 	"rainhaven/choice"
 )
 
-// Event is one change to the list, as the coordinator writes it.
+// Event is one change to the list, as the coordinator encodes it.
 type Event struct {
 	Index     int64
 	Endpoints struct {
@@ -20,7 +20,7 @@
 	}
 }
 
-// Instance is one server's entry.
+// Instance is the entry of one server.
 type Instance struct {
 	ID          string `json:"instanceId"`
 	Addr        string `json:"hostPort"`
@@ -32,23 +32,25 @@
 	StartedAtMs float64 `json:"startedAtMs"`
 }
 
+// lifecycles maps the coordinator's lifecycle names to the states of package choice.
 var lifecycles = map[string]choice.Lifecycle{"up": choice.Ready, "draining": choice.Draining, "removed": choice.Gone}
 
-// Names are those of zones and kinds of machine, by number.
+// Names lists the names of zones and machine types; their indexes are the numbers that package choice uses.
 type Names struct{ Zones, Kinds []string }
 
-// ToListing puts an entry into the module's words; the id is the caller's. A zone or kind that is not among the names
-// counts as the first.
+// ToListing converts an entry to a choice.Listing with the given id. A zone or machine type that is not listed counts
+// as the first one.
 func (n Names) ToListing(id choice.ServerID, i Instance) (choice.Listing, error) {
 	st, ok := lifecycles[i.State]
 	if !ok || i.Cell < 0 {
-		return choice.Listing{}, fmt.Errorf("server %.40q: state %.20q, cell %d", i.ID, i.State, i.Cell)
+		return choice.Listing{}, fmt.Errorf("server %.40q has lifecycle %.20q and cell %d", i.ID, i.State, i.Cell)
 	}
 	return choice.Listing{ID: id, Zone: max(slices.Index(n.Zones, i.Zone), 0), Kind: max(slices.Index(n.Kinds, i.Kind), 0),
 		Cell: i.Cell, State: st, Weight: i.Weight, StartedAt: i.StartedAtMs / 1000}, nil
 }
 
-// AssignID makes the module's number of a server's id, alike at all fronts; taken tells whether it has one already.
+// AssignID derives the numeric id of a server from its name, the same at all fronts. If inUse reports that a number is
+// already assigned, the next free one is returned.
 func AssignID(id string, inUse func(choice.ServerID) bool) choice.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -59,14 +61,14 @@
 	return number
 }
 
-// parseLine reads one parseLine of the coordinator's: an event, or the last number alone.
+// parseLine parses one line from the coordinator: an event, or only the number of the latest event.
 func parseLine(b []byte) (e Event, last int64, err error) {
 	if len(b) > 0 && b[0] != '{' {
 		err = json.Unmarshal(b, &last)
 		return e, last, err
 	}
 	if err = json.Unmarshal(b, &e); err == nil && e.Index <= 0 {
-		err = fmt.Errorf("an event without a number")
+		err = fmt.Errorf("event has no index")
 	}
 	return e, 0, err
 }
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// A connection that takes longer is given up and tried again.
+	// connectTimeout limits one connection attempt; a later one follows.
 	connectTimeout = time.Second
-	// maxLineBytes is past an event that carries a whole list of 3,200 servers at 500 bytes each, twice over; against a line
-	// without end.
+	// maxLineBytes guards against a line without end. It is more than twice the size of an event that lists 3,200
+	// servers at 500 bytes each.
 	maxLineBytes = 4 << 20
 )
 
-// Follow asks the coordinator at addr for what follows number last, and hands each new event on once and in order,
-// until ctx ends; pauses between connections follow from the seed. Each whole line is told to heard before what it holds
-// is handed on; why connections ended goes to broke.
+// Follow asks the coordinator at addr for the events after number last and passes each new one to handle, once and in
+// order, until ctx ends. The delays between connections derive from seed. onLine is called for each complete line
+// before its content is handled, onDisconnect with the reason when a connection ends.
 func Follow(ctx context.Context, addr string, last int64, seed uint64, onLine func(), handle func(Event) bool, onDisconnect func(error)) {
 	retry := backoff.New(seed)
 	for ctx.Err() == nil {
@@ -40,7 +40,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readEvents is one connection's life; it ends after so much silence.
+// readEvents follows the coordinator over one connection, which ends after the given time of silence.
 func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, onLine func(), handle func(Event) bool) error {
 	d := net.Dialer{Timeout: connectTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -64,11 +64,11 @@
 		chunk, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			if partial = append(partial, chunk...); len(partial) > maxLineBytes {
-				return fmt.Errorf("a line of over %d bytes", maxLineBytes)
+				return fmt.Errorf("line exceeds %d bytes", maxLineBytes)
 			}
 			continue
 		}
-		if err != nil { // half a line is dropped
+		if err != nil { // an incomplete line is discarded
 			return err
 		}
 		b := chunk
@@ -83,14 +83,14 @@
 		onLine()
 		switch {
 		case e.Index == 0 && latest > *last:
-			return fmt.Errorf("events up to %d were not told, the last was %d", latest, *last)
+			return fmt.Errorf("coordinator is at event %d, but the last one received was %d", latest, *last)
 		case e.Index == *last+1 || e.Index > 0 && e.Endpoints.Reset && e.Index > *last:
 			*last = e.Index
 			if !handle(e) {
 				return ctx.Err()
 			}
 		case e.Index > *last+1:
-			return fmt.Errorf("event %d after %d", e.Index, *last)
+			return fmt.Errorf("received event %d after %d", e.Index, *last)
 		}
 	}
 }
--- a/internal/node/feed/feed_test.go
+++ b/internal/node/feed/feed_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, i := range []Instance{{State: "well"}, {State: "up", Cell: -1}} {
 		if _, err := names.ToListing(7, i); err == nil {
-			t.Errorf("%+v is taken", i)
+			t.Errorf("%+v is accepted", i)
 		}
 	}
 }
@@ -29,14 +29,15 @@
 	neverUsed := func(choice.ServerID) bool { return false }
 	a := AssignID("s-00c41f7a", neverUsed)
 	if b := AssignID("s-00c41f7a", neverUsed); a != b {
-		t.Error("not alike at all fronts")
+		t.Error("the same server has different numbers")
 	}
 	if b := AssignID("s-00c41f7a", func(x choice.ServerID) bool { return x == a }); b == a {
 		t.Error("two servers share a number")
 	}
 }
 
-// Events come once and in order, whatever the coordinator does between.
+// Events are handled once and in order although the coordinator breaks off, falls silent, skips, repeats or sends
+// malformed lines.
 func TestFollow(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,14 +48,14 @@
 		return fmt.Sprintf(`{"index":%d,"endpoints":{"reset":false,"instances":[]}}`+"\n", i)
 	}
 	scripts := []string{
-		ev(3) + ev(3) + "3\n" + ev(4)[:20], // breaks off within an event
-		ev(4) + ev(4)[:12],                 // and falls silent within one
-		"not json\n" + ev(5),               // can't be read
-		ev(7),                              // leaves one out
-		ev(5) + "9\n",                      // has more than it told
-		strings.Repeat("1", maxLineBytes+5000) + "\n", // a line without end
-		`{"endpoints":{}}` + "\n",                     // an event without a number
-		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // an old one again
+		ev(3) + ev(3) + "3\n" + ev(4)[:20], // closes within an event
+		ev(4) + ev(4)[:12],                 // falls silent within an event
+		"not json\n" + ev(5),               // malformed
+		ev(7),                              // skips an event
+		ev(5) + "9\n",                      // reports a later event than it sent
+		strings.Repeat("1", maxLineBytes+5000) + "\n", // line without end
+		`{"endpoints":{}}` + "\n",                     // event without an index
+		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // repeats an event
 	}
 	var requested []int
 	go func() {
@@ -92,13 +93,13 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the events did not come")
+		t.Fatal("events not received in time")
 	}
 	if !slices.Equal(received, []int64{3, 4, 5, 6, 7}) {
-		t.Errorf("got %v in %v", received, time.Since(startedAt))
+		t.Errorf("received events %v in %v", received, time.Since(startedAt))
 	}
 	if !slices.Equal(requested[:6], []int{2, 3, 4, 4, 4, 5}) {
-		t.Errorf("asked for %v", requested)
+		t.Errorf("followed from %v", requested)
 	}
 }
 
@@ -108,7 +109,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, last, err := parseLine(b)
 		if err == nil && e.Index > 0 && last != 0 {
-			t.Errorf("both an event and a number: %q", b)
+			t.Errorf("parsed as both an event and a number: %q", b)
 		}
 		for _, i := range e.Endpoints.Instances {
 			Names{}.ToListing(1, i)
--- a/internal/node/feed/list_test.go
+++ b/internal/node/feed/list_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A whole list of 3,200 servers with long ids comes slowly and in pieces: it is one event.
+// An event that lists 3,200 servers with long ids, and arrives slowly and in pieces, is parsed as one event.
 func TestLongList(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	text := `{"index":1,"endpoints":{"generation":1,"reset":true,"instances":[` + strings.Join(entries, ",") + "]}}\n"
 	if len(text) < 1<<20 {
-		t.Fatalf("%d bytes are no long list", len(text))
+		t.Fatalf("the list has only %d bytes", len(text))
 	}
 	go func() {
 		c, err := l.Accept()
@@ -45,6 +45,6 @@
 	received := 0
 	Follow(ctx, l.Addr().String(), 0, 7, func() {}, func(e Event) bool { received = len(e.Endpoints.Instances); cancel(); return true }, func(error) {})
 	if received != servers {
-		t.Errorf("%d servers came", received)
+		t.Errorf("received %d servers", received)
 	}
 }
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -12,7 +12,7 @@
 	"rainhaven/internal/wire"
 )
 
-// The protocol's fields, as rtsp keeps names, and its figures.
+// Header names of the protocol, in the form in which package rtsp stores them, and its constants.
 const (
 	headerClass        = "Subject"
 	headerPatience     = "X-Patience"
@@ -26,27 +26,27 @@
 
 	mediaRoot = "rtsp://media/"
 
-	causeFinished = 16 // it has come to its end
+	causeFinished = 16 // the session has come to its end
 	causeMoved    = 31 // ended by its client, or moved
-	causeLost     = 41
+	causeLost     = 41 // ended for another reason, such as the loss of its server
 
 	cseqSetup, cseqTearDown, cseqOptions = "1", "2", "3"
 )
 
-// noteKinds are the kinds of a server's notes by their names.
+// noteKinds maps the names of a server's notes to their kinds.
 var noteKinds = map[string]wire.Kind{"served": wire.NoteKind(1), "at_rung": wire.NoteKind(2), "link_use": wire.NoteKind(3), "rack_use": wire.NoteKind(4)}
 
-// clientSetup is what a client's SETUP says.
+// clientSetup is the content of a client's SETUP.
 type clientSetup struct {
 	id, class, url string
 	group          int
 	body           []byte
 	patience       float64 // seconds
 	request        choice.Request
-	currentServer  string // the server where it stands already
+	currentServer  string // the server of a session that is handed over; empty for a new one
 }
 
-// validID tells whether a session's id is one: 16 hex digits.
+// validID reports whether id is a valid session id: 16 hexadecimal digits.
 func validID(id string) bool {
 	if len(id) != 16 {
 		return false
@@ -59,24 +59,24 @@
 	return true
 }
 
-// maxPatienceMs is past any setup timeout; against figures that are out of range.
+// maxPatienceMs is longer than any setup timeout; larger values are rejected as out of range.
 const maxPatienceMs = 600_000
 
-// parseSetup reads a client's SETUP; what is wrong with it is an error.
+// parseSetup parses and validates a client's SETUP.
 func (n *Node) parseSetup(m *rtsp.Message) (setup clientSetup, err error) {
-	// What is kept must not keep a line of 4 kB alive.
+	// Cloned, as stored substrings would keep header lines of up to 4 kB alive.
 	setup = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
 	title, ok := strings.CutPrefix(m.URL, mediaRoot)
 	if !ok || title == "" || len(title) > 256 {
-		return setup, fmt.Errorf("address %.60q", m.URL)
+		return setup, fmt.Errorf("invalid URL %.60q", m.URL)
 	}
 	if !validID(setup.id) || len(m.Header["Session"]) > 1 {
-		return setup, fmt.Errorf("session id %.30q", setup.id)
+		return setup, fmt.Errorf("invalid session id %.30q", setup.id)
 	}
 	for setup.group = 0; setup.group < len(n.start.Groups) && n.start.Groups[setup.group] != setup.class; setup.group++ {
 	}
 	if setup.group == len(n.start.Groups) {
-		return setup, fmt.Errorf("class %.30q", setup.class)
+		return setup, fmt.Errorf("unknown class %.30q", setup.class)
 	}
 	setup.class = n.start.Groups[setup.group]
 	config := n.start.Config
@@ -94,7 +94,7 @@
 			target, maxValue = &setup.request.BestRung, len(config.Ladder)-1
 		case "at":
 			if setup.currentServer = strings.Clone(value); value == "" {
-				return setup, fmt.Errorf("at no server")
+				return setup, fmt.Errorf("fact \"at\" names no server")
 			}
 			continue
 		default:
@@ -102,7 +102,7 @@
 		}
 		number, err := strconv.Atoi(value)
 		if err != nil || number < minValue || number > maxValue {
-			return setup, fmt.Errorf("%s:%.20s", name, value)
+			return setup, fmt.Errorf("invalid value of fact %s: %.20s", name, value)
 		}
 		*target = number
 	}
@@ -111,13 +111,13 @@
 	}
 	ms, err := strconv.Atoi(m.Header.Get(headerPatience))
 	if err != nil || ms <= 0 || ms > maxPatienceMs {
-		return setup, fmt.Errorf("patience %.20q", m.Header.Get(headerPatience))
+		return setup, fmt.Errorf("invalid patience %.20q", m.Header.Get(headerPatience))
 	}
 	setup.patience = float64(ms) / 1000
 	return setup, nil
 }
 
-// parseLoadReport reads a server's load report; what can't be read says nothing.
+// parseLoadReport parses a server's load report; an invalid one counts as none.
 func parseLoadReport(m *rtsp.Message) choice.LoadReport {
 	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(headerState)))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return delivery.SanitizeReport(r.Link, r.Uplink, r.Capped)
 }
 
-// parseCause reads the Reason field; 0 is none.
+// parseCause parses the cause in the Reason header; 0 means that there is none.
 func parseCause(m *rtsp.Message) int {
 	_, v, ok := strings.Cut(m.Header.Get(headerReason), "cause=")
 	if !ok {
@@ -139,6 +139,7 @@
 	return c
 }
 
+// addHeaders sets the headers that every message has, and, where they are not empty, CSeq and Session.
 func addHeaders(m *rtsp.Message, cseq, id string) *rtsp.Message {
 	m.Header["Content-Length"] = nil
 	if cseq != "" {
@@ -150,7 +151,7 @@
 	return m
 }
 
-// responseMessage makes a responseMessage to a request, for its session.
+// responseMessage returns the response to a request, with the request's session id.
 func responseMessage(request *rtsp.Message, status int) []byte {
 	id := request.Session()
 	if len(id) > 64 {
@@ -159,14 +160,14 @@
 	return addHeaders(rtsp.Response(request, status), "", id).Append(nil)
 }
 
-// servedMessage is the answer to a session's SETUP: the server's own description.
+// servedMessage returns the successful answer to a session's SETUP, with the server's description as its body.
 func servedMessage(id string, body []byte) []byte {
 	m := addHeaders(&rtsp.Message{Status: rtsp.OK, Header: rtsp.Header{}}, cseqSetup, id)
 	m.Body = body
 	return m.Append(nil)
 }
 
-// refusalMessage is the answer that refuses a session's SETUP.
+// refusalMessage returns the answer that refuses a session's SETUP.
 func refusalMessage(id string, status int, retryAfter float64) []byte {
 	m := addHeaders(&rtsp.Message{Status: status, Header: rtsp.Header{}}, cseqSetup, id)
 	if retryAfter > 0 {
@@ -175,7 +176,7 @@
 	return m.Append(nil)
 }
 
-// teardownMessage gives a SETUP up, or, with a cause, releases a session that stands.
+// teardownMessage returns a TEARDOWN that gives up a pending SETUP or, with a cause, releases an established session.
 func teardownMessage(url, id string, cause int) []byte {
 	m := addHeaders(rtsp.Request(rtsp.TearDown, url), cseqTearDown, id)
 	if cause > 0 {
@@ -184,6 +185,7 @@
 	return m.Append(nil)
 }
 
+// setupMessage returns the SETUP of a session for its server.
 func setupMessage(s *session, timeout float64) []byte {
 	m := addHeaders(rtsp.Request(rtsp.Setup, s.url), cseqSetup, s.id)
 	m.With(headerClass, s.class)
@@ -193,10 +195,12 @@
 	return m.Append(nil)
 }
 
+// rungMessage returns the request that sets the rung of an established session.
 func rungMessage(s *session) []byte {
 	return addHeaders(rtsp.Request(rtsp.SetParameter, s.url), "4", s.id).With(headerRung, strconv.Itoa(s.rung)).Append(nil)
 }
 
+// probeMessage returns the request that probes a server.
 func probeMessage(id string) []byte {
 	return addHeaders(rtsp.Request(rtsp.Options, mediaRoot+"load"), cseqOptions, id).Append(nil)
 }
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -12,13 +12,14 @@
 	"rainhaven/choice/share"
 )
 
-// Network opens and accepts a node's connections. It is the system's, or one that fails as the system may.
+// Network opens and accepts the connections of a node. It is the operating system's, or one that injects the errors
+// that the system may return.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// systemNetwork is the system's own.
+// systemNetwork is the network of the operating system.
 type systemNetwork struct{}
 
 func (systemNetwork) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -28,19 +29,20 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// localErrors are the errors of socket(2), bind(2) and connect(2) that tell of the own machine only: no descriptor, port,
-// memory or route is left, or it may not be used. Nothing has left, and they say nothing of the peer.
+// localErrors are the errors of socket(2), bind(2) and connect(2) that concern only the local machine: no descriptor,
+// port, memory or route is available, or its use is not permitted. Nothing was sent, and they say nothing about the
+// peer.
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR}
 
-// isLocalError tells whether a connection could not be opened for want of something of the own machine's.
+// isLocalError reports whether a connection could not be opened for lack of a local resource.
 func isLocalError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
 }
 
-// listenWithRetry listens on an address. One that is still another process's, as just after a restart, and what the own machine lacks
-// for a moment are tried again for a while; a signal to end ends that.
+// listenWithRetry listens on an address. If another process still holds it, as just after a restart, or a local
+// resource is short for a moment, it retries for a while, or until a signal to end arrives.
 func (n *Node) listenWithRetry(addr string, signals <-chan os.Signal) (net.Listener, error) {
 	for startedAt := time.Now(); ; {
 		l, err := n.network.Listen(addr)
@@ -55,5 +57,5 @@
 	}
 }
 
-// listenRetryPause lies between two tries to listen.
+// listenRetryPause is the delay between two attempts to listen.
 const listenRetryPause = 20 * time.Millisecond
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -6,33 +6,33 @@
 	"rainhaven/choice/lifecycle"
 )
 
-// lifecycleActions carries out what the life cycle decides.
+// lifecycleActions carries out what the lifecycle state machine decides.
 type lifecycleActions struct{ n *Node }
 
-// Reload reads the configuration file; a coordinator that it names anew is followed from where the last one was.
+// Reload reads the configuration file. If it names another coordinator, that one is followed from the last event on.
 func (o lifecycleActions) Reload() {
 	n := o.n
 	s, err := n.reread()
 	if err == nil && s.Coordinator == "" {
-		err = fmt.Errorf("no coordinator")
+		err = fmt.Errorf("no coordinator is configured")
 	}
 	if err != nil {
 		n.log.Warn("the configuration file can't be used; the old one stays in force", str("why", err.Error()))
 		n.life.Reloaded(err.Error())
 		return
 	}
-	n.log.Info("read the configuration file again", str("coordinator", s.Coordinator))
-	if s.Coordinator != n.start.Coordinator { // asking the same one anew would tell nothing, and is priced
+	n.log.Info("configuration file reloaded", str("coordinator", s.Coordinator))
+	if s.Coordinator != n.start.Coordinator { // a new connection to the same one would bring nothing, and the platform charges for it
 		n.start.Coordinator = s.Coordinator
 		n.followCoordinator(s.Coordinator)
 	}
 	n.life.Reloaded("")
 }
 
-// Drain has tests fail; requests are still taken.
+// Drain has probes of this node fail; requests are still accepted.
 func (o lifecycleActions) Drain() { o.n.ready = false }
 
-// EndSessions ends it; finish answers what is open.
+// EndSessions reports at once that sessions have ended; finish answers the open requests.
 func (o lifecycleActions) EndSessions() { o.n.life.SessionsEnded() }
 
 func (o lifecycleActions) Exit(code lifecycle.ExitCode, reason string) {
--- a/internal/node/readcontrol.go
+++ b/internal/node/readcontrol.go
@@ -11,33 +11,36 @@
 	"rainhaven/choice/share"
 )
 
-// readControl is the reading side of a client's connection, as far as the loop has a say in it. A connection may be closed only
-// once its reader has handed over all that it read: the loop asks it to stop, the reader tells when it has, and waits for the
-// loop to close the connection or to have it go on.
+// readControl lets the loop control the reader of a client's connection. A connection may be closed only once its
+// reader has passed on all that it read: the loop asks the reader to stop, the reader reports when it has, and waits
+// until the loop closes the connection or has it resume.
 type readControl struct {
 	netConn       net.Conn
 	mu            sync.Mutex
-	stopRequested bool // the loop wants it to stop
-	forceStop     bool // also within a message
-	inMessage     bool // it reads a message of which something has come
-	beforeFirst   bool // no message was read yet
-	resume        chan bool
+	stopRequested bool      // the loop has asked the reader to stop
+	forceStop     bool      // the reader is to stop even within a message
+	inMessage     bool      // the start of the current message has been read
+	beforeFirst   bool      // no message was read yet
+	resume        chan bool // the loop's decision about a stopped reader: resume, or end
 }
 
-// expiredDeadline is a deadline that ends a read at once.
+// expiredDeadline is a read deadline that ends a read at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// clientMessageTimeout is how long a message may take from its first byte on, and the first one from the connection's start.
+// clientMessageTimeout limits the time from the first to the last byte of a client's message, and from the start of
+// the connection to the end of the first one.
 const clientMessageTimeout = time.Duration(share.MessageTimeout * float64(time.Second))
 
 func newReadControl(nc net.Conn) readControl {
 	return readControl{netConn: nc, resume: make(chan bool, 1)}
 }
 
-// partialMessageGrace is how long a reader that is stopped by force may take for the rest of a message of which it has read a part.
+// partialMessageGrace is the time that a reader stopped by force has for the rest of a message that it has begun to
+// read.
 const partialMessageGrace = 20 * time.Millisecond
 
-// requestStop asks the reader to requestStop at the next end of a message, or, by force, soon also within one.
+// requestStop asks the reader to stop at the end of a message, or, with force, after partialMessageGrace even within
+// one.
 func (r *readControl) requestStop(force bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +56,7 @@
 	}
 }
 
-// resumeReading has a reader that has stopped read on.
+// resumeReading has a stopped reader resume.
 func (r *readControl) resumeReading() {
 	r.mu.Lock()
 	r.stopRequested, r.forceStop = false, false
@@ -62,10 +65,10 @@
 	r.resume <- true
 }
 
-// endReading tells a reader that has stopped that its connection is closed.
+// endReading tells a stopped reader that its connection is closed.
 func (r *readControl) endReading() { r.resume <- false }
 
-// awaitResume waits for the loop's verdict on a reader that has stopped.
+// awaitResume waits until the loop decides about a stopped reader; it returns whether to resume.
 func (r *readControl) awaitResume(ctx context.Context) bool {
 	select {
 	case goOn := <-r.resume:
@@ -75,13 +78,14 @@
 	}
 }
 
-// wasStopped tells whether a read ended because the loop asked for it.
+// wasStopped reports whether a read ended because the loop asked for it.
 func (r *readControl) wasStopped(err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stopRequested && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
+// awaitFirstMessage sets the deadline of the first message.
 func (r *readControl) awaitFirstMessage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,6 +95,7 @@
 	}
 }
 
+// messageStarted sets the deadline for the rest of a message that has begun to arrive.
 func (r *readControl) messageStarted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,6 +108,7 @@
 	}
 }
 
+// messageEnded records that a message was read whole; a reader that is asked to stop reads no further one.
 func (r *readControl) messageEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +120,7 @@
 	r.updateDeadline()
 }
 
-// updateDeadline sets the deadline of what is read next; the lock is held.
+// updateDeadline sets the deadline of the next read; the lock is held.
 func (r *readControl) updateDeadline() {
 	var at time.Time
 	if r.beforeFirst || r.inMessage {
--- a/internal/node/readcontrol_test.go
+++ b/internal/node/readcontrol_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// startReader has a reader of a connection read until it is stopped, as readClient does, and tells when it has.
+// startReader reads from a connection until it is stopped, as readClient does, and reports whether the loop asked for
+// that.
 func startReader(r *readControl) (stopped chan bool) {
 	stopped = make(chan bool, 1)
 	go func() {
@@ -27,14 +28,14 @@
 	select {
 	case asked := <-stopped:
 		if !asked {
-			t.Error("it ended without being asked")
+			t.Error("the reader ended without a request to stop")
 		}
 	case <-time.After(within):
-		t.Errorf("it still reads after %v", within)
+		t.Errorf("the reader still reads after %v", within)
 	}
 }
 
-// A reader that was told to go on is stopped again before it has resumed, as where the exit comes then.
+// A reader that was told to resume is asked to stop again before it has done so, as when the exit begins then.
 func TestStopBeforeAReaderHasResumed(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
@@ -45,12 +46,13 @@
 	r.resumeReading()
 	r.requestStop(true)
 	if !r.awaitResume(t.Context()) {
-		t.Fatal("it was told to end")
+		t.Fatal("the reader was told to end")
 	}
 	wantStopped(t, startReader(&r), stopReading)
 }
 
-// A reader is stopped by force as a message begins: it has a moment for the rest, within what the exit leaves it.
+// A reader is stopped by force as a message begins: it waits briefly for the rest, within the time that the exit
+// allows.
 func TestForcedStopAsAMessageBegins(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
@@ -61,7 +63,7 @@
 	wantStopped(t, startReader(&r), stopReading)
 }
 
-// A message of which a part was read before a forced stop, and whose rest comes a moment later, is read whole.
+// A message whose start was read before a forced stop, and whose rest arrives a moment later, is read whole.
 func TestForcedStopWithinAMessage(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -13,7 +13,7 @@
 	"rainhaven/internal/rtsp"
 )
 
-// pickServerConn gives the connection for a SETUP, nil where there is none.
+// pickServerConn returns the connection for a SETUP, or nil if there is none.
 func (n *Node) pickServerConn(sv *server) *link {
 	var links []*link
 	var candidates []share.ServerConn
@@ -26,7 +26,7 @@
 	switch i := share.PickConn(candidates, n.maxConnsPerServer(), n.start.MaxSetupsPerConn); i {
 	case share.OpenNew:
 		l := n.dialServer(sv)
-		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
+		if l == nil && len(links) > 0 { // no descriptor is left: the connection with the fewest pending SETUPs
 			l = slices.MinFunc(links, func(a, b *link) int { return len(a.open) - len(b.open) })
 		}
 		return l
@@ -37,6 +37,7 @@
 	}
 }
 
+// maxConnsPerServer returns how many connections one server may have.
 func (n *Node) maxConnsPerServer() int {
 	live := 0
 	for _, sv := range n.servers {
@@ -47,7 +48,7 @@
 	return share.MaxConnsPerServer(n.start.MaxDescriptors, live)
 }
 
-// serverConnCount is how many connections to servers there are, and that are being opened.
+// serverConnCount returns the number of connections to servers, including those that are being opened.
 func (n *Node) serverConnCount() (all int) {
 	for _, sv := range n.servers {
 		all += len(sv.conns)
@@ -55,7 +56,8 @@
 	return all
 }
 
-// reserveServerConn tells whether one more connection to a server may be opened; where they are many an idle one gives way.
+// reserveServerConn reports whether one more connection to a server may be opened. At the limit it closes an idle one
+// to make room.
 func (n *Node) reserveServerConn() bool {
 	if n.serverConnCount() < share.MaxServerConns(n.start.MaxDescriptors) {
 		return true
@@ -77,7 +79,7 @@
 	return false
 }
 
-// dialServer opens a connection; nil where no descriptor is left for it.
+// dialServer opens a connection; it returns nil if no descriptor is left.
 func (n *Node) dialServer(sv *server) *link {
 	if !n.reserveServerConn() {
 		return nil
@@ -95,7 +97,7 @@
 	return l
 }
 
-// readServer opens a connection and hands the loop what the server sends, until it ends.
+// readServer opens a connection and passes the server's messages to the loop until the connection ends.
 func (n *Node) readServer(ctx context.Context, l *link, addr string) {
 	defer n.wg.Done()
 	nc, err := n.network.Dial(ctx, addr)
@@ -104,7 +106,7 @@
 		n.tell(event{do: func() { n.dialFailed(l, err) }})
 		return
 	}
-	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may be over before it hears of this connection
+	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may end before it is notified of this connection
 	c := newConn(nc, n.log)
 	if !n.tell(event{do: func() { l.conn = c; n.serverConnOpened(l) }}) {
 		c.close()
@@ -136,21 +138,21 @@
 	n.tell(event{do: func() { n.serverConnClosed(l, written, err) }})
 }
 
-// errTrailingData ends a connection on which what follows a message is none.
-var errTrailingData = errors.New("what follows a message is none")
+// errTrailingData ends a connection on which a message is followed by bytes that start no message.
+var errTrailingData = errors.New("bytes after a message start no message")
 
-// tearDownUnanswered has a server end what a SETUP may have set up there although its answer can't be had: it would stand unasked. A
-// connection is opened for that if there is none.
+// tearDownUnanswered has a server tear down what a SETUP may have set up although its answer was lost, as the session
+// would stay there unwanted. If there is no connection, one is opened for it.
 func (n *Node) tearDownUnanswered(s *session) {
 	n.toServer(s.server, teardownMessage(s.url, s.id, causeMoved))
 }
 
-// dialFailed takes it that a connection could not be opened: nothing ran.
+// dialFailed handles a connection that could not be opened: no SETUP waiting for it ran.
 func (n *Node) dialFailed(l *link, err error) {
 	sv := l.sv
 	n.removeServerConn(l)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
-	n.log.Debug("no connection", str("server", sv.id), str("why", err.Error()))
+	n.log.Debug("connecting to a server failed", str("server", sv.id), str("why", err.Error()))
 	if isLocalError(err) {
 		n.dialFailedLocally(l)
 		return
@@ -159,8 +161,8 @@
 	for _, s := range slices.Clone(l.open) {
 		n.setupOver(s, choice.NoConnection, noReport)
 	}
-	// Nothing listens there: the process is dead, and with it what stood there; unless another connection to it is up, as
-	// a server that is full of connections refuses further ones.
+	// Nothing listens there, so the process is dead and its sessions are lost; unless another connection to it is up, as a
+	// server at its limit of connections refuses further ones.
 	if refused && !slices.ContainsFunc(sv.conns, func(l *link) bool { return l.up && !l.isClosing() }) {
 		sv.owed = nil
 		if len(sv.held) > 0 {
@@ -169,8 +171,8 @@
 	}
 }
 
-// dialFailedLocally takes it that the own machine had no connection to give: that speaks against no server, and what waited for
-// it is tried again shortly, a few times within its deadline.
+// dialFailedLocally handles a connection that could not be opened for lack of a local resource. This says nothing
+// about the server: the waiting SETUPs are retried shortly, a few times within their deadlines.
 func (n *Node) dialFailedLocally(l *link) {
 	n.counts["no connection of the own machine"]++
 	n.failTest(l, choice.Unsent)
@@ -188,12 +190,13 @@
 	}
 }
 
+// serverConnOpened sends what waited for a connection.
 func (n *Node) serverConnOpened(l *link) {
 	if l.closed {
 		l.closeGracefully()
 		return
 	}
-	// That a connection was taken is no sign of life: the system takes it for a process that hangs.
+	// An accepted connection is no sign of life: the system accepts it on behalf of a process that hangs.
 	l.up, l.used = true, n.now
 	if l.test {
 		l.test = false
@@ -209,20 +212,20 @@
 	}
 }
 
-// removeServerConn takes a connection from its server's.
+// removeServerConn removes a connection from its server.
 func (n *Node) removeServerConn(l *link) {
 	l.closed = true
 	l.sv.conns = slices.DeleteFunc(l.sv.conns, func(o *link) bool { return o == l })
 }
 
-// serverConnClosed takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
-// are sent anew.
+// serverConnClosed handles the end of a connection on which the given number of bytes was written: a SETUP none of
+// whose bytes was written never ran and is sent again.
 func (n *Node) serverConnClosed(l *link, written int64, err error) {
 	if l.closed {
 		return
 	}
 	n.removeServerConn(l)
-	n.log.Debug("connection to a server ended", str("server", l.sv.id), str("why", errText(err)), num("open", len(l.open)))
+	n.log.Debug("server connection closed", str("server", l.sv.id), str("why", errText(err)), num("open", len(l.open)))
 	n.failTest(l, choice.Reset)
 	for _, s := range slices.Clone(l.open) {
 		if s.from >= 0 && s.from < written {
@@ -245,7 +248,7 @@
 	n.settleServer(l.sv)
 }
 
-// closeServerConn ends a connection that is of no more use; its other SETUPs end with it.
+// closeServerConn closes a connection that is no longer useful; the SETUPs pending on it end with it.
 func (n *Node) closeServerConn(l *link) {
 	if l.closed {
 		return
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -1,5 +1,6 @@
-// Package start reads the file that the platform gives a front node at its start and at each reload. Its settings are
-// the simulator's first message as nested objects, so internal/wire reads them, by the same names.
+// Package start reads the configuration file that the platform provides to a front node at its start and at each
+// reload. Its settings are those of the simulator's first message as nested objects, so internal/wire parses them by
+// the same names.
 package start
 
 import (
@@ -16,23 +17,24 @@
 	"rainhaven/internal/wire"
 )
 
-// Start is what a front node begins with.
+// Start is the parsed configuration of a front node.
 type Start struct {
 	Name, Listen     string
-	Coordinator      string // its address
+	Coordinator      string // address
 	MemoryMB         int
-	MaxDescriptors   int // descriptors at most
-	LastIndex        int64
-	InitialEvents    []feed.Event
+	MaxDescriptors   int
+	LastIndex        int64        // number of the coordinator's last event known at the start
+	InitialEvents    []feed.Event // describe the list of servers at the start
 	Names            feed.Names
 	Config           choice.Config
-	Groups           []string // service groups' names, by number
-	SetupTimeout     float64  // the longest that a service group has, in seconds
-	ConnectTimeout   float64  // seconds that a connection to a server may take
-	IdleTimeout      float64  // seconds after which idle ones are closed
-	MaxSetupsPerConn int      // SETUPs that one connection may carry together
+	Groups           []string // names of the service groups by number
+	SetupTimeout     float64  // the longest of all service groups, in seconds
+	ConnectTimeout   float64  // limit for opening a connection to a server, in seconds
+	IdleTimeout      float64  // after which idle connections to servers are closed, in seconds
+	MaxSetupsPerConn int      // pending SETUPs that one connection to a server may carry
 }
 
+// configFile mirrors the JSON structure of the configuration file.
 type configFile struct {
 	Name, Listen, Seed, Coordinator string
 	Limits                          struct {
@@ -46,10 +48,11 @@
 	Settings map[string]any
 }
 
-// defaultMaxDescriptors is how many descriptors a node reckons with where its file names no limit: the most that it is given on any day.
+// defaultMaxDescriptors is the descriptor limit of a node whose file states none. No configuration of the platform
+// states a higher limit.
 const defaultMaxDescriptors = 1024
 
-// Read reads the file.
+// Read reads and parses the configuration file at path.
 func Read(path string) (*Start, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -58,7 +61,7 @@
 	return Parse(b)
 }
 
-// Parse reads a file's text.
+// Parse parses the content of a configuration file.
 func Parse(text []byte) (*Start, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -66,14 +69,14 @@
 	}
 	for _, a := range [][2]string{{"listen", file.Listen}, {"coordinator", file.Coordinator}} {
 		if _, _, err := net.SplitHostPort(a[1]); err != nil {
-			return nil, fmt.Errorf("%s: %q is no address with a port", a[0], a[1])
+			return nil, fmt.Errorf("%s: %q is not an address with a port", a[0], a[1])
 		}
 	}
 	if file.Limits.Sockets < 0 || file.Limits.MemoryMB < 0 {
-		return nil, fmt.Errorf("limits: %d sockets, %d MB", file.Limits.Sockets, file.Limits.MemoryMB)
+		return nil, fmt.Errorf("limits: negative value: sockets %d, memory_mb %d", file.Limits.Sockets, file.Limits.MemoryMB)
 	}
 	if file.Known.Index < 0 {
-		return nil, fmt.Errorf("known: index %d", file.Known.Index)
+		return nil, fmt.Errorf("known: negative index %d", file.Known.Index)
 	}
 	flat := map[string]string{}
 	flatten("", file.Settings, flat)
@@ -81,18 +84,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	config.UnsyncedClock = true // processes on machines whose clocks are stepped
+	config.UnsyncedClock = true // nodes run on machines whose clocks are stepped
 	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed %.30q is not a number in hex", file.Seed)
+		return nil, fmt.Errorf("seed: %.30q is not a hexadecimal number", file.Seed)
 	}
 	s := &Start{Name: file.Name, Listen: file.Listen, Coordinator: file.Coordinator, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: cmp.Or(file.Limits.Sockets, defaultMaxDescriptors),
 		LastIndex: file.Known.Index, InitialEvents: file.Known.Updates, Config: config}
 	if len(config.Groups) == 0 || len(config.Ladder) == 0 {
-		return nil, fmt.Errorf("settings: no service groups or no ladder")
+		return nil, fmt.Errorf("settings: service groups or ladder are missing")
 	}
 	for i, g := range config.Groups {
 		if g.Floor < 0 || g.Top >= len(config.Ladder) || g.Floor > g.Top {
-			return nil, fmt.Errorf("settings: service group %d has rungs %d to %d of %d", i, g.Floor, g.Top, len(config.Ladder))
+			return nil, fmt.Errorf("settings: service group %d has rungs %d to %d, but the ladder has %d rungs", i, g.Floor, g.Top, len(config.Ladder))
 		}
 		prefix := fmt.Sprintf("grades.%d.", i)
 		s.Groups = append(s.Groups, flat[prefix+"name"])
@@ -117,7 +120,7 @@
 	return strings.Split(s, ",")
 }
 
-// flatten puts nested values under the names that the simulator's first message has.
+// flatten stores nested values under the dotted names that the simulator's first message uses.
 func flatten(name string, v any, out map[string]string) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/node/timeouts.go
+++ b/internal/node/timeouts.go
@@ -2,13 +2,14 @@
 
 import "container/heap"
 
-// timeout is something to do at an instant, unless it is cancelled.
+// timeout is a function to be called at a given time unless it is cancelled.
 type timeout struct {
 	at    float64
-	index int // its place; below 0 once it is out
+	index int // in the heap; negative once it is removed
 	do    func()
 }
 
+// timeoutHeap implements heap.Interface, ordered by time.
 type timeoutHeap []*timeout
 
 func (h timeoutHeap) Len() int           { return len(h) }
@@ -31,12 +32,14 @@
 	return t
 }
 
+// after schedules a call after the given time.
 func (n *Node) after(seconds float64, do func()) *timeout {
 	t := &timeout{at: n.now + seconds, do: do}
 	heap.Push(&n.timeouts, t)
 	return t
 }
 
+// cancelTimeout cancels a scheduled call; nil and calls already made are ignored.
 func (n *Node) cancelTimeout(t *timeout) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&n.timeouts, t.index)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,20 +7,20 @@
 	"rainhaven/internal/node/feed"
 )
 
-// coordinatorFollow is the following of one coordinator.
+// coordinatorFollow is the state of following one coordinator.
 type coordinatorFollow struct {
 	addr      string
 	cancel    context.CancelFunc
-	responded bool // it has said something
+	responded bool // it has sent at least one line
 }
 
-// maxCoordinators is how many coordinators are followed at most while newer ones have not said anything yet.
+// maxCoordinators limits the coordinators that are followed while the newer ones have not responded yet.
 const maxCoordinators = 4
 
-// followCoordinator follows a coordinator. Those followed before are left once it has said something: until then they alone
-// may tell of a server that drains.
+// followCoordinator follows a coordinator. The ones followed before are left only once it has responded: until then
+// nobody else may report that a server drains.
 func (n *Node) followCoordinator(addr string) {
-	if i := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); i >= 0 { // back to one before
+	if i := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); i >= 0 { // configured again after another one
 		w := n.watches[i]
 		n.watches = append(slices.Delete(n.watches, i, i+1), w)
 		if w.responded {
@@ -47,7 +47,7 @@
 		}, func(e feed.Event) bool {
 			return n.tell(event{do: func() {
 				n.whenTaken(func() {
-					if e.Index > n.index { // another coordinator, or this one before, has told it
+					if e.Index > n.index { // not yet received from another coordinator or an earlier connection
 						n.listed(e)
 					}
 				})
@@ -58,7 +58,7 @@
 	}()
 }
 
-// coordinatorResponded takes a coordinator's first word: the ones before it are no longer followed.
+// coordinatorResponded handles the first line from a coordinator: the ones before it are no longer followed.
 func (n *Node) coordinatorResponded(w *coordinatorFollow) {
 	w.responded = true
 	current := max(slices.Index(n.watches, w), 0)
