--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -77,13 +77,13 @@
 	a, b := tcpPair(t)
 	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // no writer runs
 	for k := range 3 {
-		said := fmt.Appendf(nil, "answer %d", k)
-		if from, to := c.sendNow(said); from != int64(8*k) || to != int64(8*k+8) {
+		message := fmt.Appendf(nil, "answer %d", k)
+		if from, to := c.sendNow(message); from != int64(8*k) || to != int64(8*k+8) {
 			t.Fatalf("offsets %d to %d", from, to)
 		}
-		got := make([]byte, len(said))
-		if _, err := io.ReadFull(b, got); err != nil || !bytes.Equal(got, said) {
-			t.Fatalf("received %q %v, want %q", got, err, said)
+		got := make([]byte, len(message))
+		if _, err := io.ReadFull(b, got); err != nil || !bytes.Equal(got, message) {
+			t.Fatalf("received %q %v, want %q", got, err, message)
 		}
 	}
 	if c.bytesWritten() != 24 {
@@ -98,12 +98,12 @@
 	want := 0
 	for k, behind := 0, 0; behind < 64<<10; k++ { // until much more than one message is queued
 		line := fmt.Appendf(nil, "%08d %s\n", k, bytes.Repeat([]byte{'a' + byte(k%26)}, 990))
-		from, to := c.send, c.sendNow
+		first, second := c.send, c.sendNow
 		if k%3 == 0 {
-			from, to = to, from
+			first, second = second, first
 		}
-		for i, say := range []func([]byte) (int64, int64){from, to} {
-			if from, to := say(line[500*i : 500*i+500]); from != int64(want) || to != int64(want+500) {
+		for i, send := range []func([]byte) (int64, int64){first, second} {
+			if from, to := send(line[500*i : 500*i+500]); from != int64(want) || to != int64(want+500) {
 				t.Fatalf("message %d: offsets %d to %d, want start %d", k, from, to, want)
 			}
 			want += 500
@@ -123,7 +123,7 @@
 }
 
 // An expired deadline of an earlier write does not leave later answers to the writer.
-func TestAnswerAfterAnOldTimeLimit(t *testing.T) {
+func TestAnswerAfterExpiredDeadline(t *testing.T) {
 	a, b := tcpPair(t)
 	c := &conn{nc: a, log: zap.NewNop(), wake: make(chan struct{}, 1), writerDone: make(chan struct{})} // no writer runs
 	a.SetWriteDeadline(time.Now().Add(-time.Second))
@@ -135,7 +135,7 @@
 }
 
 // The number of retained messages is limited, and the newest are kept.
-func TestKeptHasABound(t *testing.T) {
+func TestRetainedMessagesAreLimited(t *testing.T) {
 	a, b := tcpPair(t)
 	go io.Copy(io.Discard, b)
 	c := newConn(a, zap.NewNop())
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -354,8 +354,8 @@
 	}
 }
 
-// The answer and the client's TEARDOWN, or the answer and the time-out, come in one batch, either first: the client gets one
-// answer at most, and what stands at the server unwanted is released there.
+// The answer arrives in one batch with the client's TEARDOWN or the time-out, in either order: the client gets at most
+// one answer, and a session that is established at the server but unwanted is released there.
 func TestAnswerCrosses(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
--- a/internal/node/start/start_test.go
+++ b/internal/node/start/start_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestWhatCantBeUsed(t *testing.T) {
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for _, c := range [][2]string{{`"seed":"8c1f30d27a5be964"`, `"seed":"x"`}, {"247.0", `"x"`}, {`"grades"`, `"class"`}, {`[0,1]`, `[0,9]`}, {text, "{"},
 		{`"127.0.0.1:1"`, `""`}, {`"listen"`, `"liste"`}, {`"127.0.0.1:2"`, `"x"`}, {`"sockets":256`, `"sockets":-1`}, {`"memory_mb":48`, `"memory_mb":-1`}, {`"index":3`, `"index":-3`}} {
 		if _, err := Parse([]byte(strings.Replace(text, c[0], c[1], 1))); err == nil {
