--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -22,37 +22,37 @@
 }
 
 func newConnSlots(limit int) *connSlots {
-	p := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
-	p.setLimit(limit)
-	return p
+	s := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
+	s.setLimit(limit)
+	return s
 }
 
-func (p *connSlots) setLimit(limit int) { p.limit.Store(int64(limit + share.AcceptSlack)) }
+func (s *connSlots) setLimit(limit int) { s.limit.Store(int64(limit + share.AcceptSlack)) }
 
-func (p *connSlots) isFull() bool { return p.inUse.Load() >= p.limit.Load() }
+func (s *connSlots) isFull() bool { return s.inUse.Load() >= s.limit.Load() }
 
-func (p *connSlots) release() {
-	p.inUse.Add(-1)
+func (s *connSlots) release() {
+	s.inUse.Add(-1)
 	select {
-	case p.freed <- struct{}{}:
+	case s.freed <- struct{}{}:
 	default:
 	}
 }
 
 // awaitFree waits until a slot is released, acceptRetryPause has passed, or no further connection is accepted.
-func (p *connSlots) awaitFree() {
+func (s *connSlots) awaitFree() {
 	timeout := time.NewTimer(acceptRetryPause)
 	defer timeout.Stop()
 	select {
-	case <-p.freed:
+	case <-s.freed:
 	case <-timeout.C:
-	case <-p.closed:
+	case <-s.closed:
 	}
 }
 
-func (p *connSlots) isClosed() bool {
+func (s *connSlots) isClosed() bool {
 	select {
-	case <-p.closed:
+	case <-s.closed:
 		return true
 	default:
 		return false
