--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -9,71 +9,71 @@
 	"rainhaven/choice/share"
 )
 
-// acceptRetryPause lies between two tries to accept where descriptors are short, or no place is free.
+// acceptRetryPause is the delay before the next attempt to accept when descriptors are short or no slot is free.
 const acceptRetryPause = 5 * time.Millisecond
 
-// connSlots bounds the clients' connections that are held, whether the loop has heard of them or not: each is a descriptor. The
-// listener's goroutine takes them, the readers free them, the loop says how many there may be.
+// connSlots limits the open connections of clients, including those that the loop has not been notified of: each holds
+// a descriptor. The accepting goroutine takes slots, the readers release them, and the loop sets the limit.
 type connSlots struct {
 	inUse  atomic.Int64
 	limit  atomic.Int64
-	freed  chan struct{} // something was freed
+	freed  chan struct{} // signals that a slot was released
 	closed chan struct{} // closed when no further connection is accepted
 }
 
-func newConnSlots(most int) *connSlots {
-	p := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
-	p.setLimit(most)
-	return p
+func newConnSlots(limit int) *connSlots {
+	s := &connSlots{freed: make(chan struct{}, 1), closed: make(chan struct{})}
+	s.setLimit(limit)
+	return s
 }
 
-func (p *connSlots) setLimit(most int) { p.limit.Store(int64(most + share.AcceptSlack)) }
+func (s *connSlots) setLimit(limit int) { s.limit.Store(int64(limit + share.AcceptSlack)) }
 
-func (p *connSlots) isFull() bool { return p.inUse.Load() >= p.limit.Load() }
+func (s *connSlots) isFull() bool { return s.inUse.Load() >= s.limit.Load() }
 
-func (p *connSlots) release() {
-	p.inUse.Add(-1)
+func (s *connSlots) release() {
+	s.inUse.Add(-1)
 	select {
-	case p.freed <- struct{}{}:
+	case s.freed <- struct{}{}:
 	default:
 	}
 }
 
-// awaitFree waits until something was freed, for a moment, or until no further connection is accepted.
-func (p *connSlots) awaitFree() {
+// awaitFree waits until a slot is released, acceptRetryPause has passed, or no further connection is accepted.
+func (s *connSlots) awaitFree() {
 	timeout := time.NewTimer(acceptRetryPause)
 	defer timeout.Stop()
 	select {
-	case <-p.freed:
+	case <-s.freed:
 	case <-timeout.C:
-	case <-p.closed:
+	case <-s.closed:
 	}
 }
 
-func (p *connSlots) isClosed() bool {
+func (s *connSlots) isClosed() bool {
 	select {
-	case <-p.closed:
+	case <-s.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-// acceptClients takes clients' connections until the listener is closed.
-func (n *Node) acceptClients(l net.Listener) {
+// acceptClients accepts connections of clients until the listener is closed.
+func (n *Node) acceptClients(listener net.Listener) {
 	defer n.wg.Done()
 	defer close(n.acceptDone)
 	for !n.clientSlots.isClosed() {
-		if n.clientSlots.isFull() { // those that give way free some
+		if n.clientSlots.isFull() { // evicted connections release some
 			n.post(event{do: n.enforceClientLimit})
 			n.clientSlots.awaitFree()
 			continue
 		}
-		nc, err := l.Accept()
+		nc, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // descriptors are short
+		if err != nil { // descriptors are exhausted
 			n.post(event{do: n.enforceClientLimit})
 			n.clientSlots.awaitFree()
 			continue
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -14,31 +14,31 @@
 	"rainhaven/internal/rtsp"
 )
 
-// client is one of the clients' connections, which carries many sessions.
+// client is a connection of a client. It carries many sessions.
 type client struct {
 	*conn
 	share.ConnUsage
 	readControl
-	hasServed     bool // a session was served on it
+	hasServed     bool // a session was served on this connection, or handed over on it
 	closed        bool
-	pendingClose  closeReason // why it is to be closed once its reader has stopped; empty where it is not
-	readerStopped bool        // its reader has handed over all that it read
+	pendingClose  closeReason // reason for closing it once its reader has stopped; empty if it stays open
+	readerStopped bool        // its reader has passed on all that it read
 	readErr       error       // why its reader ended
-	sessions      []*session  // asked or standing with this connection; emptied as they end
+	sessions      []*session  // requested or established over this connection; removed as they end
 }
 
-// readClient hands the loop what a client sends, until its connection ends or the loop has it stopped.
+// readClient passes the messages of a client to the loop until its connection ends or the loop stops it.
 func (n *Node) readClient(v *client) {
 	defer n.wg.Done()
 	defer context.AfterFunc(n.ctx, func() { v.nc.Close() })()
-	in := rtsp.NewConn(v.nc, messageBounds)
+	messages := rtsp.NewConn(v.nc, messageBounds)
 	v.awaitFirstMessage()
 	for {
-		err := in.AwaitMessage()
+		err := messages.AwaitMessage()
 		if err == nil {
 			v.messageStarted()
 			var m *rtsp.Message
-			if m, _, err = in.Next(); err == nil && m != nil {
+			if m, _, err = messages.Next(); err == nil && m != nil {
 				v.messageEnded()
 				at := n.clock()
 				if !n.post(event{do: func() { n.handleClientMessage(v, m, at) }}) {
@@ -48,7 +48,7 @@
 			}
 		}
 		if v.wasStopped(err) {
-			if n.post(event{do: func() { n.handleReaderStopped(v, in.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
+			if n.post(event{do: func() { n.handleReaderStopped(v, messages.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
 				continue
 			}
 			v.awaitFlush(n.ctx) // the last answer may not have been written yet
@@ -65,31 +65,31 @@
 // readFailed has the loop end a connection from which nothing more can be read.
 func (n *Node) readFailed(v *client, err error) {
 	v.readErr = err
-	var bad *rtsp.MalformedError
+	var malformed *rtsp.MalformedError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		if n.post(event{do: func() { n.clientSentEOF(v) }}) {
 			v.awaitFlush(n.ctx)
 		}
 		return
 	}
-	late := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
-	if !late && !errors.As(err, &bad) && err != nil {
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
+	if !timedOut && !errors.As(err, &malformed) && err != nil {
 		return
 	}
-	heard := n.post(event{do: func() {
-		if late {
+	delivered := n.post(event{do: func() {
+		if timedOut {
 			n.messageTimedOut(v)
 		} else {
-			n.rejectMalformed(v, bad)
+			n.rejectMalformed(v, malformed)
 		}
 	}})
-	if heard {
+	if delivered {
 		v.discardInput()
 	}
 }
 
-// clientSentEOF takes it that a client sends nothing more. Whether it has gone or still reads can't be told: its open requests are
-// given up, and get their final answers all the same.
+// clientSentEOF handles the end of a client's input. Whether the client has gone or still reads is unknown: its open
+// requests are given up and get a final answer all the same.
 func (n *Node) clientSentEOF(v *client) {
 	if v.closed {
 		return
@@ -99,6 +99,7 @@
 	v.closeGracefully()
 }
 
+// clientOpened registers a new connection of a client.
 func (n *Node) clientOpened(v *client) {
 	v.OpenedAt, v.LastUsed = n.now, n.now
 	n.counts["viewers"]++
@@ -106,10 +107,10 @@
 	n.enforceClientLimit()
 }
 
-// enforceClientLimit closes clients' connections past their share of descriptors: those who give way first.
+// enforceClientLimit closes connections of clients past their share of the descriptors, by eviction rank.
 func (n *Node) enforceClientLimit() {
-	most := share.MaxViewerConns(n.config.MaxDescriptors, n.serverConnCount())
-	n.clientSlots.setLimit(most)
+	limit := share.MaxViewerConns(n.config.MaxDescriptors, n.serverConnCount())
+	n.clientSlots.setLimit(limit)
 	open, ending := 0, 0
 	for _, v := range n.clients {
 		if v.isClosing() || v.pendingClose != "" {
@@ -118,33 +119,33 @@
 			open++
 		}
 	}
-	// Those that are being closed hold a descriptor as well: past as many as may be open none waits for its peer.
+	// Connections that are being closed hold a descriptor as well: past the limit they don't wait for their peers.
 	for _, v := range n.clients {
-		if open+ending <= most {
+		if open+ending <= limit {
 			return
 		}
 		if v.isClosing() && v.closeIfFlushed() {
 			ending--
 		}
 	}
-	for ; open > most; open-- {
-		var first *client
+	for ; open > limit; open-- {
+		var candidate *client
 		for _, v := range n.clients {
 			if v.isClosing() || v.pendingClose != "" || v.EvictionRank(n.now) < 0 {
 				continue
 			}
-			if first == nil || v.EvictionRank(n.now) < first.EvictionRank(n.now) || v.EvictionRank(n.now) == first.EvictionRank(n.now) && v.LastUsed < first.LastUsed {
-				first = v
+			if candidate == nil || v.EvictionRank(n.now) < candidate.EvictionRank(n.now) || v.EvictionRank(n.now) == candidate.EvictionRank(n.now) && v.LastUsed < candidate.LastUsed {
+				candidate = v
 			}
 		}
-		if first == nil {
+		if candidate == nil {
 			return
 		}
-		n.requestClose(first, reasonEvicted)
+		n.requestClose(candidate, reasonEvicted)
 	}
 }
 
-// closeIdleClients closes clients' connections that have had no session for long.
+// closeIdleClients closes connections of clients that have had no session for a long time.
 func (n *Node) closeIdleClients() {
 	for _, v := range n.clients {
 		if v.Idle(n.now) {
@@ -153,37 +154,37 @@
 	}
 }
 
-// messageTimedOut ends a connection whose message does not come to its end: what is open beside it is answered; where nothing is,
-// it is just closed.
+// messageTimedOut ends a connection with a message that was not completed in time. Open requests on it are answered;
+// without any, it is just closed.
 func (n *Node) messageTimedOut(v *client) {
 	if v.Pending == 0 {
-		v.readerStopped = true // what its reader has is no whole message
+		v.readerStopped = true // its reader holds no complete message
 		n.closeClient(v, reasonMessageTimeout)
 		return
 	}
 	n.rejectMalformed(v, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
 }
 
-// rejectMalformed answers what can't be read, and ends the connection: where its next message begins can't be known.
-func (n *Node) rejectMalformed(v *client, bad *rtsp.MalformedError) {
+// rejectMalformed answers malformed input and ends the connection, as the start of its next message is unknown.
+func (n *Node) rejectMalformed(v *client, malformed *rtsp.MalformedError) {
 	n.malformedCount++
 	status := rtsp.BadRequest
-	r := &rtsp.Message{Header: rtsp.Header{}}
-	if bad != nil {
-		if bad.Status != 0 {
-			status = bad.Status
+	request := &rtsp.Message{Header: rtsp.Header{}}
+	if malformed != nil {
+		if malformed.Status != 0 {
+			status = malformed.Status
 		}
-		if bad.CSeq != "" {
-			r.Header["Cseq"] = []string{bad.CSeq}
+		if malformed.CSeq != "" {
+			request.Header["Cseq"] = []string{malformed.CSeq}
 		}
 	}
 	n.abortOpenRequests(v, true)
-	v.send(responseMessage(r, status))
+	v.send(responseMessage(request, status))
 	v.readerStopped = true
 	n.closeClient(v, reasonMalformed)
 }
 
-// abortOpenRequests ends the requests of a connection that are without their answers; they get one only if it is wanted.
+// abortOpenRequests ends the unanswered requests of a connection, and answers them if answer is set.
 func (n *Node) abortOpenRequests(v *client, answer bool) {
 	if v.Pending == 0 {
 		return
@@ -201,12 +202,14 @@
 	}
 }
 
+// clientClosed handles the end of a client's connection. Established sessions go on, except those whose answer was not
+// written.
 func (n *Node) clientClosed(v *client) {
 	if v.closed {
 		return
 	}
 	v.closed, v.readerStopped = true, true
-	n.log.Debug("a client's connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
+	n.log.Debug("client connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
 	n.abortOpenRequests(v, false)
 	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
 	for _, b := range v.undelivered(n.now, v.writtenTotal) {
@@ -214,23 +217,23 @@
 	}
 	for _, s := range slices.Clone(v.sessions) {
 		s.client = nil
-		if s.answerEnd < 0 || s.answerEnd > v.writtenTotal { // it never got its answer: nobody plays there
+		if s.answerEnd < 0 || s.answerEnd > v.writtenTotal { // the client never received its answer, so nobody plays this session
 			n.endSessionForClient(s)
 		}
 	}
 }
 
-// handleClientMessage takes one message of a client's.
-func (n *Node) handleClientMessage(v *client, m *rtsp.Message, at float64) {
+// handleClientMessage handles one message of a client.
+func (n *Node) handleClientMessage(v *client, m *rtsp.Message, readAt float64) {
 	n.traceReceived(v.conn, m)
 	if v.closed || v.isClosing() {
-		n.log.Debug("said on a connection that has ended", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
+		n.log.Debug("ignored a message on a closed connection", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
 		return
 	}
 	v.SentMessage, v.LastUsed = true, n.now
 	switch m.Method {
 	case rtsp.Setup:
-		n.handleSetup(v, m, at)
+		n.handleSetup(v, m, readAt)
 	case rtsp.TearDown:
 		n.handleTeardown(v, m)
 	case rtsp.Options:
@@ -239,14 +242,14 @@
 			status = rtsp.ServiceUnavailable
 		}
 		v.send(responseMessage(m, status))
-	case "": // a response: to a release, or to nothing of ours
-	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // want no answer
+	case "": // a response to a release, or one that answers no request
+	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // no answer is expected
 	default:
 		n.rejectRequest(v, m, rtsp.NotImplemented)
 	}
 }
 
-// rejectRequest refuses a request that makes no sense, and closes connections that send many.
+// rejectRequest refuses an invalid request, and closes connections that send many of them.
 func (n *Node) rejectRequest(v *client, m *rtsp.Message, status int) {
 	n.malformedCount++
 	v.send(responseMessage(m, status))
@@ -255,37 +258,39 @@
 	}
 }
 
-func (n *Node) handleSetup(v *client, m *rtsp.Message, at float64) {
-	a, err := n.parseSetup(m)
+// handleSetup handles a SETUP: of a new session, or of an established one that is handed over to this node.
+func (n *Node) handleSetup(v *client, m *rtsp.Message, readAt float64) {
+	setup, err := n.parseSetup(m)
 	if err != nil {
 		n.log.Debug("refused a SETUP", str("why", err.Error()))
 		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
 	}
 	v.RequestedSession = true
-	if a.currentServer != "" {
-		n.acceptHandover(v, a)
+	if setup.currentServer != "" {
+		n.acceptHandover(v, setup)
 		return
 	}
-	if old := n.sessions[a.id]; old != nil {
-		// Two requests under one id: answers are matched by it, so on one connection both get the one.
-		if old.client == v && old.state != established {
-			n.guard.Answer(n.now, old.id, invariant.Failed)
-			n.cancelRequest(old)
+	if existing := n.sessions[setup.id]; existing != nil {
+		// Answers are matched by session id, so two requests with one id on one connection get one answer.
+		if existing.client == v && existing.state != established {
+			n.guard.Answer(n.now, existing.id, invariant.Failed)
+			n.cancelRequest(existing)
 		}
 		n.rejectRequest(v, m, rtsp.BadRequest)
 		return
 	}
 	if v.TooManyPending(n.openRequests) {
-		n.log.Debug("past the bound on open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.openRequests))
+		n.log.Debug("too many open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.openRequests))
 		n.counts["past the bound"]++
 		v.send(responseMessage(m, rtsp.ServiceUnavailable))
 		return
 	}
-	n.acceptRequest(v, a, at)
+	n.acceptRequest(v, setup, readAt)
 }
 
-// handleTeardown takes a TEARDOWN: a SETUP is given up, or a session that stands is over, from any connection.
+// handleTeardown handles a TEARDOWN: it gives up a pending SETUP, or ends an established session, whichever connection
+// it arrives on.
 func (n *Node) handleTeardown(v *client, m *rtsp.Message) {
 	s := n.sessions[m.Session()]
 	if s == nil {
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -20,28 +20,28 @@
 	"rainhaven/internal/rtsp"
 )
 
-// The tests of this file force two events to cross; the table in docs/node.md names them.
+// The tests of this file force races between two events; the table in docs/node.md lists them.
 
-// batch blocks the loop while steps are taken, and waits after each until it has brought the loop one event more: they are
-// then one batch, in that order.
+// batch blocks the loop while it runs steps, and waits after each until it has queued one more event: the loop then
+// handles the events as one batch, in that order.
 func (f *harness) batch(steps ...func()) {
 	f.t.Helper()
 	f.inspect(func(n *Node) {
-		had := len(n.events)
+		queued := len(n.events)
 		for _, step := range steps {
 			step()
-			for end := time.Now().Add(testTimeout); len(n.events) <= had; time.Sleep(100 * time.Microsecond) {
+			for end := time.Now().Add(testTimeout); len(n.events) <= queued; time.Sleep(100 * time.Microsecond) {
 				if time.Now().After(end) {
-					f.t.Error("a step brought the loop nothing")
+					f.t.Error("a step queued no event")
 					return
 				}
 			}
-			had = len(n.events)
+			queued = len(n.events)
 		}
 	})
 }
 
-// stalledLink puts a connection in place of a server's, on which nothing leaves.
+// stalledLink adds a connection to the first server on which no byte leaves.
 func (f *harness) stalledLink() *serverConn {
 	f.t.Helper()
 	a, b := net.Pipe()
@@ -49,7 +49,7 @@
 	return f.addLink(a)
 }
 
-// addLink puts a connection among those of the first server.
+// addLink adds a connection to the first server.
 func (f *harness) addLink(nc net.Conn) (l *serverConn) {
 	f.inspect(func(n *Node) {
 		s := n.servers[0]
@@ -60,33 +60,33 @@
 	return l
 }
 
-// breakLink ends such a connection as its reader would.
+// breakLink ends a connection made by addLink or stalledLink, as its reader would.
 func (f *harness) breakLink(l *serverConn) {
 	f.inspect(func(n *Node) { n.serverConnClosed(l, l.close(), errors.New("broken")) })
 }
 
-// setupText is a client's whole SETUP, with its patience in milliseconds.
+// setupText returns a complete SETUP of a client, with its patience in milliseconds.
 func setupText(k, patience int) string {
 	return fmt.Sprintf("SETUP rtsp://media/t1 RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nSubject: paid\r\nX-Patience: %d\r\nX-Facts: home:0;copies:4;top:4\r\nContent-Length: %d\r\n\r\n%s",
 		testID(k), patience, len(requestBody), requestBody)
 }
 
-// sendTerminate sends a signal to end, and waits until a further one is another wish.
+// sendTerminate sends a signal to end, and waits until a second one counts as another request to end.
 func (f *harness) sendTerminate() {
 	f.t.Helper()
 	f.terminationSignals <- syscall.SIGTERM
-	first := 0.0
-	f.inspect(func(n *Node) { first = n.now })
+	signalledAt := 0.0
+	f.inspect(func(n *Node) { signalledAt = n.now })
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		now := first + 1 // once it is over
+		now := signalledAt + 1 // if the loop has ended
 		f.inspect(func(n *Node) { now = n.now })
-		if now > first+0.25 {
+		if now > signalledAt+0.25 {
 			return
 		}
 	}
 }
 
-// wantNoSetup tells that a host was sent no SETUP, once all that the node had to send it has come.
+// wantNoSetup fails the test if a host has received a SETUP. All that the node had to send must have arrived before.
 func (f *harness) wantNoSetup(h *fakeServer) {
 	f.t.Helper()
 	for {
@@ -101,8 +101,8 @@
 	}
 }
 
-// What is open when the process is told a second time to end is answered before its connections close: paid requests that
-// may have run are torn down, the others busy-replied. Without finish both connections just closed.
+// Requests that are open at the second signal to end are answered before their connections close: paid ones that may
+// have run fail, the others get a busy reply. Without finish both connections were just closed.
 func TestEndAnswersWhatIsOpen(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v, w := f.connect(), f.connect()
@@ -113,7 +113,7 @@
 		sv.conns = append(sv.conns, &serverConn{server: sv, cancelDial: func() {}})
 	})
 	w.setup(testID(2), "paid", "")
-	f.waitFor("both are open", func(n *Node) bool { return n.openRequests == 2 })
+	f.waitFor("both requests are open", func(n *Node) bool { return n.openRequests == 2 })
 	f.sendTerminate()
 	f.terminationSignals <- syscall.SIGTERM
 	v.expect("500")
@@ -125,7 +125,7 @@
 	}
 }
 
-// A request is read in the instant in which the loop ends: it is answered as well.
+// A request that is read as the loop ends is answered as well.
 func TestRequestReadAsTheLoopEnds(t *testing.T) {
 	var s1 *fakeServer
 	var w *peer
@@ -149,12 +149,12 @@
 	f.expectAt(rtsp.Setup, s1)
 	f.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
 	f.sendTerminate()
-	f.terminationSignals <- syscall.SIGTERM // and nothing of the test's own in the queue
+	f.terminationSignals <- syscall.SIGTERM // with no event of the test itself in the queue
 	w.expect("503")
 	v.expect("500")
 }
 
-// An answer that is still being written when its connection has to give way leaves whole. It was thrown away.
+// An answer that is still being written when its connection is evicted is written whole. It was discarded.
 func TestCutWaitsForTheAnswer(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
@@ -164,15 +164,15 @@
 	c.closeOnceFlushed()
 	got := make([]byte, len(answer))
 	if _, err := io.ReadFull(b, got); err != nil || string(got) != string(answer) {
-		t.Errorf("%q came, %v", got, err)
+		t.Errorf("received %q, %v", got, err)
 	}
 	if from, _ := c.send(answer); from >= 0 {
-		t.Error("more is queued on a connection that is being closed")
+		t.Error("a message was queued on a connection that is being closed")
 	}
 	c.close()
 }
 
-// A release is written to a client's connection that is just closing: it goes over another one. It was lost.
+// A release written to a client's connection that is just closing is sent over another one. It was lost.
 func TestReleaseCrossesAClose(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	c, err := net.Dial("tcp", f.addr)
@@ -183,12 +183,12 @@
 	c.Write([]byte(setupText(1, 1500)))
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
-	f.waitFor("it stands", func(n *Node) bool { s := n.sessions[testID(1)]; return s != nil && s.state == established })
+	f.waitFor("the session is established", func(n *Node) bool { s := n.sessions[testID(1)]; return s != nil && s.state == established })
 	w := f.connect()
 	w.setup(testID(2), "free", "")
 	f.serveNext(s1, w)
-	f.batch(func() { x.conn.tearDown(testID(1), 16) }) // and its client, which reads nothing, goes
-	f.waitFor("it is released", func(n *Node) bool { return n.sessions[testID(1)] == nil })
+	f.batch(func() { x.conn.tearDown(testID(1), 16) }) // its client, which reads nothing, closes next
+	f.waitFor("the session is released", func(n *Node) bool { return n.sessions[testID(1)] == nil })
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	if r := w.expect(rtsp.TearDown); r.Session() != testID(1) {
@@ -196,8 +196,8 @@
 	}
 }
 
-// A handed session is released by its client before a connection to its server was opened: its server hears of it all the
-// same. It was told nobody, and the session played on.
+// A session that was handed over is released by its client before a connection to its server was opened: the server is
+// notified all the same. It was not, and the session played on.
 func TestReleaseBeforeAConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -209,23 +209,24 @@
 	f.waitFor("nothing is owed", func(n *Node) bool { return len(n.servers[0].pendingMessages) == 0 && len(n.sessions) == 0 })
 }
 
-// A drain is told after a SETUP was queued; its connection breaks before a byte of it left: it is not sent anew. It was
-// sent to the draining server over a new connection, however long after.
+// A drain is reported after a SETUP was queued, and the connection breaks before a byte of it was written: it is not
+// sent again. It was sent to the draining server over a new connection, however long after.
 func TestDrainBeforeTheSetupIsSentAnew(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
 	l := f.stalledLink()
 	v := f.connect()
 	v.setup(testID(1), "paid", "")
-	f.waitFor("it is queued", func(*Node) bool { return len(l.setups) == 1 })
+	f.waitFor("the SETUP is queued", func(*Node) bool { return len(l.setups) == 1 })
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("the drain is heard", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	f.waitFor("the drain is handled", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	f.breakLink(l)
 	v.expect("503")
 	f.wantNoSetup(s1)
 }
 
-// A server ends each connection before a byte of the SETUP left: that goes over one new connection, not over any number.
+// A server ends each connection before a byte of the SETUP was written: the SETUP is sent over one new connection, not
+// over any number of them.
 func TestSetupIsSentAnewOnce(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	dams := []*serverConn{f.stalledLink(), f.stalledLink(), f.stalledLink()}
@@ -233,7 +234,7 @@
 	v.setup(testID(1), "paid", "")
 	for range 2 {
 		var l *serverConn
-		f.waitFor("it is queued", func(n *Node) bool {
+		f.waitFor("the SETUP is queued", func(n *Node) bool {
 			i := slices.IndexFunc(dams, func(l *serverConn) bool { return len(l.setups) == 1 && !l.closed })
 			if i >= 0 {
 				l = dams[i]
@@ -242,34 +243,34 @@
 		})
 		f.breakLink(l)
 	}
-	v.expect("503") // nothing of it ran
+	v.expect("503") // the SETUP never ran
 	f.wantNoSetup(s1)
 }
 
-// A client goes in the instant in which its SETUP is refused, before or after: there is no second SETUP.
+// A client leaves at the instant at which its SETUP is refused, just before or after: there is no second SETUP.
 func TestClientGoneBetweenTwoSetups(t *testing.T) {
-	for name, gone := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(testID(1), 0) }} {
-		for _, first := range []string{"refused first", "gone first"} {
-			t.Run(name+", "+first, func(t *testing.T) {
-				var s [2]*fakeServer
+	for name, leave := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(testID(1), 0) }} {
+		for _, order := range []string{"refused first", "gone first"} {
+			t.Run(name+", "+order, func(t *testing.T) {
+				var hosts [2]*fakeServer
 				f := newHarness(t, 256, func(f *harness) []*fakeServer {
-					s = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
-					return s[:]
+					hosts = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
+					return hosts[:]
 				})
 				v := f.connect()
 				v.setup(testID(1), "free", "")
-				x, h := f.expectAt(rtsp.Setup, s[:]...)
-				steps := []func(){func() { x.conn.answer(x.msg, 453, "") }, func() { gone(v) }}
-				if first == "gone first" {
+				x, h := f.expectAt(rtsp.Setup, hosts[:]...)
+				steps := []func(){func() { x.conn.answer(x.msg, 453, "") }, func() { leave(v) }}
+				if order == "gone first" {
 					slices.Reverse(steps)
 				}
 				f.batch(steps...)
-				f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
-				w := f.connect() // what comes next at the other server is another's
+				f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+				w := f.connect() // the next SETUP at the other server must be of this client
 				w.setup(testID(2), "free", "")
-				y, at := f.nextSetup(s[:]...)
+				y, at := f.nextSetup(hosts[:]...)
 				if y.msg.Session() != testID(2) {
-					t.Errorf("%s got %s after its client had gone", at.name, y.msg.Session())
+					t.Errorf("%s received %s after its client had left", at.name, y.msg.Session())
 				}
 				y.conn.answer(y.msg, 200, answerBody)
 				w.expect("200")
@@ -279,7 +280,7 @@
 	}
 }
 
-// nextSetup is the next SETUP, whatever comes before it.
+// nextSetup returns the next SETUP at any of the hosts and skips other messages.
 func (f *harness) nextSetup(hosts ...*fakeServer) (receivedMessage, *fakeServer) {
 	f.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -293,11 +294,11 @@
 			}
 		}
 	}
-	f.t.Fatal("no SETUP came")
+	f.t.Fatal("no SETUP received")
 	return receivedMessage{}, nil
 }
 
-// A connection comes up after the SETUP that waited for it was given up: it carries the next one, not that.
+// A connection is opened after the SETUP that waited for it was given up: it carries the next SETUP, not that one.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	var l *serverConn
@@ -307,9 +308,9 @@
 	})
 	v := f.connect()
 	v.setup(testID(1), "paid", "")
-	f.waitFor("it waits", func(*Node) bool { return len(l.setups) == 1 })
+	f.waitFor("the SETUP waits for the connection", func(*Node) bool { return len(l.setups) == 1 })
 	v.Close()
-	f.waitFor("it is given up", func(n *Node) bool { return n.openRequests == 0 && len(l.setups) == 0 })
+	f.waitFor("the SETUP is given up", func(n *Node) bool { return n.openRequests == 0 && len(l.setups) == 0 })
 	nc, err := net.Dial("tcp", s1.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -320,14 +321,14 @@
 	w := f.connect()
 	w.setup(testID(2), "free", "")
 	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
-		t.Errorf("a SETUP for %s", x.msg.Session())
+		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
 }
 
-// SETUPs wait behind a server that reads nothing, one in its writer's hands and one behind it, when their clients go: neither
-// leaves, though it reads again. They left as soon as it did.
+// Two SETUPs wait for a server that reads nothing, one held by the writer and one queued behind it, when their clients
+// leave: neither is sent, although the server reads again. They were sent as soon as it did.
 func TestClientGoneBeforeTheSetupLeft(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 3) // one connection to the server
+	f, s1 := newSingleServerHarness(t, 3) // allows one connection to the server
 	a, b := net.Pipe()
 	defer b.Close()
 	l := f.addLink(a)
@@ -335,32 +336,32 @@
 	for k := range v {
 		v[k] = f.connect()
 		v[k].setup(testID(k), "free", "")
-		f.waitFor("it is queued", func(*Node) bool { return len(l.setups) == k+1 })
+		f.waitFor("the SETUP is queued", func(*Node) bool { return len(l.setups) == k+1 })
 	}
 	f.waitFor("the first is being written", func(*Node) bool { l.mu.Lock(); defer l.mu.Unlock(); return l.queuedTotal > int64(len(l.buffer)) })
 	v[1].Close()
-	f.waitFor("it is given up", func(*Node) bool { return len(l.setups) == 2 })
+	f.waitFor("the SETUP is given up", func(*Node) bool { return len(l.setups) == 2 })
 	f.inspect(func(*Node) {
 		if x, y := l.setups[0], l.setups[1]; x.setupEnd != y.setupStart {
-			t.Errorf("one ends at %d, the next begins at %d", x.setupEnd, y.setupStart)
+			t.Errorf("one SETUP ends at %d, the next begins at %d", x.setupEnd, y.setupStart)
 		}
 	})
 	v[0].Close()
-	f.waitFor("its connection is given up", func(n *Node) bool { return l.isClosing() && n.openRequests == 1 })
+	f.waitFor("the connection is closed", func(n *Node) bool { return l.isClosing() && n.openRequests == 1 })
 	if k, err := b.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes left", k)
+		t.Errorf("%d bytes were written", k)
 	}
-	f.breakLink(l) // as its reader tells
+	f.breakLink(l) // as its reader reports
 	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
-		t.Errorf("a SETUP for %s", x.msg.Session())
+		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
 }
 
-// The answer and the client's TEARDOWN, or the answer and the time-out, come in one batch, either first: the client gets one
-// answer at most, and what stands at the server unwanted is released there.
+// The answer arrives in one batch with the client's TEARDOWN or the time-out, in either order: the client gets at most
+// one answer, and a session that is established at the server but unwanted is released there.
 func TestAnswerCrosses(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
+		t.Run(fmt.Sprintf("TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := newSingleServerHarness(t, 256)
 			v := f.connect()
 			v.setup(testID(1), "paid", "")
@@ -382,9 +383,9 @@
 			if seen > 1 || seen == 1 && !answerFirst {
 				t.Errorf("%d answers", seen)
 			}
-			f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.abandonedSetups) == 0 })
+			f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.abandonedSetups) == 0 })
 		})
-		t.Run(fmt.Sprintf("the time-out, answer first %v", answerFirst), func(t *testing.T) {
+		t.Run(fmt.Sprintf("time-out, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := newSingleServerHarness(t, 256)
 			v := f.connect()
 			v.setup(testID(1), "paid", "")
@@ -421,7 +422,7 @@
 	}
 }
 
-// A server with all the connections that it takes refuses one more: what stands there goes on. It was released as lost.
+// A server at its limit of connections refuses one more: its sessions go on. They were released as lost.
 func TestRefusedBesideALiveConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -429,10 +430,10 @@
 	x := f.serveNext(s1, v)
 	s1.Listener.Close()
 	v.setup(testID(2), "paid", "")
-	y, _ := f.expectAt(rtsp.Setup, s1) // on the one connection that is up
+	y, _ := f.expectAt(rtsp.Setup, s1) // over the one open connection
 	v.setup(testID(3), "paid", "")
 	if m := v.expect("503"); m.Session() != testID(3) {
-		t.Errorf("%s is refused", m.Session())
+		t.Errorf("%s was refused", m.Session())
 	}
 	y.conn.answer(y.msg, 200, answerBody)
 	v.expect("200")
@@ -442,8 +443,8 @@
 	}
 }
 
-// A server's process is started anew under its id and address, and answers tests: what stood there is released as soon as
-// the list tells of the start. It stood for good.
+// A server's process is restarted under its id and address, and answers probes: its earlier sessions are released as
+// soon as the list reports the start. They were kept for ever.
 func TestServerStartedAnew(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
@@ -455,25 +456,25 @@
 	if r := v.expect(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != testID(1) {
 		t.Errorf("released %+v", r.Header)
 	}
-	f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].sessions) == 0 })
+	f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].sessions) == 0 })
 }
 
-// A message that never ends stands behind a request that is open: that one is answered. Its connection was just closed.
+// A message that never ends follows an open request: that request is answered. Its connection was just closed.
 func TestHalfAMessageBesideAnOpenRequest(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
-	v.sendf("%s", setupText(1, 4000)) // longer than half a message is waited for
+	v.sendf("%s", setupText(1, 4000)) // longer than the time limit of a message
 	f.expectAt(rtsp.Setup, s1)
 	v.sendf("%s", setupText(2, 4000)[:50])
 	if m := v.expect("500"); m.Session() != testID(1) {
-		t.Errorf("%s is answered", m.Session())
+		t.Errorf("%s was answered", m.Session())
 	}
 	v.expect("408")
 	f.expectAt(rtsp.TearDown, s1)
 }
 
-// The server's answer finds its client's connection broken, of which the loop has not heard yet: nobody plays there, and the
-// server is told. It played on for nobody.
+// The server's answer meets a broken connection of its client, before the loop is notified of the break: nobody plays
+// the session, and the server is notified. It played on for nobody.
 func TestAnswerCrossesAClose(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
@@ -483,10 +484,10 @@
 	if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
 		t.Errorf("released %s", y.msg.Session())
 	}
-	f.waitFor("forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
+	f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
 }
 
-// Requests come in pieces: by the byte, two in one segment, and a piece before a close.
+// Requests arrive in pieces: byte by byte, two in one segment, and a part before a close.
 func TestRequestsInPieces(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	text := func(k int) string { return setupText(k, 1500) }
@@ -512,10 +513,11 @@
 	v.expect("200")
 	v.sendf("%s", text(4)[:50])
 	v.Close()
-	f.waitFor("it is gone", func(n *Node) bool { return len(n.clients) == 0 && n.openRequests == 0 && n.sessions[testID(4)] == nil })
+	f.waitFor("the client is removed", func(n *Node) bool { return len(n.clients) == 0 && n.openRequests == 0 && n.sessions[testID(4)] == nil })
 }
 
-// SIGHUP with the coordinator unchanged: its connection stays. It was opened anew, which is priced at hundreds of nodes.
+// SIGHUP with an unchanged coordinator keeps its connection. It was opened again, which the platform charges for at
+// hundreds of nodes.
 func TestReloadOfTheSameCoordinator(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
@@ -528,14 +530,14 @@
 	<-read
 	f.inspect(func(*Node) {})
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("it is heard still", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	f.waitFor("the coordinator is still followed", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	if len(f.followers) > 0 {
-		t.Error("it was asked anew")
+		t.Error("a new connection to the coordinator was opened")
 	}
 }
 
-// The old coordinator's last event waits in the queue when the new one is followed, which tells it as well and one more:
-// each is taken once, in order.
+// The old coordinator's last event is still queued when the new one is followed, which sends it as well and one more:
+// each is handled once, in order.
 func TestReloadCrossesTheOldCoordinatorsLastEvent(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
@@ -545,19 +547,20 @@
 	f.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
 		func() {
-			lifecycleActions{f.node}.Reload() // it has heard up to 1
+			lifecycleActions{f.node}.Reload() // the last event handled is 1
 			c := <-follows
 			if c.after != 1 {
-				t.Errorf("follows %d", c.after)
+				t.Errorf("follows from event %d", c.after)
 			}
 			t.Cleanup(func() { c.Close() })
 			fmt.Fprintf(c, "%s\n%s\n", up, drains)
 		})
-	f.waitFor("all is heard", func(n *Node) bool { return n.lastIndex == 3 && n.servers[0].state == choice.Draining })
+	f.waitFor("all events are handled", func(n *Node) bool { return n.lastIndex == 3 && n.servers[0].state == choice.Draining })
 }
 
-// Many servers and hundreds of silent clients on few descriptors, while discovery is down: a tenth of them stays free, idle
-// connections to servers give way, and the node follows the coordinator as soon as it is back.
+// Many servers and hundreds of silent clients share few descriptors while discovery is down: a tenth of the
+// descriptors stays free, idle connections to servers are closed for new ones, and the node follows the coordinator as
+// soon as it is back.
 func TestDescriptorsInReserve(t *testing.T) {
 	const sockets = 64
 	f := newHarness(t, sockets, func(f *harness) (all []*fakeServer) {
@@ -567,17 +570,17 @@
 		return all
 	})
 	f.acceptFollower().Close()
-	for range 100 { // tests keep them from counting as silent
+	for range 100 { // after a probe they do not count as silent
 		v := f.connect()
 		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	}
 	for k := range 60 {
 		f.inspect(func(n *Node) { n.dialServer(n.servers[k]) })
-		f.waitFor("it is up, or gave way", func(n *Node) bool {
+		f.waitFor("the connection is open, or was closed to make room", func(n *Node) bool {
 			return !slices.ContainsFunc(n.servers[k].conns, func(l *serverConn) bool { return !l.up })
 		})
 	}
-	f.waitFor("a tenth is free", func(n *Node) bool {
+	f.waitFor("a tenth of the descriptors is free", func(n *Node) bool {
 		if n.serverConnCount() > share.MaxServerConns(sockets) {
 			t.Errorf("%d connections to servers", n.serverConnCount())
 		}
@@ -586,13 +589,14 @@
 	f.acceptFollower()
 }
 
-// Two nodes one after the other at one address, and a third beside them, each with its own settings: none knows another's.
+// Two nodes run one after the other at one address, and a third beside them, each with its own settings: none uses
+// another's.
 func TestNodesShareNothing(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	v := f.connect()
 	v.setup(testID(1), "free", "")
 	f.serveNext(s1, v)
-	f.stop() // its client's connection lingers
+	f.stop() // its client's connection stays open
 	text := strings.NewReplacer(`"free"`, `"gratis"`, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, f.addr), `"class_floor":[0,1]`, `"class_floor":[2,1]`).
 		Replace(f.config(256, 1, listEvent(1, true, listEntry("s-1", s1.Addr().String(), "up"))))
 	s, err := start.Parse([]byte(text))
@@ -612,7 +616,7 @@
 	select {
 	case next.node = <-got:
 	case <-next.exitCode:
-		t.Fatal("it does not start")
+		t.Fatal("the node does not start")
 	}
 	t.Cleanup(next.stop)
 	w, u := next.connect(), other.connect()
@@ -623,7 +627,7 @@
 	w.setup(testID(1), "gratis", "")
 	x, _ := next.expectAt(rtsp.Setup, s1)
 	if q := x.msg.Header.Get("X-Quality"); q < "2" {
-		t.Errorf("rung %s under its own floor", q)
+		t.Errorf("rung %s is below the node's own floor", q)
 	}
 	u.setup(testID(1), "free", "")
 	other.expectAt(rtsp.Setup, s2)
--- a/internal/node/feed/feed.go
+++ b/internal/node/feed/feed.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// A connection that takes longer is given up and tried again.
+	// connectTimeout limits one connection attempt; a later one follows.
 	connectTimeout = time.Second
-	// maxLineBytes is past an event that carries a whole list of 3,200 servers at 500 bytes each, twice over; against a line
-	// without end.
+	// maxLineBytes guards against a line without end. It is more than twice the size of an event that lists 3,200
+	// servers at 500 bytes each.
 	maxLineBytes = 4 << 20
 )
 
-// Follow asks the coordinator at addr for what follows number last, and hands each new event on once and in order,
-// until ctx ends; pauses between connections follow from the seed. Each whole line is told to heard before what it holds
-// is handed on; why connections ended goes to broke.
-func Follow(ctx context.Context, addr string, last int64, seed uint64, heard func(), take func(Event) bool, broke func(error)) {
-	pace := backoff.New(seed)
+// Follow asks the coordinator at addr for the events after number last and passes each new one to handle, once and in
+// order, until ctx ends. The delays between connections derive from seed. onLine is called for each complete line
+// before its content is handled, onDisconnect with the reason when a connection ends.
+func Follow(ctx context.Context, addr string, last int64, seed uint64, onLine func(), handle func(Event) bool, onDisconnect func(error)) {
+	retry := backoff.New(seed)
 	for ctx.Err() == nil {
-		had, began := last, time.Now()
-		err := readEvents(ctx, addr, &last, seconds(pace.SilenceTimeout()), heard, take)
+		previous, startedAt := last, time.Now()
+		err := readEvents(ctx, addr, &last, seconds(retry.SilenceTimeout()), onLine, handle)
 		if ctx.Err() != nil {
 			return
 		}
-		broke(err)
+		onDisconnect(err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(seconds(pace.Next(time.Since(began).Seconds(), last > had))):
+		case <-time.After(seconds(retry.Next(time.Since(startedAt).Seconds(), last > previous))):
 		}
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readEvents is one connection's life; it ends after so much silence.
-func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, heard func(), take func(Event) bool) error {
+// readEvents follows the coordinator over one connection, which ends after the given time of silence.
+func readEvents(ctx context.Context, addr string, last *int64, silence time.Duration, onLine func(), handle func(Event) bool) error {
 	d := net.Dialer{Timeout: connectTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -56,41 +56,41 @@
 		return err
 	}
 	in := bufio.NewReaderSize(c, 4096)
-	var long []byte
+	var partial []byte
 	for {
 		if err := c.SetReadDeadline(time.Now().Add(silence)); err != nil {
 			return err
 		}
-		part, err := in.ReadSlice('\n')
+		chunk, err := in.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if long = append(long, part...); len(long) > maxLineBytes {
-				return fmt.Errorf("a line of over %d bytes", maxLineBytes)
+			if partial = append(partial, chunk...); len(partial) > maxLineBytes {
+				return fmt.Errorf("line exceeds %d bytes", maxLineBytes)
 			}
 			continue
 		}
-		if err != nil { // half a line is dropped
+		if err != nil { // an incomplete line is discarded
 			return err
 		}
-		b := part
-		if len(long) > 0 {
-			b = append(long, part...)
-			long = nil
+		b := chunk
+		if len(partial) > 0 {
+			b = append(partial, chunk...)
+			partial = nil
 		}
-		e, number, err := parseLine(b)
+		e, latest, err := parseLine(b)
 		if err != nil {
 			return err
 		}
-		heard()
+		onLine()
 		switch {
-		case e.Index == 0 && number > *last:
-			return fmt.Errorf("events up to %d were not told, the last was %d", number, *last)
+		case e.Index == 0 && latest > *last:
+			return fmt.Errorf("coordinator is at event %d, but the last one received was %d", latest, *last)
 		case e.Index == *last+1 || e.Index > 0 && e.Endpoints.Reset && e.Index > *last:
 			*last = e.Index
-			if !take(e) {
+			if !handle(e) {
 				return ctx.Err()
 			}
 		case e.Index > *last+1:
-			return fmt.Errorf("event %d after %d", e.Index, *last)
+			return fmt.Errorf("received event %d after %d", e.Index, *last)
 		}
 	}
 }
--- a/internal/node/feed/feed_test.go
+++ b/internal/node/feed/feed_test.go
@@ -20,23 +20,24 @@
 	}
 	for _, i := range []Instance{{State: "well"}, {State: "up", Cell: -1}} {
 		if _, err := names.ToListing(7, i); err == nil {
-			t.Errorf("%+v is taken", i)
+			t.Errorf("%+v is accepted", i)
 		}
 	}
 }
 
 func TestNumber(t *testing.T) {
-	none := func(choice.ServerID) bool { return false }
-	a := AssignID("s-00c41f7a", none)
-	if b := AssignID("s-00c41f7a", none); a != b {
-		t.Error("not alike at all fronts")
+	neverUsed := func(choice.ServerID) bool { return false }
+	a := AssignID("s-00c41f7a", neverUsed)
+	if b := AssignID("s-00c41f7a", neverUsed); a != b {
+		t.Error("the same server has different numbers")
 	}
 	if b := AssignID("s-00c41f7a", func(x choice.ServerID) bool { return x == a }); b == a {
 		t.Error("two servers share a number")
 	}
 }
 
-// Events come once and in order, whatever the coordinator does between.
+// Events are handled once and in order although the coordinator breaks off, falls silent, skips, repeats or sends
+// malformed lines.
 func TestFollow(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,17 +47,17 @@
 	ev := func(i int) string {
 		return fmt.Sprintf(`{"index":%d,"endpoints":{"reset":false,"instances":[]}}`+"\n", i)
 	}
-	says := []string{
-		ev(3) + ev(3) + "3\n" + ev(4)[:20], // breaks off within an event
-		ev(4) + ev(4)[:12],                 // and falls silent within one
-		"not json\n" + ev(5),               // can't be read
-		ev(7),                              // leaves one out
-		ev(5) + "9\n",                      // has more than it told
-		strings.Repeat("1", maxLineBytes+5000) + "\n", // a line without end
-		`{"endpoints":{}}` + "\n",                     // an event without a number
-		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // an old one again
+	scripts := []string{
+		ev(3) + ev(3) + "3\n" + ev(4)[:20], // closes within an event
+		ev(4) + ev(4)[:12],                 // falls silent within an event
+		"not json\n" + ev(5),               // malformed
+		ev(7),                              // skips an event
+		ev(5) + "9\n",                      // reports a later event than it sent
+		strings.Repeat("1", maxLineBytes+5000) + "\n", // line without end
+		`{"endpoints":{}}` + "\n",                     // event without an index
+		ev(6) + ev(5) + "6\n" + "2\n" + ev(7),         // repeats an event
 	}
-	var asked []int
+	var requested []int
 	go func() {
 		for i := 0; ; i++ {
 			c, err := l.Accept()
@@ -66,23 +67,23 @@
 			defer c.Close()
 			n := -1
 			fmt.Fscanf(c, "follow %d\n", &n)
-			asked = append(asked, n)
-			if i < len(says) {
-				c.Write([]byte(says[i]))
+			requested = append(requested, n)
+			if i < len(scripts) {
+				c.Write([]byte(scripts[i]))
 			}
-			if i != 1 && i < len(says)-1 {
+			if i != 1 && i < len(scripts)-1 {
 				c.Close()
 			}
 		}
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got []int64
+	var received []int64
 	done := make(chan bool)
-	began := time.Now()
+	startedAt := time.Now()
 	go func() {
 		Follow(ctx, l.Addr().String(), 2, 7, func() {}, func(e Event) bool {
-			if got = append(got, e.Index); e.Index == 7 {
+			if received = append(received, e.Index); e.Index == 7 {
 				cancel()
 			}
 			return true
@@ -92,13 +93,13 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the events did not come")
+		t.Fatal("events not received in time")
 	}
-	if !slices.Equal(got, []int64{3, 4, 5, 6, 7}) {
-		t.Errorf("got %v in %v", got, time.Since(began))
+	if !slices.Equal(received, []int64{3, 4, 5, 6, 7}) {
+		t.Errorf("received events %v in %v", received, time.Since(startedAt))
 	}
-	if !slices.Equal(asked[:6], []int{2, 3, 4, 4, 4, 5}) {
-		t.Errorf("asked for %v", asked)
+	if !slices.Equal(requested[:6], []int{2, 3, 4, 4, 4, 5}) {
+		t.Errorf("followed from %v", requested)
 	}
 }
 
@@ -108,7 +109,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		e, last, err := parseLine(b)
 		if err == nil && e.Index > 0 && last != 0 {
-			t.Errorf("both an event and a number: %q", b)
+			t.Errorf("parsed as both an event and a number: %q", b)
 		}
 		for _, i := range e.Endpoints.Instances {
 			Names{}.ToListing(1, i)
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -12,7 +12,7 @@
 	"rainhaven/internal/wire"
 )
 
-// The protocol's fields, as rtsp keeps names, and its figures.
+// Header names of the protocol, in the form in which package rtsp stores them, and its constants.
 const (
 	headerClass        = "Subject"
 	headerPatience     = "X-Patience"
@@ -26,27 +26,27 @@
 
 	mediaRoot = "rtsp://media/"
 
-	causeFinished = 16 // it has come to its end
+	causeFinished = 16 // the session has come to its end
 	causeMoved    = 31 // ended by its client, or moved
-	causeLost     = 41
+	causeLost     = 41 // ended for another reason, such as the loss of its server
 
 	cseqSetup, cseqTearDown, cseqOptions = "1", "2", "3"
 )
 
-// noteKinds are the kinds of a server's notes by their names.
+// noteKinds maps the names of a server's notes to their kinds.
 var noteKinds = map[string]wire.Kind{"served": wire.NoteKind(1), "at_rung": wire.NoteKind(2), "link_use": wire.NoteKind(3), "rack_use": wire.NoteKind(4)}
 
-// clientSetup is what a client's SETUP says.
+// clientSetup is the content of a client's SETUP.
 type clientSetup struct {
 	id, class, url string
 	group          int
 	body           []byte
 	patience       float64 // seconds
 	request        choice.Request
-	currentServer  string // the server where it stands already
+	currentServer  string // the server of a session that is handed over; empty for a new one
 }
 
-// validID tells whether a session's id is one: 16 hex digits.
+// validID reports whether id is a valid session id: 16 hexadecimal digits.
 func validID(id string) bool {
 	if len(id) != 16 {
 		return false
@@ -59,65 +59,65 @@
 	return true
 }
 
-// maxPatienceMs is past any setup timeout; against figures that are out of range.
+// maxPatienceMs is longer than any setup timeout; larger values are rejected as out of range.
 const maxPatienceMs = 600_000
 
-// parseSetup reads a client's SETUP; what is wrong with it is an error.
-func (n *Node) parseSetup(m *rtsp.Message) (a clientSetup, err error) {
-	// What is kept must not keep a line of 4 kB alive.
-	a = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
+// parseSetup parses and validates a client's SETUP.
+func (n *Node) parseSetup(m *rtsp.Message) (setup clientSetup, err error) {
+	// Cloned, as stored substrings would keep header lines of up to 4 kB alive.
+	setup = clientSetup{id: strings.Clone(m.Session()), class: m.Header.Get(headerClass), url: strings.Clone(m.URL), body: m.Body}
 	title, ok := strings.CutPrefix(m.URL, mediaRoot)
 	if !ok || title == "" || len(title) > 256 {
-		return a, fmt.Errorf("address %.60q", m.URL)
+		return setup, fmt.Errorf("invalid URL %.60q", m.URL)
 	}
-	if !validID(a.id) || len(m.Header["Session"]) > 1 {
-		return a, fmt.Errorf("session id %.30q", a.id)
+	if !validID(setup.id) || len(m.Header["Session"]) > 1 {
+		return setup, fmt.Errorf("invalid session id %.30q", setup.id)
 	}
-	for a.group = 0; a.group < len(n.config.Groups) && n.config.Groups[a.group] != a.class; a.group++ {
+	for setup.group = 0; setup.group < len(n.config.Groups) && n.config.Groups[setup.group] != setup.class; setup.group++ {
 	}
-	if a.group == len(n.config.Groups) {
-		return a, fmt.Errorf("class %.30q", a.class)
+	if setup.group == len(n.config.Groups) {
+		return setup, fmt.Errorf("unknown class %.30q", setup.class)
 	}
-	a.class = n.config.Groups[a.group]
-	figures := n.config.Config
-	a.request = choice.Request{ID: choice.SessID(a.id), Group: a.group, Title: a.url[len(mediaRoot):], CellCount: 1, BestRung: len(figures.Ladder) - 1}
+	setup.class = n.config.Groups[setup.group]
+	config := n.config.Config
+	setup.request = choice.Request{ID: choice.SessID(setup.id), Group: setup.group, Title: setup.url[len(mediaRoot):], CellCount: 1, BestRung: len(config.Ladder) - 1}
 	for _, pair := range strings.Split(m.Header.Get(headerFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
-		var to *int
-		least, most := 0, max(figures.Cells, 1)-1
+		var target *int
+		minValue, maxValue := 0, max(config.Cells, 1)-1
 		switch name {
 		case "home":
-			to = &a.request.StartCell
+			target = &setup.request.StartCell
 		case "copies":
-			to, least, most = &a.request.CellCount, 1, max(figures.Cells, 1)
+			target, minValue, maxValue = &setup.request.CellCount, 1, max(config.Cells, 1)
 		case "top":
-			to, most = &a.request.BestRung, len(figures.Ladder)-1
+			target, maxValue = &setup.request.BestRung, len(config.Ladder)-1
 		case "at":
-			if a.currentServer = strings.Clone(value); value == "" {
-				return a, fmt.Errorf("at no server")
+			if setup.currentServer = strings.Clone(value); value == "" {
+				return setup, fmt.Errorf("fact \"at\" names no server")
 			}
 			continue
 		default:
 			continue
 		}
-		x, err := strconv.Atoi(value)
-		if err != nil || x < least || x > most {
-			return a, fmt.Errorf("%s:%.20s", name, value)
+		number, err := strconv.Atoi(value)
+		if err != nil || number < minValue || number > maxValue {
+			return setup, fmt.Errorf("invalid value of fact %s: %.20s", name, value)
 		}
-		*to = x
+		*target = number
 	}
-	if a.currentServer != "" {
-		return a, nil
+	if setup.currentServer != "" {
+		return setup, nil
 	}
 	ms, err := strconv.Atoi(m.Header.Get(headerPatience))
 	if err != nil || ms <= 0 || ms > maxPatienceMs {
-		return a, fmt.Errorf("patience %.20q", m.Header.Get(headerPatience))
+		return setup, fmt.Errorf("invalid patience %.20q", m.Header.Get(headerPatience))
 	}
-	a.patience = float64(ms) / 1000
-	return a, nil
+	setup.patience = float64(ms) / 1000
+	return setup, nil
 }
 
-// parseLoadReport reads a server's load report; what can't be read says nothing.
+// parseLoadReport parses a server's load report; an invalid one counts as none.
 func parseLoadReport(m *rtsp.Message) choice.LoadReport {
 	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(headerState)))
 	if err != nil {
@@ -126,7 +126,7 @@
 	return delivery.SanitizeReport(r.Link, r.Uplink, r.Capped)
 }
 
-// parseCause reads the Reason field; 0 is none.
+// parseCause parses the cause in the Reason header; 0 means that there is none.
 func parseCause(m *rtsp.Message) int {
 	_, v, ok := strings.Cut(m.Header.Get(headerReason), "cause=")
 	if !ok {
@@ -139,10 +139,11 @@
 	return c
 }
 
-func addHeaders(m *rtsp.Message, seq, id string) *rtsp.Message {
+// addHeaders sets the headers that every message has, and, where they are not empty, CSeq and Session.
+func addHeaders(m *rtsp.Message, cseq, id string) *rtsp.Message {
 	m.Header["Content-Length"] = nil
-	if seq != "" {
-		m.Header["Cseq"] = []string{seq}
+	if cseq != "" {
+		m.Header["Cseq"] = []string{cseq}
 	}
 	if id != "" {
 		m.Header["Session"] = []string{id}
@@ -150,32 +151,32 @@
 	return m
 }
 
-// responseMessage makes a responseMessage to a request, for its session.
-func responseMessage(to *rtsp.Message, status int) []byte {
-	id := to.Session()
+// responseMessage returns the response to a request, with the request's session id.
+func responseMessage(request *rtsp.Message, status int) []byte {
+	id := request.Session()
 	if len(id) > 64 {
 		id = ""
 	}
-	return addHeaders(rtsp.NewResponse(to, status), "", id).Append(nil)
+	return addHeaders(rtsp.NewResponse(request, status), "", id).Append(nil)
 }
 
-// servedMessage is the answer to a session's SETUP: the server's own description.
+// servedMessage returns the successful answer to a session's SETUP, with the server's description as its body.
 func servedMessage(id string, body []byte) []byte {
 	m := addHeaders(&rtsp.Message{Status: rtsp.OK, Header: rtsp.Header{}}, cseqSetup, id)
 	m.Body = body
 	return m.Append(nil)
 }
 
-// refusalMessage is the answer that refuses a session's SETUP.
-func refusalMessage(id string, status int, comeBack float64) []byte {
+// refusalMessage returns the answer that refuses a session's SETUP.
+func refusalMessage(id string, status int, retryAfter float64) []byte {
 	m := addHeaders(&rtsp.Message{Status: status, Header: rtsp.Header{}}, cseqSetup, id)
-	if comeBack > 0 {
-		m.WithHeader(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(comeBack*1000))))
+	if retryAfter > 0 {
+		m.WithHeader(headerRetryAfterMs, strconv.Itoa(int(math.Ceil(retryAfter*1000))))
 	}
 	return m.Append(nil)
 }
 
-// teardownMessage gives a SETUP up, or, with a cause, releases a session that stands.
+// teardownMessage returns a TEARDOWN that gives up a pending SETUP or, with a cause, releases an established session.
 func teardownMessage(url, id string, cause int) []byte {
 	m := addHeaders(rtsp.NewRequest(rtsp.TearDown, url), cseqTearDown, id)
 	if cause > 0 {
@@ -184,19 +185,22 @@
 	return m.Append(nil)
 }
 
-func setupMessage(s *session, wait float64) []byte {
+// setupMessage returns the SETUP of a session for its server.
+func setupMessage(s *session, timeout float64) []byte {
 	m := addHeaders(rtsp.NewRequest(rtsp.Setup, s.url), cseqSetup, s.id)
 	m.WithHeader(headerClass, s.class)
-	m.WithHeader(headerPatience, strconv.Itoa(max(int(math.Ceil(wait*1000)), 1)))
+	m.WithHeader(headerPatience, strconv.Itoa(max(int(math.Ceil(timeout*1000)), 1)))
 	m.WithHeader(headerRung, strconv.Itoa(s.rung))
 	m.Body = s.body
 	return m.Append(nil)
 }
 
+// rungMessage returns the request that sets the rung of an established session.
 func rungMessage(s *session) []byte {
 	return addHeaders(rtsp.NewRequest(rtsp.SetParameter, s.url), "4", s.id).WithHeader(headerRung, strconv.Itoa(s.rung)).Append(nil)
 }
 
+// probeMessage returns the request that probes a server.
 func probeMessage(id string) []byte {
 	return addHeaders(rtsp.NewRequest(rtsp.Options, mediaRoot+"load"), cseqOptions, id).Append(nil)
 }
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -13,20 +13,20 @@
 	"rainhaven/internal/rtsp"
 )
 
-// pickServerConn gives the connection for a SETUP, nil where there is none.
+// pickServerConn returns the connection for a SETUP, or nil if there is none.
 func (n *Node) pickServerConn(sv *server) *serverConn {
 	var links []*serverConn
-	var list []share.ServerConn
+	var candidates []share.ServerConn
 	for _, l := range sv.conns {
 		if !l.closed && !(l.up && l.isClosing()) {
 			links = append(links, l)
-			list = append(list, share.ServerConn{Up: l.up, Pending: len(l.setups), LastUsed: l.lastUsed})
+			candidates = append(candidates, share.ServerConn{Up: l.up, Pending: len(l.setups), LastUsed: l.lastUsed})
 		}
 	}
-	switch i := share.PickConn(list, n.maxConnsPerServer(), n.config.MaxSetupsPerConn); i {
+	switch i := share.PickConn(candidates, n.maxConnsPerServer(), n.config.MaxSetupsPerConn); i {
 	case share.OpenNew:
 		l := n.dialServer(sv)
-		if l == nil && len(links) > 0 { // no descriptor is left: the least loaded of its own
+		if l == nil && len(links) > 0 { // no descriptor is left: the connection with the fewest pending SETUPs
 			l = slices.MinFunc(links, func(a, b *serverConn) int { return len(a.setups) - len(b.setups) })
 		}
 		return l
@@ -37,6 +37,7 @@
 	}
 }
 
+// maxConnsPerServer returns how many connections one server may have.
 func (n *Node) maxConnsPerServer() int {
 	live := 0
 	for _, sv := range n.servers {
@@ -47,7 +48,7 @@
 	return share.MaxConnsPerServer(n.config.MaxDescriptors, live)
 }
 
-// serverConnCount is how many connections to servers there are, and that are being opened.
+// serverConnCount returns the number of connections to servers, including those that are being opened.
 func (n *Node) serverConnCount() (all int) {
 	for _, sv := range n.servers {
 		all += len(sv.conns)
@@ -55,7 +56,8 @@
 	return all
 }
 
-// reserveServerConn tells whether one more connection to a server may be opened; where they are many an idle one gives way.
+// reserveServerConn reports whether one more connection to a server may be opened. At the limit it closes an idle one
+// to make room.
 func (n *Node) reserveServerConn() bool {
 	if n.serverConnCount() < share.MaxServerConns(n.config.MaxDescriptors) {
 		return true
@@ -77,16 +79,16 @@
 	return false
 }
 
-// dialServer opens a connection; nil where no descriptor is left for it.
+// dialServer opens a connection; it returns nil if no descriptor is left.
 func (n *Node) dialServer(sv *server) *serverConn {
 	if !n.reserveServerConn() {
 		return nil
 	}
-	wait := n.config.ConnectTimeout
-	if wait <= 0 {
-		wait = limits.Defaults.ConnectTimeout
+	timeout := n.config.ConnectTimeout
+	if timeout <= 0 {
+		timeout = limits.Defaults.ConnectTimeout
 	}
-	ctx, stop := context.WithTimeout(n.ctx, time.Duration(wait*float64(time.Second)))
+	ctx, stop := context.WithTimeout(n.ctx, time.Duration(timeout*float64(time.Second)))
 	l := &serverConn{server: sv, lastUsed: n.now, cancelDial: stop}
 	sv.conns = append(sv.conns, l)
 	n.enforceClientLimit()
@@ -95,7 +97,7 @@
 	return l
 }
 
-// readServer opens a connection and hands the loop what the server sends, until it ends.
+// readServer opens a connection and passes the server's messages to the loop until the connection ends.
 func (n *Node) readServer(ctx context.Context, l *serverConn, addr string) {
 	defer n.wg.Done()
 	nc, err := n.network.Dial(ctx, addr)
@@ -104,22 +106,22 @@
 		n.post(event{do: func() { n.dialFailed(l, err) }})
 		return
 	}
-	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may be over before it hears of this connection
+	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may end before it is notified of this connection
 	c := newConn(nc, n.log)
 	if !n.post(event{do: func() { l.conn = c; n.serverConnOpened(l) }}) {
 		c.close()
 		return
 	}
-	in := rtsp.NewConn(nc, messageBounds)
+	messages := rtsp.NewConn(nc, messageBounds)
 	for err == nil {
-		if err = in.AwaitMessage(); err != nil {
+		if err = messages.AwaitMessage(); err != nil {
 			break
 		}
 		if !c.isClosing() {
 			nc.SetReadDeadline(time.Now().Add(serverMessageTimeout))
 		}
 		var m *rtsp.Message
-		if m, _, err = in.Next(); err == nil && (m == nil || in.OutOfSync()) {
+		if m, _, err = messages.Next(); err == nil && (m == nil || messages.OutOfSync()) {
 			err = errTrailingData
 		}
 		if err == nil {
@@ -132,25 +134,25 @@
 			}
 		}
 	}
-	left := c.close()
-	n.post(event{do: func() { n.serverConnClosed(l, left, err) }})
+	written := c.close()
+	n.post(event{do: func() { n.serverConnClosed(l, written, err) }})
 }
 
-// errTrailingData ends a connection on which what follows a message is none.
-var errTrailingData = errors.New("what follows a message is none")
+// errTrailingData ends a connection on which a message is followed by bytes that start no message.
+var errTrailingData = errors.New("bytes after a message start no message")
 
-// tearDownUnanswered has a server end what a SETUP may have set up there although its answer can't be had: it would stand unasked. A
-// connection is opened for that if there is none.
+// tearDownUnanswered has a server tear down what a SETUP may have set up although its answer was lost, as the session
+// would stay there unwanted. If there is no connection, one is opened for it.
 func (n *Node) tearDownUnanswered(s *session) {
 	n.sendToServer(s.server, teardownMessage(s.url, s.id, causeMoved))
 }
 
-// dialFailed takes it that a connection could not be opened: nothing ran.
+// dialFailed handles a connection that could not be opened: no SETUP waiting for it ran.
 func (n *Node) dialFailed(l *serverConn, err error) {
 	sv := l.server
 	n.removeServerConn(l)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
-	n.log.Debug("no connection", str("server", sv.id), str("why", err.Error()))
+	n.log.Debug("connecting to a server failed", str("server", sv.id), str("why", err.Error()))
 	if isLocalError(err) {
 		n.dialFailedLocally(l)
 		return
@@ -159,8 +161,8 @@
 	for _, s := range slices.Clone(l.setups) {
 		n.setupEnded(s, choice.NoConnection, noReport)
 	}
-	// Nothing listens there: the process is dead, and with it what stood there; unless another connection to it is up, as
-	// a server that is full of connections refuses further ones.
+	// Nothing listens there, so the process is dead and its sessions are lost; unless another connection to it is up, as a
+	// server at its limit of connections refuses further ones.
 	if refused && !slices.ContainsFunc(sv.conns, func(l *serverConn) bool { return l.up && !l.isClosing() }) {
 		sv.pendingMessages = nil
 		if len(sv.sessions) > 0 {
@@ -169,8 +171,8 @@
 	}
 }
 
-// dialFailedLocally takes it that the own machine had no connection to give: that speaks against no server, and what waited for
-// it is tried again shortly, a few times within its deadline.
+// dialFailedLocally handles a connection that could not be opened for lack of a local resource. This says nothing
+// about the server: the waiting SETUPs are retried shortly, a few times within their deadlines.
 func (n *Node) dialFailedLocally(l *serverConn) {
 	n.counts["no connection of the own machine"]++
 	n.failProbe(l, choice.Unsent)
@@ -188,12 +190,13 @@
 	}
 }
 
+// serverConnOpened sends what waited for a connection.
 func (n *Node) serverConnOpened(l *serverConn) {
 	if l.closed {
 		l.closeGracefully()
 		return
 	}
-	// That a connection was taken is no sign of life: the system takes it for a process that hangs.
+	// An accepted connection is no sign of life: the system accepts it on behalf of a process that hangs.
 	l.up, l.lastUsed = true, n.now
 	if l.probePending {
 		l.probePending = false
@@ -209,23 +212,23 @@
 	}
 }
 
-// removeServerConn takes a connection from its server's.
+// removeServerConn removes a connection from its server.
 func (n *Node) removeServerConn(l *serverConn) {
 	l.closed = true
 	l.server.conns = slices.DeleteFunc(l.server.conns, func(o *serverConn) bool { return o == l })
 }
 
-// serverConnClosed takes the end of a connection, of which so many bytes left: SETUPs of which none did never ran, and
-// are sent anew.
-func (n *Node) serverConnClosed(l *serverConn, left int64, err error) {
+// serverConnClosed handles the end of a connection on which the given number of bytes was written: a SETUP none of
+// whose bytes was written never ran and is sent again.
+func (n *Node) serverConnClosed(l *serverConn, written int64, err error) {
 	if l.closed {
 		return
 	}
 	n.removeServerConn(l)
-	n.log.Debug("connection to a server ended", str("server", l.server.id), str("why", errText(err)), num("open", len(l.setups)))
+	n.log.Debug("server connection closed", str("server", l.server.id), str("why", errText(err)), num("open", len(l.setups)))
 	n.failProbe(l, choice.Reset)
 	for _, s := range slices.Clone(l.setups) {
-		if s.setupStart >= 0 && s.setupStart < left {
+		if s.setupStart >= 0 && s.setupStart < written {
 			n.tearDownUnanswered(s)
 			n.setupEnded(s, choice.Reset, noReport)
 			continue
@@ -239,13 +242,13 @@
 		}
 		n.dispatchSetup(s)
 	}
-	for _, b := range l.undelivered(n.now, left) {
+	for _, b := range l.undelivered(n.now, written) {
 		n.sendToServer(l.server, b)
 	}
 	n.removeServerIfGone(l.server)
 }
 
-// closeServerConn ends a connection that is of no more use; its other SETUPs end with it.
+// closeServerConn closes a connection that is no longer useful; the SETUPs pending on it end with it.
 func (n *Node) closeServerConn(l *serverConn) {
 	if l.closed {
 		return
@@ -258,10 +261,10 @@
 	}
 	n.failProbe(l, choice.Reset)
 	for _, s := range slices.Clone(l.setups) {
-		o := choice.Reset
+		outcome := choice.Reset
 		if !l.up || s.setupStart < 0 {
-			o = choice.Unsent
+			outcome = choice.Unsent
 		}
-		n.setupEnded(s, o, noReport)
+		n.setupEnded(s, outcome, noReport)
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,22 +7,22 @@
 	"rainhaven/internal/node/feed"
 )
 
-// coordinatorFollow is the following of one coordinator.
+// coordinatorFollow is the state of following one coordinator.
 type coordinatorFollow struct {
 	addr      string
 	cancel    context.CancelFunc
-	responded bool // it has said something
+	responded bool // it has sent at least one line
 }
 
-// maxCoordinators is how many coordinators are followed at most while newer ones have not said anything yet.
+// maxCoordinators limits the coordinators that are followed while the newer ones have not responded yet.
 const maxCoordinators = 4
 
-// followCoordinator follows a coordinator. Those followed before are left once it has said something: until then they alone
-// may tell of a server that drains.
+// followCoordinator follows a coordinator. The ones followed before are left only once it has responded: until then
+// nobody else may report that a server drains.
 func (n *Node) followCoordinator(addr string) {
-	if k := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); k >= 0 { // back to one before
-		w := n.watches[k]
-		n.watches = append(slices.Delete(n.watches, k, k+1), w)
+	if i := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); i >= 0 { // configured again after another one
+		w := n.watches[i]
+		n.watches = append(slices.Delete(n.watches, i, i+1), w)
 		if w.responded {
 			n.coordinatorResponded(w)
 		}
@@ -35,19 +35,19 @@
 	ctx, stop := context.WithCancel(n.ctx)
 	w := &coordinatorFollow{addr: addr, cancel: stop}
 	n.watches = append(n.watches, w)
-	last := n.lastIndex
-	told := false
+	lastIndex := n.lastIndex
+	reported := false
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		feed.Follow(ctx, addr, last, n.config.Config.Seed, func() {
-			if !told {
-				told = n.post(event{do: func() { n.coordinatorResponded(w) }})
+		feed.Follow(ctx, addr, lastIndex, n.config.Config.Seed, func() {
+			if !reported {
+				reported = n.post(event{do: func() { n.coordinatorResponded(w) }})
 			}
 		}, func(e feed.Event) bool {
 			return n.post(event{do: func() {
 				n.afterListDelay(func() {
-					if e.Index > n.lastIndex { // another coordinator, or this one before, has told it
+					if e.Index > n.lastIndex { // not yet received from another coordinator or an earlier connection
 						n.updateServers(e)
 					}
 				})
@@ -58,12 +58,12 @@
 	}()
 }
 
-// coordinatorResponded takes a coordinator's first word: the ones before it are no longer followed.
+// coordinatorResponded handles the first line from a coordinator: the ones before it are no longer followed.
 func (n *Node) coordinatorResponded(w *coordinatorFollow) {
 	w.responded = true
-	k := max(slices.Index(n.watches, w), 0)
-	for _, before := range n.watches[:k] {
+	current := max(slices.Index(n.watches, w), 0)
+	for _, before := range n.watches[:current] {
 		before.cancel()
 	}
-	n.watches = slices.Delete(n.watches, 0, k)
+	n.watches = slices.Delete(n.watches, 0, current)
 }
