--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,182 +22,182 @@
 	mu            sync.Mutex
 	wake          sync.Cond
 	pending       []byte  // nil while nothing waits
-	buffer        *[]byte // where pending comes from
-	frames        int     // bytes of frames among pending
-	messages      int     // bytes of messages among pending
-	most          int
+	pooled        *[]byte // where pending comes from
+	frameBytes    int     // bytes of frames among pending
+	messageBytes  int     // bytes of messages among pending
+	maxFrameBytes int
 	closed        bool
-	flush         bool // write what is pending, then close
+	finishing     bool // write what is pending, then close
 	err           error
-	room          chan struct{} // filled as Run takes what waits
+	roomFreed     chan struct{} // filled as Run takes what waits
 	behind        bool          // a wait for room was in vain; until half of what may wait is free
 	LastLimitedAt atomic.Int64  // when frames last had to wait or were dropped, nanoseconds on the caller's clock
 	DroppedFrames atomic.Int64  // frames
 	SentBytes     atomic.Int64  // bytes
 }
 
-const mostMessages = 64 << 10 // bytes of messages that wait; a pipelining viewer's eight answers take under 8 kB
+const maxMessageBytes = 64 << 10 // bytes of messages that wait; a pipelining viewer's eight answers take under 8 kB
 
 // NewQueue makes a queue that holds so many bytes of frames at most, twice that while a write is under way.
-func NewQueue(most int) *Queue {
-	o := &Queue{most: most, room: make(chan struct{}, 1)}
-	o.wake.L = &o.mu
-	return o
+func NewQueue(maxFrameBytes int) *Queue {
+	q := &Queue{maxFrameBytes: maxFrameBytes, roomFreed: make(chan struct{}, 1)}
+	q.wake.L = &q.mu
+	return q
 }
 
 // PushMessage queues a message.
-func (o *Queue) PushMessage(b []byte) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.closed || o.flush {
+func (q *Queue) PushMessage(b []byte) error {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.finishing {
 		return net.ErrClosed
 	}
-	if o.messages+len(b) > mostMessages {
-		o.closed, o.err = true, ErrMessageBacklog
-		o.wake.Signal()
+	if q.messageBytes+len(b) > maxMessageBytes {
+		q.closed, q.err = true, ErrMessageBacklog
+		q.wake.Signal()
 		return ErrMessageBacklog
 	}
-	o.begin()
-	o.messages += len(b)
-	o.pending = append(o.pending, b...)
-	o.wake.Signal()
+	q.ensureBuffer()
+	q.messageBytes += len(b)
+	q.pending = append(q.pending, b...)
+	q.wake.Signal()
 	return nil
 }
 
 // Flush has what is queued written. Frames wait for it, so that those that came together leave in one write.
-func (o *Queue) Flush() { o.wake.Signal() }
+func (q *Queue) Flush() { q.wake.Signal() }
 
 // PushFrame queues a frame for the next Flush; edit, which may be nil, may change the copy's payload in place. It tells
 // whether there was room.
-func (o *Queue) PushFrame(channel byte, payload []byte, edit func(payload []byte)) bool {
-	o.mu.Lock()
-	if o.closed || o.flush || o.frames+len(payload)+4 > o.most {
-		o.mu.Unlock()
-		o.DroppedFrames.Add(1)
+func (q *Queue) PushFrame(channel byte, payload []byte, edit func(payload []byte)) bool {
+	q.mu.Lock()
+	if q.closed || q.finishing || q.frameBytes+len(payload)+4 > q.maxFrameBytes {
+		q.mu.Unlock()
+		q.DroppedFrames.Add(1)
 		return false
 	}
-	o.begin()
-	at := len(o.pending)
-	o.pending = append(o.pending, '$', channel, byte(len(payload)>>8), byte(len(payload)))
-	o.pending = append(o.pending, payload...)
+	q.ensureBuffer()
+	at := len(q.pending)
+	q.pending = append(q.pending, '$', channel, byte(len(payload)>>8), byte(len(payload)))
+	q.pending = append(q.pending, payload...)
 	if edit != nil {
-		edit(o.pending[at+4:])
+		edit(q.pending[at+4:])
 	}
-	o.frames += len(payload) + 4
-	o.mu.Unlock()
+	q.frameBytes += len(payload) + 4
+	q.mu.Unlock()
 	return true
 }
 
-// pace is how many bytes may wait before a source is slowed down: a write or two at full speed, still in the
+// pacingThreshold is how many bytes may wait before a source is slowed down: a write or two at full speed, still in the
 // processor's cache.
-const pace = 256 << 10
+const pacingThreshold = 256 << 10
 
 // AwaitRoom waits while much waits already, for the timer's time at most, and not at all where the last wait was in vain and
 // little has gone since: a peer that keeps up slows its source down for a moment; one that doesn't first fills the
 // queue and then loses frames, and its source's other words are not held up. now is noted in Limited for the latter.
-func (o *Queue) AwaitRoom(n int, now int64, timer *time.Timer, wait time.Duration) {
-	most := min(o.most, pace)
+func (q *Queue) AwaitRoom(n int, now int64, timer *time.Timer, wait time.Duration) {
+	most := min(q.maxFrameBytes, pacingThreshold)
 	fits := func() bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		if o.frames <= most/2 {
-			o.behind = false
-		} else if o.behind {
-			o.LastLimitedAt.Store(now)
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		if q.frameBytes <= most/2 {
+			q.behind = false
+		} else if q.behind {
+			q.LastLimitedAt.Store(now)
 		}
-		return o.behind || o.closed || o.flush || o.frames+n <= most
+		return q.behind || q.closed || q.finishing || q.frameBytes+n <= most
 	}
 	if fits() {
 		return
 	}
-	o.Flush()
+	q.Flush()
 	timer.Reset(wait)
 	defer timer.Stop()
 	for !fits() {
 		select {
-		case <-o.room:
+		case <-q.roomFreed:
 		case <-timer.C:
-			o.mu.Lock()
-			o.behind = true
-			o.mu.Unlock()
-			o.LastLimitedAt.Store(now)
+			q.mu.Lock()
+			q.behind = true
+			q.mu.Unlock()
+			q.LastLimitedAt.Store(now)
 			return
 		}
 	}
 }
 
 // Close ends the queue: what waits is dropped, Run returns.
-func (o *Queue) Close() {
-	o.mu.Lock()
-	o.closed = true
-	o.mu.Unlock()
-	o.wake.Signal()
+func (q *Queue) Close() {
+	q.mu.Lock()
+	q.closed = true
+	q.mu.Unlock()
+	q.wake.Signal()
 	select {
-	case o.room <- struct{}{}:
+	case q.roomFreed <- struct{}{}:
 	default:
 	}
 }
 
 // Finish ends the queue once what waits is written.
-func (o *Queue) Finish() {
-	o.mu.Lock()
-	o.flush = true
-	o.mu.Unlock()
-	o.wake.Signal()
+func (q *Queue) Finish() {
+	q.mu.Lock()
+	q.finishing = true
+	q.mu.Unlock()
+	q.wake.Signal()
 }
 
 // PendingBytes is how many bytes wait.
-func (o *Queue) PendingBytes() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return len(o.pending)
+func (q *Queue) PendingBytes() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.pending)
 }
 
-// buffers holds what no queue needs just now. A queue takes one when something comes and gives it back once that is
+// bufferPool holds what no queue needs just now. A queue takes one when something comes and gives it back once that is
 // written, so that a thousand paced streams share a few, and none allocates.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
-// begin takes a buffer for the first bytes after a write. Called locked.
-func (o *Queue) begin() {
-	if o.pending == nil {
-		o.buffer = buffers.Get().(*[]byte)
-		o.pending = (*o.buffer)[:0]
+// ensureBuffer takes a buffer for the first bytes after a write. Called locked.
+func (q *Queue) ensureBuffer() {
+	if q.pending == nil {
+		q.pooled = bufferPool.Get().(*[]byte)
+		q.pending = (*q.pooled)[:0]
 	}
 }
 
 // Run writes what is queued to w until the queue is closed or a write fails, or takes longer than stall. It is the
 // goroutine that owns the connection's writing.
-func (o *Queue) Run(w net.Conn, stall time.Duration) error {
+func (q *Queue) Run(w net.Conn, stall time.Duration) error {
 	for {
-		o.mu.Lock()
-		for len(o.pending) == 0 && !o.closed && !o.flush {
-			o.wake.Wait()
+		q.mu.Lock()
+		for len(q.pending) == 0 && !q.closed && !q.finishing {
+			q.wake.Wait()
 		}
-		if o.closed || len(o.pending) == 0 {
-			err := o.err
-			o.closed, o.pending = true, nil
-			o.mu.Unlock()
+		if q.closed || len(q.pending) == 0 {
+			err := q.err
+			q.closed, q.pending = true, nil
+			q.mu.Unlock()
 			return err
 		}
-		out, buffer := o.pending, o.buffer
-		o.pending, o.buffer = nil, nil
-		o.frames, o.messages = 0, 0
-		o.mu.Unlock()
+		out, buffer := q.pending, q.pooled
+		q.pending, q.pooled = nil, nil
+		q.frameBytes, q.messageBytes = 0, 0
+		q.mu.Unlock()
 		select {
-		case o.room <- struct{}{}:
+		case q.roomFreed <- struct{}{}:
 		default:
 		}
 		if stall > 0 {
 			w.SetWriteDeadline(time.Now().Add(stall))
 		}
 		n, err := w.Write(out)
-		o.SentBytes.Add(int64(n))
+		q.SentBytes.Add(int64(n))
 		if err != nil {
-			o.Close()
+			q.Close()
 			return err
 		}
 		*buffer = out
-		buffers.Put(buffer)
+		bufferPool.Put(buffer)
 	}
 }
 
@@ -206,28 +206,28 @@
 	RTPChannel, RTCPChannel byte // channels at the viewer
 	ClockRate               uint32
 
-	ssrc           uint32 // towards the viewer
-	known          bool
-	from           uint32 // the source's SSRC now
-	seq            uint16 // to be added to the source's
-	ts             uint32
-	lastSeq        uint16 // last sent
-	lastTS, gap    uint32 // last sent, and the usual distance between two timestamps
-	first, reached int64  // media time in clock units since the first frame
+	ssrc                uint32 // towards the viewer
+	started             bool
+	sourceSSRC          uint32 // the source's SSRC now
+	seqOffset           uint16 // to be added to the source's
+	tsOffset            uint32
+	lastSeq             uint16 // last sent
+	lastTS, tsStep      uint32 // last sent, and the usual distance between two timestamps
+	firstTS, mediaTicks int64  // media time in clock units since the first frame
 }
 
 // Stream is one session's way from its box to its viewer.
 type Stream struct {
-	out    *Queue
-	mu     sync.Mutex
-	tracks map[byte]*Track // by the box's RTP channel; as many as were set up
-	open   bool
-	held   []heldFrame // came in before Open; at most mostHeld
-	heldN  int
-	notes  func(link, uplink float64)
-
-	at          atomic.Int64 // when the newest frame came in, nanoseconds on the front's clock
-	media       atomic.Int64 // microseconds of media up to it
+	out        *Queue
+	mu         sync.Mutex
+	tracks     map[byte]*Track // by the box's RTP channel; as many as were set up
+	opened     bool
+	heldFrames []heldFrame // came in before Open; at most mostHeld
+	heldBytes  int
+	onLoadNote func(link, uplink float64)
+
+	lastFrameAt atomic.Int64 // when the newest frame came in, nanoseconds on the front's clock
+	mediaMicros atomic.Int64 // microseconds of media up to it
 	MediaFrames atomic.Int64
 	StrayFrames atomic.Int64 // frames on channels that were never set up
 }
@@ -237,12 +237,12 @@
 	payload []byte
 }
 
-// mostHeld is how many bytes may come before the answer to PLAY is on its way: a first access unit and some more.
-const mostHeld = 64 << 10
+// maxHeldBytes is how many bytes may come before the answer to PLAY is on its way: a first access unit and some more.
+const maxHeldBytes = 64 << 10
 
 // NewStream makes a stream to a viewer's queue. notes hears each load note that comes with the media.
 func NewStream(out *Queue, notes func(link, uplink float64)) *Stream {
-	return &Stream{out: out, tracks: map[byte]*Track{}, notes: notes}
+	return &Stream{out: out, tracks: map[byte]*Track{}, onLoadNote: notes}
 }
 
 // Queue is the viewer's queue.
@@ -259,19 +259,19 @@
 func (s *Stream) Open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = true
-	for _, h := range s.held {
-		s.pass(h.channel, h.payload)
+	s.opened = true
+	for _, h := range s.heldFrames {
+		s.forward(h.channel, h.payload)
 	}
-	s.held, s.heldN = nil, 0
+	s.heldFrames, s.heldBytes = nil, 0
 	s.out.Flush()
 }
 
 // Progress is when the newest frame came in, on the clock that Frame was given, and the media seconds up to it; ok is
 // false before the first one.
 func (s *Stream) Progress() (at time.Duration, media float64, ok bool) {
-	a := s.at.Load()
-	return time.Duration(a), float64(s.media.Load()) / 1e6, a != 0
+	a := s.lastFrameAt.Load()
+	return time.Duration(a), float64(s.mediaMicros.Load()) / 1e6, a != 0
 }
 
 // TranslateRTPInfo makes the numbers that a box names for a track's next frame (RTP-Info) those that the viewer gets it under,
@@ -283,32 +283,32 @@
 	if t == nil {
 		return 0, 0, false
 	}
-	if t.known && t.leaps(seq, ts) {
-		return t.lastSeq + 1, t.lastTS + t.gap, true
+	if t.started && t.discontinuous(seq, ts) {
+		return t.lastSeq + 1, t.lastTS + t.tsStep, true
 	}
-	return seq + t.seq, ts + t.ts, true
+	return seq + t.seqOffset, ts + t.tsOffset, true
 }
 
 // ForwardFrame takes a frame from the box, received at now. The payload is not kept. Queue().Flush has it written.
 func (s *Stream) ForwardFrame(now time.Duration, channel byte, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.open {
-		if s.heldN+len(payload) <= mostHeld {
-			s.held = append(s.held, heldFrame{channel, append([]byte(nil), payload...)})
-			s.heldN += len(payload)
+	if !s.opened {
+		if s.heldBytes+len(payload) <= maxHeldBytes {
+			s.heldFrames = append(s.heldFrames, heldFrame{channel, append([]byte(nil), payload...)})
+			s.heldBytes += len(payload)
 		} else {
 			s.out.DroppedFrames.Add(1)
 		}
 		return
 	}
-	if s.pass(channel, payload) {
-		s.at.Store(int64(now))
+	if s.forward(channel, payload) {
+		s.lastFrameAt.Store(int64(now))
 	}
 }
 
-// pass sends a frame on. It tells whether it moved the media's time.
-func (s *Stream) pass(channel byte, payload []byte) bool {
+// forward sends a frame on. It tells whether it moved the media's time.
+func (s *Stream) forward(channel byte, payload []byte) bool {
 	if t := s.tracks[channel]; t != nil && len(payload) >= 12 {
 		s.MediaFrames.Add(1)
 		seq, ts := binary.BigEndian.Uint16(payload[2:]), binary.BigEndian.Uint32(payload[4:])
@@ -321,41 +321,41 @@
 			binary.BigEndian.PutUint32(p[4:], ts)
 			binary.BigEndian.PutUint32(p[8:], ssrc)
 		})
-		if us := t.reached * 1e6 / int64(max(t.ClockRate, 1)); us > s.media.Load() {
-			s.media.Store(us)
+		if us := t.mediaTicks * 1e6 / int64(max(t.ClockRate, 1)); us > s.mediaMicros.Load() {
+			s.mediaMicros.Store(us)
 		}
 		return true
 	}
 	if t := s.tracks[channel-1]; channel > 0 && t != nil && len(payload) >= 8 {
-		s.control(t, payload)
+		s.forwardRTCP(t, payload)
 		return false
 	}
 	s.StrayFrames.Add(1)
 	return false
 }
 
-// leaps tells whether a source's numbers don't follow on its last ones.
-func (t *Track) leaps(seq uint16, ts uint32) bool {
-	d, dt := int16(seq+t.seq-t.lastSeq), int32(ts+t.ts-t.lastTS)
+// discontinuous tells whether a source's numbers don't follow on its last ones.
+func (t *Track) discontinuous(seq uint16, ts uint32) bool {
+	d, dt := int16(seq+t.seqOffset-t.lastSeq), int32(ts+t.tsOffset-t.lastTS)
 	return d < -1000 || d > 1000 || dt < -int32(t.ClockRate) || dt > 10*int32(t.ClockRate)
 }
 
 // rewrite makes a source's numbers the viewer's. A new source, or a leap within one, goes on where the last left off.
 func (t *Track) rewrite(seq uint16, ts, src uint32) (uint16, uint32) {
 	switch {
-	case !t.known:
-		t.known, t.from, t.ssrc = true, src, src
-		t.lastSeq, t.lastTS, t.first = seq-1, ts, int64(ts)
-	case src != t.from || t.leaps(seq, ts):
-		t.from = src
-		t.seq, t.ts = t.lastSeq+1-seq, t.lastTS+t.gap-ts
+	case !t.started:
+		t.started, t.sourceSSRC, t.ssrc = true, src, src
+		t.lastSeq, t.lastTS, t.firstTS = seq-1, ts, int64(ts)
+	case src != t.sourceSSRC || t.discontinuous(seq, ts):
+		t.sourceSSRC = src
+		t.seqOffset, t.tsOffset = t.lastSeq+1-seq, t.lastTS+t.tsStep-ts
 	}
-	seq, ts = seq+t.seq, ts+t.ts
+	seq, ts = seq+t.seqOffset, ts+t.tsOffset
 	if d := int32(ts - t.lastTS); d > 0 {
-		if t.gap == 0 || d < 2*int32(t.gap) {
-			t.gap = uint32(d)
+		if t.tsStep == 0 || d < 2*int32(t.tsStep) {
+			t.tsStep = uint32(d)
 		}
-		t.reached += int64(d)
+		t.mediaTicks += int64(d)
 		t.lastTS = ts
 	}
 	if int16(seq-t.lastSeq) > 0 {
@@ -364,8 +364,8 @@
 	return seq, ts
 }
 
-// control sends a compound RTCP packet on: sources and the sender's timestamp rewritten, load notes taken out.
-func (s *Stream) control(t *Track, p []byte) {
+// forwardRTCP sends a compound RTCP packet on: sources and the sender's timestamp rewritten, load notes taken out.
+func (s *Stream) forwardRTCP(t *Track, p []byte) {
 	buf := make([]byte, 0, len(p)) // a few a second at most
 	for len(p) >= 8 {
 		n := (int(binary.BigEndian.Uint16(p[2:])) + 1) * 4
@@ -373,21 +373,21 @@
 			s.StrayFrames.Add(1)
 			break
 		}
-		one := p[:n]
+		packet := p[:n]
 		p = p[n:]
-		if link, uplink, ok := ParseLoadNote(one); ok {
-			if s.notes != nil {
-				s.notes(link, uplink)
+		if link, uplink, ok := ParseLoadNote(packet); ok {
+			if s.onLoadNote != nil {
+				s.onLoadNote(link, uplink)
 			}
 			continue
 		}
 		at := len(buf)
-		buf = append(buf, one...)
+		buf = append(buf, packet...)
 		out := buf[at:]
-		if src := binary.BigEndian.Uint32(out[4:]); t.known && src == t.from {
+		if src := binary.BigEndian.Uint32(out[4:]); t.started && src == t.sourceSSRC {
 			binary.BigEndian.PutUint32(out[4:], t.ssrc)
 			if out[1] == 200 && n >= 28 {
-				binary.BigEndian.PutUint32(out[16:], binary.BigEndian.Uint32(out[16:])+t.ts)
+				binary.BigEndian.PutUint32(out[16:], binary.BigEndian.Uint32(out[16:])+t.tsOffset)
 			}
 		}
 	}
@@ -414,8 +414,8 @@
 			}
 			first := map[byte]int{200: 28, 201: 8}[p[1]] // sender's and receiver's reports
 			for at := first; first > 0 && at+24 <= n && at < first+24*int(p[0]&31); at += 24 {
-				if t.known && binary.BigEndian.Uint32(p[at:]) == t.ssrc {
-					binary.BigEndian.PutUint32(p[at:], t.from)
+				if t.started && binary.BigEndian.Uint32(p[at:]) == t.ssrc {
+					binary.BigEndian.PutUint32(p[at:], t.sourceSSRC)
 				}
 				lost = max(lost, float64(p[at+4])/256)
 			}
@@ -437,11 +437,11 @@
 		s.out.PushFrame(t.RTCPChannel, b[:], nil)
 	}
 	s.out.Flush()
-	s.open = false
+	s.opened = false
 }
 
-// noteName marks an RTCP APP packet as a load note (RFC 3550, section 6.7).
-const noteName = "LOAD"
+// loadNoteName marks an RTCP APP packet as a load note (RFC 3550, section 6.7).
+const loadNoteName = "LOAD"
 
 // AppendLoadNote writes a load note: an APP packet whose data are two 16.16 figures, what is asked over what is given of
 // the box's link and of its rack's uplink. A negative figure is not told.
@@ -454,14 +454,14 @@
 	}
 	b = append(b, 0x80, 204, 0, 4)
 	b = binary.BigEndian.AppendUint32(b, ssrc)
-	b = append(b, noteName...)
+	b = append(b, loadNoteName...)
 	b = binary.BigEndian.AppendUint32(b, fix(link))
 	return binary.BigEndian.AppendUint32(b, fix(uplink))
 }
 
 // ParseLoadNote reads a load note. An untold figure is -1.
 func ParseLoadNote(p []byte) (link, uplink float64, ok bool) {
-	if len(p) != 20 || p[0]>>6 != 2 || p[1] != 204 || string(p[8:12]) != noteName {
+	if len(p) != 20 || p[0]>>6 != 2 || p[1] != 204 || string(p[8:12]) != loadNoteName {
 		return 0, 0, false
 	}
 	fix := func(b []byte) float64 {
@@ -475,7 +475,7 @@
 }
 
 // DiscardInput reads a connection to its end within a bound, so that a close is not turned into a reset.
-func DiscardInput(c net.Conn, within time.Duration) {
-	c.SetReadDeadline(time.Now().Add(within))
+func DiscardInput(c net.Conn, timeout time.Duration) {
+	c.SetReadDeadline(time.Now().Add(timeout))
 	io.Copy(io.Discard, io.LimitReader(c, 1<<20))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,8 +20,8 @@
 	return append(p, payload...)
 }
 
-// pair runs a queue into one end of a connection and reads the other.
-func pair(t testing.TB, most int) (*Queue, *rtsp.Conn, <-chan error) {
+// newTestQueue runs a queue into one end of a connection and reads the other.
+func newTestQueue(t testing.TB, most int) (*Queue, *rtsp.Conn, <-chan error) {
 	a, b := net.Pipe()
 	o, done := NewQueue(most), make(chan error, 1)
 	go func() {
@@ -36,8 +36,8 @@
 	return o, rtsp.NewConn(b, rtsp.Limits{}), done
 }
 
-func TestOneContinuousStreamFromManySources(t *testing.T) {
-	o, in, _ := pair(t, 1<<20)
+func TestContinuousStreamAcrossSources(t *testing.T) {
+	o, in, _ := newTestQueue(t, 1<<20)
 	s := NewStream(o, nil)
 	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.ForwardFrame(1, 4, packet(65534, 4294967000, 77)) // before PLAY is answered: kept
@@ -86,34 +86,34 @@
 }
 
 // The box's numbers for its next frame become the viewer's, whether that frame has overtaken the box's word or not.
-func TestNumbersOfTheNextFrame(t *testing.T) {
+func TestTranslateRTPInfo(t *testing.T) {
 	s := NewStream(NewQueue(1<<20), nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
-	look := func(what string, seq uint16, ts uint32, wantSeq uint16, wantTS uint32) {
+	check := func(what string, seq uint16, ts uint32, wantSeq uint16, wantTS uint32) {
 		t.Helper()
 		if a, b, ok := s.TranslateRTPInfo(0, seq, ts); !ok || a != wantSeq || b != wantTS {
 			t.Errorf("%s: %d %d, want %d %d", what, a, b, wantSeq, wantTS)
 		}
 	}
-	look("before any", 7, 900, 7, 900)
+	check("before any", 7, 900, 7, 900)
 	for i := range uint32(4) {
 		s.ForwardFrame(1, 0, packet(uint16(10+i), 1000+3600*i, 5))
 	}
-	look("it goes on", 14, 15400, 14, 15400)
-	look("a seek", 14, 9_000_000, 14, 15400)
+	check("it goes on", 14, 15400, 14, 15400)
+	check("a seek", 14, 9_000_000, 14, 15400)
 	s.ForwardFrame(2, 0, packet(14, 9_000_000, 5))
-	look("a seek whose first frame was quicker", 14, 9_000_000, 14, 15400)
+	check("a seek whose first frame was quicker", 14, 9_000_000, 14, 15400)
 	s.ForwardFrame(2, 0, packet(15, 9_003_600, 5))
-	look("whose first two were", 14, 9_000_000, 14, 15400)
-	look("back", 16, 100, 16, 22600)
+	check("whose first two were", 14, 9_000_000, 14, 15400)
+	check("back", 16, 100, 16, 22600)
 	if _, _, ok := s.TranslateRTPInfo(2, 1, 1); ok {
 		t.Error("numbers of a track that was never set up")
 	}
 }
 
-func TestNotesLeaveTheStream(t *testing.T) {
-	o, in, _ := pair(t, 1<<20)
+func TestLoadNotesAreRemoved(t *testing.T) {
+	o, in, _ := newTestQueue(t, 1<<20)
 	var link, uplink float64
 	s := NewStream(o, func(l, u float64) { link, uplink = l, u })
 	s.AddTrack(0, &Track{RTPChannel: 6, RTCPChannel: 7, ClockRate: 90000})
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestReportsGoBackToTheSourceOfNow(t *testing.T) {
+func TestTranslateRTCP(t *testing.T) {
 	s := NewStream(NewQueue(1<<16), nil)
 	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestSlowViewerLosesFramesOnly(t *testing.T) {
+func TestSlowViewerLosesOnlyFrames(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
 	o := NewQueue(10000)
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestStalledViewerIsLeft(t *testing.T) {
+func TestWriteTimeout(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
 	o := NewQueue(10000)
@@ -215,21 +215,21 @@
 
 // Whatever numbers a source sends, the viewer's sequence goes forward by one a frame in the order sent, or as the
 // source itself skips and swaps within a window; media time never runs back.
-func TestAnySource(t *testing.T) {
+func TestRewriteProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := &Track{ClockRate: 90000}
 		var last int64
 		for range rapid.IntRange(1, 200).Draw(t, "frames") {
 			seq := rapid.Uint16().Draw(t, "seq")
-			before, known := tr.lastSeq, tr.known
+			before, known := tr.lastSeq, tr.started
 			out, _ := tr.rewrite(seq, rapid.Uint32().Draw(t, "ts"), rapid.Uint32Range(1, 2).Draw(t, "src"))
 			if d := int16(out - before); known && (d < -1000 || d > 1000) {
 				t.Fatalf("seq leaps by %d", d)
 			}
-			if tr.reached < last || tr.reached-last > 10*90000 {
-				t.Fatalf("media time from %d to %d", last, tr.reached)
+			if tr.mediaTicks < last || tr.mediaTicks-last > 10*90000 {
+				t.Fatalf("media time from %d to %d", last, tr.mediaTicks)
 			}
-			last = tr.reached
+			last = tr.mediaTicks
 		}
 	})
 }
--- a/internal/rtsp/buffer.go
+++ b/internal/rtsp/buffer.go
@@ -6,57 +6,57 @@
 	"io"
 )
 
-// errFull is more asked for than the buffer may ever hold.
-var errFull = errors.New("rtsp: more than the buffer may hold")
+// errBufferLimit is more asked for than the buffer may ever hold.
+var errBufferLimit = errors.New("rtsp: more than the buffer may hold")
 
 const (
-	// leastBuffer holds a usual message or two packets; thousands of connections of slow sessions keep to it.
-	leastBuffer = 4 << 10
-	// mostBuffer holds a whole frame and then some: at full speed a read takes a hundred packets at once.
-	mostBuffer = 160 << 10
+	// minBufferSize holds a usual message or two packets; thousands of connections of slow sessions keep to it.
+	minBufferSize = 4 << 10
+	// maxBufferSize holds a whole frame and then some: at full speed a read takes a hundred packets at once.
+	maxBufferSize = 160 << 10
 )
 
 // buffer is what was received and not yet taken. Other than bufio's it grows while reads fill it and is small again
 // after quiet times, so that a fast stream costs few reads and a slow one little memory.
 type buffer struct {
-	r        io.Reader
-	b        []byte
-	from, to int
-	full     bool // the last read filled all that was free
-	small    int  // reads in a row that took little of a large buffer
-	most     int  // bytes held ahead
+	r            io.Reader
+	b            []byte
+	start, end   int
+	lastReadFull bool // the last read filled all that was free
+	smallReads   int  // reads in a row that took little of a large buffer
+	maxSize      int  // bytes held ahead
 }
 
-func (u *buffer) buffered() int { return u.to - u.from }
+func (u *buffer) buffered() int { return u.end - u.start }
 
 // fill reads once, with room for need bytes from u.from on.
 func (u *buffer) fill(need int) error {
 	size := len(u.b)
 	switch {
 	case need > size:
-		for size = max(size, leastBuffer); size < need; size *= 2 {
+		for size = max(size, minBufferSize); size < need; size *= 2 {
 		}
-	case u.full:
-		size = min(2*size, max(u.most, size))
-	case u.small > 64 && size > leastBuffer && u.buffered() < leastBuffer && need <= leastBuffer:
-		size, u.small = leastBuffer, 0
+	case u.lastReadFull:
+		size = min(2*size, max(u.maxSize, size))
+	case u.smallReads > 64 && size > minBufferSize && u.buffered() < minBufferSize && need <= minBufferSize:
+		size, u.smallReads = minBufferSize, 0
 	}
 	if size != len(u.b) {
 		b := make([]byte, size)
-		u.to = copy(b, u.b[u.from:u.to])
-		u.b, u.from = b, 0
-	} else if u.from > 0 && (u.buffered() <= leastBuffer || u.from+need > size) {
-		u.to = copy(u.b, u.b[u.from:u.to])
-		u.from = 0
+		u.end = copy(b, u.b[u.start:u.end])
+		u.b, u.start = b, 0
+	} else if u.start > 0 && (u.buffered() <= minBufferSize || u.start+need > size) {
+		u.end = copy(u.b, u.b[u.start:u.end])
+		u.start = 0
 	}
-	free := len(u.b) - u.to
+	free := len(u.b) - u.end
 	for range 100 {
-		n, err := u.r.Read(u.b[u.to:])
-		u.to += n
-		if u.full = n == free; n < len(u.b)/8 {
-			u.small++
+		n, err := u.r.Read(u.b[u.end:])
+		u.end += n
+		if u.lastReadFull = n == free; n < len(u.b)/8 {
+			u.smallReads++
 		} else {
-			u.small = 0
+			u.smallReads = 0
 		}
 		if n > 0 || err != nil {
 			return err
@@ -67,38 +67,38 @@
 
 // peek gives the next n bytes without taking them; they are valid until the next call. Fewer come with an error.
 func (u *buffer) peek(n int) ([]byte, error) {
-	if n > mostBuffer {
-		return nil, errFull
+	if n > maxBufferSize {
+		return nil, errBufferLimit
 	}
 	for u.buffered() < n {
 		if err := u.fill(n); err != nil && u.buffered() < n {
-			return u.b[u.from:u.to], err
+			return u.b[u.start:u.end], err
 		}
 	}
-	return u.b[u.from : u.from+n], nil
+	return u.b[u.start : u.start+n], nil
 }
 
 // discard takes n bytes that were peeked at.
-func (u *buffer) discard(n int) { u.from += n }
+func (u *buffer) discard(n int) { u.start += n }
 
-// line takes a line with its end, of at most so many bytes; errLine where it is longer.
-func (u *buffer) line(most int) ([]byte, error) {
-	seen := 0
+// readLine takes a readLine with its end, of at most so many bytes; errLine where it is longer.
+func (u *buffer) readLine(maxLen int) ([]byte, error) {
+	scanned := 0
 	for {
-		if i := bytes.IndexByte(u.b[u.from+seen:u.to], '\n'); i >= 0 {
-			n := seen + i + 1
-			if n > most {
-				return nil, errLine
+		if i := bytes.IndexByte(u.b[u.start+scanned:u.end], '\n'); i >= 0 {
+			n := scanned + i + 1
+			if n > maxLen {
+				return nil, errLineTooLong
 			}
-			line := u.b[u.from : u.from+n]
-			u.from += n
+			line := u.b[u.start : u.start+n]
+			u.start += n
 			return line, nil
 		}
-		if seen = u.buffered(); seen > most {
-			return nil, errLine
+		if scanned = u.buffered(); scanned > maxLen {
+			return nil, errLineTooLong
 		}
-		if err := u.fill(seen + 1); err != nil && u.buffered() == seen {
-			return u.b[u.from:u.to], err
+		if err := u.fill(scanned + 1); err != nil && u.buffered() == scanned {
+			return u.b[u.start:u.end], err
 		}
 	}
 }
@@ -110,7 +110,7 @@
 			return 0, err
 		}
 	}
-	n := copy(p, u.b[u.from:u.to])
-	u.from += n
+	n := copy(p, u.b[u.start:u.end])
+	u.start += n
 	return n, nil
 }
--- a/internal/rtsp/conn.go
+++ b/internal/rtsp/conn.go
@@ -16,13 +16,13 @@
 type Conn struct {
 	net.Conn
 	in     buffer
-	bounds Limits
+	limits Limits
 }
 
 // NewConn reads from c within bounds.
 func NewConn(c net.Conn, bounds Limits) *Conn {
-	bounds = bounds.orUsual()
-	return &Conn{Conn: c, in: buffer{r: c, most: bounds.BufferBytes}, bounds: bounds}
+	bounds = bounds.withDefaults()
+	return &Conn{Conn: c, in: buffer{r: c, maxSize: bounds.BufferBytes}, limits: bounds}
 }
 
 // Frame is an interleaved frame (RFC 2326, section 10.12). Whole holds its four bytes of header and its payload,
@@ -54,8 +54,8 @@
 			return nil, f, err
 		}
 		line, err := c.readLine()
-		if err == errLine {
-			return nil, Frame{}, malformed(URITooLong, "a start line of over %d bytes", c.bounds.LineBytes)
+		if err == errLineTooLong {
+			return nil, Frame{}, malformed(URITooLong, "a start line of over %d bytes", c.limits.LineBytes)
 		}
 		if err != nil {
 			return nil, Frame{}, err
@@ -69,7 +69,7 @@
 }
 
 func (c *Conn) readFrame() (Frame, error) {
-	within := func(err error) error {
+	midMessage := func(err error) error {
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
@@ -77,15 +77,15 @@
 	}
 	head, err := c.in.peek(4)
 	if err != nil {
-		return Frame{}, within(err)
+		return Frame{}, midMessage(err)
 	}
 	n := int(binary.BigEndian.Uint16(head[2:]))
-	if n > c.bounds.FrameBytes {
+	if n > c.limits.FrameBytes {
 		return Frame{}, malformed(0, "a frame of %d bytes", n)
 	}
 	whole, err := c.in.peek(n + 4)
 	if err != nil {
-		return Frame{}, within(err)
+		return Frame{}, midMessage(err)
 	}
 	c.in.discard(n + 4)
 	return Frame{Channel: whole[1], Raw: whole}, nil
@@ -93,7 +93,7 @@
 
 // FrameBuffered tells whether another whole frame was received already, which Next gives without reading.
 func (c *Conn) FrameBuffered() bool {
-	b := c.in.b[c.in.from:c.in.to]
+	b := c.in.b[c.in.start:c.in.end]
 	return len(b) >= 4 && b[0] == '$' && len(b) >= 4+int(binary.BigEndian.Uint16(b[2:]))
 }
 
@@ -127,16 +127,16 @@
 // OutOfSync tells whether what was received beyond the last message can't begin another one: then that message's length
 // was wrong, and what was taken for its body is not whole. Of a start that is not whole yet it tells what it can.
 func (c *Conn) OutOfSync() bool {
-	b := bytes.TrimLeft(c.in.b[c.in.from:c.in.to], "\r\n")
+	b := bytes.TrimLeft(c.in.b[c.in.start:c.in.end], "\r\n")
 	if len(b) == 0 || b[0] == '$' {
 		return false
 	}
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
-		return new(Message).startLine(strings.TrimRight(string(b[:i]), "\r")) != nil
+		return new(Message).parseStartLine(strings.TrimRight(string(b[:i]), "\r")) != nil
 	}
 	word, _, whole := bytes.Cut(b, []byte(" "))
 	if bytes.HasPrefix(word, []byte("RTSP/")) {
-		return whole && !new(Message).version(string(word))
+		return whole && !new(Message).parseVersion(string(word))
 	}
 	for _, x := range word { // methods are words in capitals
 		if (x < 'A' || x > 'Z') && x != '_' {
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -33,13 +33,13 @@
 			name, value, _ := strings.Cut(strings.TrimSpace(p), "=")
 			switch strings.ToLower(name) {
 			case "interleaved":
-				lo, hi, two := strings.Cut(value, "-")
+				lo, hi, hasHigh := strings.Cut(value, "-")
 				l, err := strconv.ParseUint(lo, 10, 8)
 				if err != nil {
 					return nil, fmt.Errorf("transport: channel %.10q", lo)
 				}
 				h := l + 1
-				if two {
+				if hasHigh {
 					if h, err = strconv.ParseUint(hi, 10, 8); err != nil || h < l {
 						return nil, fmt.Errorf("transport: channel %.10q", hi)
 					}
@@ -106,14 +106,14 @@
 	case from == "now":
 		r.Now = true
 	case from != "":
-		if r.Start, err = npt(from); err != nil {
+		if r.Start, err = parseNPT(from); err != nil {
 			return r, err
 		}
 	case to == "":
 		return r, fmt.Errorf("an empty range")
 	}
 	if to != "" {
-		if r.End, err = npt(to); err != nil {
+		if r.End, err = parseNPT(to); err != nil {
 			return r, err
 		}
 		if r.End < r.Start {
@@ -123,8 +123,8 @@
 	return r, nil
 }
 
-// npt reads seconds, or hours, minutes and seconds.
-func npt(s string) (float64, error) {
+// parseNPT reads seconds, or hours, minutes and seconds.
+func parseNPT(s string) (float64, error) {
 	total := 0.0
 	parts := strings.Split(strings.TrimSpace(s), ":")
 	if len(parts) != 1 && len(parts) != 3 {
@@ -174,9 +174,9 @@
 
 // ParseRTPInfo reads an RTP-Info field. Streams without a URL give an error.
 func ParseRTPInfo(v string) (list []RTPInfo, err error) {
-	for _, one := range strings.Split(v, ",") {
+	for _, spec := range strings.Split(v, ",") {
 		var s RTPInfo
-		for _, p := range strings.Split(strings.TrimSpace(one), ";") {
+		for _, p := range strings.Split(strings.TrimSpace(spec), ";") {
 			name, value, _ := strings.Cut(p, "=")
 			switch name {
 			case "url":
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -53,7 +53,7 @@
 	OptionNotSupported     = 551
 )
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	OK: "OK", BadRequest: "Bad Request", Unauthorized: "Unauthorized", NotFound: "Not Found", MethodNotAllowed: "Method Not Allowed",
 	TooLarge: "Request Entity Too Large", URITooLong: "Request-URI Too Large",
 	ParameterNotUnderstood: "Parameter Not Understood", NotEnoughBandwidth: "Not Enough Bandwidth",
@@ -67,7 +67,7 @@
 
 // Reason is the phrase that goes with a status code.
 func Reason(status int) string {
-	if r, ok := reasons[status]; ok {
+	if r, ok := reasonPhrases[status]; ok {
 		return r
 	}
 	return "Status " + strconv.Itoa(status)
@@ -129,7 +129,7 @@
 }
 
 // names that RFC 2326 writes otherwise than net/textproto does.
-var written = map[string]string{"Cseq": "CSeq", "Rtp-Info": "RTP-Info", "Www-Authenticate": "WWW-Authenticate"}
+var wireNames = map[string]string{"Cseq": "CSeq", "Rtp-Info": "RTP-Info", "Www-Authenticate": "WWW-Authenticate"}
 
 // Append appends the message as it goes on the wire. Header fields come in the order of their names.
 func (m *Message) Append(b []byte) []byte {
@@ -153,12 +153,12 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		as := name
-		if w, ok := written[name]; ok {
-			as = w
+		wireName := name
+		if w, ok := wireNames[name]; ok {
+			wireName = w
 		}
 		for _, v := range m.Header[name] {
-			b = fmt.Appendf(b, "%s: %s\r\n", as, clean(v))
+			b = fmt.Appendf(b, "%s: %s\r\n", wireName, replaceLineBreaks(v))
 		}
 	}
 	// Peers that want a length on every message have it asked for by the field.
@@ -169,8 +169,8 @@
 	return append(b, m.Body...)
 }
 
-// clean keeps a value that came from outside from starting a header line of its own.
-func clean(v string) string {
+// replaceLineBreaks keeps a value that came from outside from starting a header line of its own.
+func replaceLineBreaks(v string) string {
 	if strings.ContainsAny(v, "\r\n") {
 		return strings.NewReplacer("\r", " ", "\n", " ").Replace(v)
 	}
@@ -189,20 +189,20 @@
 
 // DefaultLimits holds the limits in force where none are set: a line of 4 kB holds any URL that players make, 64 header
 // lines are three times what the fullest message of RFC 2326's examples has, and no description here passes 64 kB.
-var DefaultLimits = Limits{LineBytes: 4096, HeaderLines: 64, BodyBytes: 64 << 10, FrameBytes: 65535, MessageBytes: 512 << 10, BufferBytes: mostBuffer}
+var DefaultLimits = Limits{LineBytes: 4096, HeaderLines: 64, BodyBytes: 64 << 10, FrameBytes: 65535, MessageBytes: 512 << 10, BufferBytes: maxBufferSize}
 
-func (b Limits) orUsual() Limits {
-	or := func(v *int, usual int) {
+func (b Limits) withDefaults() Limits {
+	setDefault := func(v *int, def int) {
 		if *v <= 0 {
-			*v = usual
+			*v = def
 		}
 	}
-	or(&b.LineBytes, DefaultLimits.LineBytes)
-	or(&b.HeaderLines, DefaultLimits.HeaderLines)
-	or(&b.BodyBytes, DefaultLimits.BodyBytes)
-	or(&b.FrameBytes, DefaultLimits.FrameBytes)
-	or(&b.MessageBytes, DefaultLimits.MessageBytes)
-	or(&b.BufferBytes, DefaultLimits.BufferBytes)
+	setDefault(&b.LineBytes, DefaultLimits.LineBytes)
+	setDefault(&b.HeaderLines, DefaultLimits.HeaderLines)
+	setDefault(&b.BodyBytes, DefaultLimits.BodyBytes)
+	setDefault(&b.FrameBytes, DefaultLimits.FrameBytes)
+	setDefault(&b.MessageBytes, DefaultLimits.MessageBytes)
+	setDefault(&b.BufferBytes, DefaultLimits.BufferBytes)
 	return b
 }
 
@@ -220,10 +220,10 @@
 	return &MalformedError{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
-// startLine reads a request line or a status line.
-func (m *Message) startLine(line string) error {
+// parseStartLine reads a request line or a status line.
+func (m *Message) parseStartLine(line string) error {
 	if v, rest, ok := strings.Cut(line, " "); ok && strings.HasPrefix(v, "RTSP/") {
-		if !m.version(v) {
+		if !m.parseVersion(v) {
 			return malformed(0, "version %.20q", v)
 		}
 		code, reason, _ := strings.Cut(rest, " ")
@@ -238,20 +238,20 @@
 	if len(parts) != 3 {
 		return malformed(BadRequest, "start line %.40q", line)
 	}
-	if parts[0] == "" || len(parts[0]) > 32 || !token(parts[0]) {
+	if parts[0] == "" || len(parts[0]) > 32 || !isToken(parts[0]) {
 		return malformed(BadRequest, "method %.40q", parts[0])
 	}
 	if parts[1] == "" {
 		return malformed(BadRequest, "empty URL")
 	}
-	if !m.version(parts[2]) {
+	if !m.parseVersion(parts[2]) {
 		return malformed(BadRequest, "version %.20q", parts[2])
 	}
 	m.Method, m.URL = parts[0], parts[1]
 	return nil
 }
 
-func (m *Message) version(s string) bool {
+func (m *Message) parseVersion(s string) bool {
 	s, ok := strings.CutPrefix(s, "RTSP/")
 	if !ok {
 		return false
@@ -264,8 +264,8 @@
 	return true
 }
 
-// token tells whether s is made of RFC 2326's token characters.
-func token(s string) bool {
+// isToken tells whether s is made of RFC 2326's isToken characters.
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
@@ -275,13 +275,13 @@
 	return s != ""
 }
 
-// errLine is a line longer than the limit.
-var errLine = errors.New("line too long")
+// errLineTooLong is a line longer than the limit.
+var errLineTooLong = errors.New("line too long")
 
 // readLine reads a line without its end: CR LF, or LF alone as section 15.1 has receivers take it. A line that a
 // deadline cut short stays whole for the next call.
 func (c *Conn) readLine() (string, error) {
-	line, err := c.in.line(c.bounds.LineBytes)
+	line, err := c.in.readLine(c.limits.LineBytes)
 	if err != nil {
 		if errors.Is(err, io.EOF) && len(line) > 0 {
 			err = io.ErrUnexpectedEOF
@@ -298,9 +298,9 @@
 // readMessage reads a message whose start line is line.
 func (c *Conn) readMessage(line string) (*Message, error) {
 	m := &Message{Header: Header{}}
-	start := m.startLine(line)
-	if start != nil && start.(*MalformedError).Status == 0 {
-		return nil, start
+	startErr := m.parseStartLine(line)
+	if startErr != nil && startErr.(*MalformedError).Status == 0 {
+		return nil, startErr
 	}
 	fail := func(err error) error {
 		var bad *MalformedError
@@ -312,12 +312,12 @@
 		}
 		return err
 	}
-	last, whole := "", len(line)
+	lastField, size := "", len(line)
 	for n := 0; ; n++ {
 		line, err := c.readLine()
-		whole += len(line)
-		if err == errLine {
-			return nil, fail(malformed(TooLarge, "a header line of over %d bytes", c.bounds.LineBytes))
+		size += len(line)
+		if err == errLineTooLong {
+			return nil, fail(malformed(TooLarge, "a header line of over %d bytes", c.limits.LineBytes))
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -328,36 +328,36 @@
 		if line == "" {
 			break
 		}
-		if n >= c.bounds.HeaderLines || whole > c.bounds.MessageBytes {
-			return nil, fail(malformed(TooLarge, "%d header lines of %d bytes", n+1, whole))
+		if n >= c.limits.HeaderLines || size > c.limits.MessageBytes {
+			return nil, fail(malformed(TooLarge, "%d header lines of %d bytes", n+1, size))
 		}
 		if line[0] == ' ' || line[0] == '\t' { // a folded line continues the field before
-			if last == "" {
+			if lastField == "" {
 				return nil, fail(malformed(BadRequest, "a continued line before any field"))
 			}
-			v := m.Header[last]
-			if len(v[len(v)-1])+len(line) > c.bounds.LineBytes {
-				return nil, fail(malformed(TooLarge, "a field of over %d bytes", c.bounds.LineBytes))
+			v := m.Header[lastField]
+			if len(v[len(v)-1])+len(line) > c.limits.LineBytes {
+				return nil, fail(malformed(TooLarge, "a field of over %d bytes", c.limits.LineBytes))
 			}
 			v[len(v)-1] += " " + strings.TrimSpace(line)
 			continue
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if name = strings.TrimRight(name, " \t"); !ok || !token(name) {
+		if name = strings.TrimRight(name, " \t"); !ok || !isToken(name) {
 			return nil, fail(malformed(BadRequest, "header line %.40q", line))
 		}
-		last = textproto.CanonicalMIMEHeaderKey(name)
-		m.Header[last] = append(m.Header[last], strings.TrimSpace(value))
+		lastField = textproto.CanonicalMIMEHeaderKey(name)
+		m.Header[lastField] = append(m.Header[lastField], strings.TrimSpace(value))
 	}
-	if start != nil {
-		return nil, fail(start)
+	if startErr != nil {
+		return nil, fail(startErr)
 	}
 	if v, ok := m.Header["Content-Length"]; ok {
 		n, err := strconv.Atoi(v[0])
 		if err != nil || n < 0 || len(v) > 1 {
 			return nil, fail(malformed(BadRequest, "Content-Length %.20q", v[0]))
 		}
-		if n > c.bounds.BodyBytes || n > c.bounds.MessageBytes-whole {
+		if n > c.limits.BodyBytes || n > c.limits.MessageBytes-size {
 			return nil, fail(malformed(TooLarge, "a body of %d bytes", n))
 		}
 		m.Body = make([]byte, n)
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// input is a connection that only reads.
-type input struct {
+// readOnlyConn is a connection that only reads.
+type readOnlyConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (i input) Read(b []byte) (int, error) { return i.Reader.Read(b) }
+func (i readOnlyConn) Read(b []byte) (int, error) { return i.Reader.Read(b) }
 
-func reader(s string, b Limits) *Conn {
-	return NewConn(input{Reader: iotest.OneByteReader(strings.NewReader(s))}, b)
+func newTestConn(s string, b Limits) *Conn {
+	return NewConn(readOnlyConn{Reader: iotest.OneByteReader(strings.NewReader(s))}, b)
 }
 
-func TestMessagesAndFramesMixed(t *testing.T) {
+func TestInterleavedMessagesAndFrames(t *testing.T) {
 	frame := AppendFrame(nil, 3, bytes.Repeat([]byte{7}, 9000)) // longer than the buffer
 	in := "SETUP rtsp://h/g/t/track1 RTSP/1.0\r\nCSeq: 4\r\nTransport: RTP/AVP/TCP;unicast;\r\n interleaved=2-3\r\n\r\n" +
 		string(frame) + "\r\nRTSP/1.0 200 OK\r\ncseq: 9\r\nSession: abc;timeout=20\r\nContent-Length: 3\r\n\r\nxyz$\x01\x00\x02hi" +
 		"PLAY rtsp://h/g/t RTSP/1.0\nCSeq: 5\n\n"
-	c := reader(in, Limits{})
+	c := newTestConn(in, Limits{})
 	m, _, err := c.Next()
 	if err != nil || m.Method != Setup || m.CSeq() != 4 {
 		t.Fatalf("first: %+v %v", m, err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRefusedInput(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
 		in     string
@@ -88,7 +88,7 @@
 		"ends in its header": {"$\x00", -1, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, err := reader(c.in, Limits{}).Next()
+			m, _, err := newTestConn(c.in, Limits{}).Next()
 			var bad *MalformedError
 			switch {
 			case err == nil:
@@ -102,20 +102,20 @@
 			}
 		})
 	}
-	if _, _, err := reader("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
+	if _, _, err := newTestConn("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
 		t.Error("a frame over the limit was taken")
 	}
 }
 
-func TestWrittenMessagesKeepToTheirLines(t *testing.T) {
+func TestHeaderInjection(t *testing.T) {
 	m := NewRequest(Options, "*").WithHeader("CSeq", "1").WithHeader("User-Agent", "x\r\nSession: stolen")
-	got, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
+	got, _, err := NewConn(readOnlyConn{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 	if err != nil || got.Session() != "" || got.CSeq() != 1 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-func TestRanges(t *testing.T) {
+func TestParseRange(t *testing.T) {
 	for in, want := range map[string]Range{
 		"npt=1.5-":       {Start: 1.5, End: math.Inf(1)},
 		"npt=0:01:10-80": {Start: 70, End: 80},
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPlaces(t *testing.T) {
+func TestParseURL(t *testing.T) {
 	p, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
 	if err != nil || p.Group != "fault-clips" || p.Title != "vent 1" || p.Track != 1 || p.Query != "viewer=7" {
 		t.Errorf("%+v %v", p, err)
@@ -153,7 +153,7 @@
 	f.Add([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3\r\n\r\nabc\r\n\r\n"))
 	f.Add([]byte("$\x00\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := NewConn(input{Reader: bytes.NewReader(in)}, Limits{LineBytes: 200, HeaderLines: 10, BodyBytes: 300})
+		c := NewConn(readOnlyConn{Reader: bytes.NewReader(in)}, Limits{LineBytes: 200, HeaderLines: 10, BodyBytes: 300})
 		for {
 			m, _, err := c.Next()
 			if err != nil {
@@ -163,7 +163,7 @@
 				continue
 			}
 			// What was read comes out the same after it was written.
-			again, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
+			again, _, err := NewConn(readOnlyConn{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 			if err != nil {
 				t.Fatalf("%q can't be read again: %v", m.Append(nil), err)
 			}
@@ -203,7 +203,7 @@
 
 func BenchmarkFrames(b *testing.B) {
 	one := AppendFrame(nil, 0, make([]byte, 1400))
-	c := NewConn(input{Reader: &endless{bytes.Repeat(one, 40), 0}}, Limits{})
+	c := NewConn(readOnlyConn{Reader: &loopReader{bytes.Repeat(one, 40), 0}}, Limits{})
 	b.SetBytes(int64(len(one)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -213,26 +213,26 @@
 	}
 }
 
-type endless struct {
+type loopReader struct {
 	b  []byte
 	at int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *loopReader) Read(p []byte) (int, error) {
 	n := copy(p, e.b[e.at:])
 	e.at = (e.at + n) % len(e.b)
 	return n, nil
 }
 
 // A message's lines and body together stay within their bound, whatever each is.
-func TestWholeMessageBound(t *testing.T) {
+func TestMessageSizeLimit(t *testing.T) {
 	for in, ok := range map[string]bool{
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\n\r\n":                                                   true,
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\nY: " + strings.Repeat("a", 150) + "\r\n\r\n":            false,
 		"OPTIONS * RTSP/1.0\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100):                                        true,
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100): false,
 	} {
-		c := NewConn(input{nil, strings.NewReader(in)}, Limits{MessageBytes: 256, BufferBytes: 512})
+		c := NewConn(readOnlyConn{nil, strings.NewReader(in)}, Limits{MessageBytes: 256, BufferBytes: 512})
 		if _, _, err := c.Next(); (err == nil) != ok {
 			t.Errorf("%.60q: %v", in, err)
 		}
@@ -240,15 +240,15 @@
 }
 
 // What lies behind a message tells whether its length was right.
-func TestAstray(t *testing.T) {
+func TestOutOfSync(t *testing.T) {
 	const m = "RTSP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"
-	for rest, astray := range map[string]bool{
+	for rest, outOfSync := range map[string]bool{
 		"": false, "\r\n": false, "RTSP/1.0 200 OK\r\n": false, "RTSP": false, "RTSP/1.0": false, "TEARDOWN rtsp://x RTSP/1.0\r\n": false, "ANNOU": false, "SET_PARAM": false,
 		"=IN IP4\r\n": true, "m=video 1": true, "8": true, "31000 RTP/AVP": true, "\r\nc=IN": true, "RTSP/x.y 200": true, "NOT A START LINE\r\n": true,
 	} {
-		c := NewConn(input{nil, strings.NewReader(m + rest)}, Limits{})
-		if _, _, err := c.Next(); err != nil || c.OutOfSync() != astray {
-			t.Errorf("%q is astray: %v, %v", rest, !astray, err)
+		c := NewConn(readOnlyConn{nil, strings.NewReader(m + rest)}, Limits{})
+		if _, _, err := c.Next(); err != nil || c.OutOfSync() != outOfSync {
+			t.Errorf("%q is astray: %v, %v", rest, !outOfSync, err)
 		}
 	}
 }
--- a/internal/settings/migrate.go
+++ b/internal/settings/migrate.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return m, err
 	}
-	m.left(file, old, over, instance)
+	m.listNotMigrated(file, old, over, instance)
 	for _, f := range FrontForms {
 		for _, e := range over.Entries(f.Name) {
 			m.overlay(f, old, over, e)
@@ -58,14 +58,14 @@
 	if _, ok := over.Single("everywhere"); ok {
 		fleet, _ := old.Single("fleet")
 		for _, e := range old.Entries("title") {
-			m.set("title "+e.Text("name"), e, Field{Name: "start_cell", Kind: Integer}, 0)
-			m.set("title "+e.Text("name"), e, Field{Name: "span", Kind: Integer}, fleet.Number("cells"))
+			m.setNumber("title "+e.Text("name"), e, Field{Name: "start_cell", Kind: Integer}, 0)
+			m.setNumber("title "+e.Text("name"), e, Field{Name: "span", Kind: Integer}, fleet.Number("cells"))
 		}
 	}
 	if len(over.Diagnostics) > 0 {
 		return Migration{}, over.Diagnostics
 	}
-	script := old.script()
+	script := old.source()
 	after := Read(file+" for "+layout, script, FrontForms)
 	terms := FrontConfig(after)
 	if len(after.Diagnostics) > 0 {
@@ -79,8 +79,8 @@
 	return m, nil
 }
 
-// left lists what cannot be carried over.
-func (m *Migration) left(file string, old, over *Document, instance int) {
+// listNotMigrated lists what cannot be carried over.
+func (m *Migration) listNotMigrated(file string, old, over *Document, instance int) {
 	if src, err := os.ReadFile(file); err == nil {
 		comments := 0
 		for _, line := range strings.Split(string(src), "\n") {
@@ -91,7 +91,7 @@
 		if comments > 0 {
 			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("%d lines of comments; names, loops and sums are written as what they came to", comments))
 		}
-		if other := read(file, src, FrontForms, instance+1); string(other.script()) != string(old.script()) {
+		if other := readInstance(file, src, FrontForms, instance+1); string(other.source()) != string(old.source()) {
 			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("what follows from the number of the instance: this is for instance %d alone", instance))
 		}
 	}
@@ -115,14 +115,14 @@
 	name := f.Name
 	i := 0
 	if f.Key != "" {
-		key := func(e Entry) string { return e.value(f, f.Key) }
+		key := func(e Entry) string { return e.format(f, f.Key) }
 		if i = slices.IndexFunc(old.Entries(f.Name), func(o Entry) bool { return key(o) == key(e) }); i < 0 {
 			over.Errorf(e.Line, "%s: there is no %s %s in the old settings", f.Name, f.Name, key(e))
 			return
 		}
 		name += " " + key(e)
 	} else if len(old.Entries(f.Name)) == 0 {
-		old.take(f, e.Line, nil) // with its defaults; what it needs beyond these the outcome's check asks for
+		old.addEntry(f, e.Line, nil) // with its defaults; what it needs beyond these the outcome's check asks for
 		old.Diagnostics = nil
 	}
 	o := old.Entries(f.Name)[i]
@@ -130,28 +130,28 @@
 		if !e.Has(x.Name) || x.Name == f.Key {
 			continue
 		}
-		was := o.value(f, x.Name)
-		o.numbers[x.Name], o.texts[x.Name], o.lists[x.Name], o.words[x.Name] = e.numbers[x.Name], e.texts[x.Name], e.lists[x.Name], e.words[x.Name]
-		m.note(name, o, f, x, was)
+		was := o.format(f, x.Name)
+		o.numbers[x.Name], o.texts[x.Name], o.numberLists[x.Name], o.textLists[x.Name] = e.numbers[x.Name], e.texts[x.Name], e.numberLists[x.Name], e.textLists[x.Name]
+		m.recordChange(name, o, f, x, was)
 	}
 }
 
-func (m *Migration) set(name string, e Entry, x Field, to float64) {
+func (m *Migration) setNumber(name string, e Entry, x Field, to float64) {
 	f := Form{Fields: []Field{x}}
-	was := e.value(f, x.Name)
+	was := e.format(f, x.Name)
 	e.numbers[x.Name] = to
-	m.note(name, e, f, x, was)
+	m.recordChange(name, e, f, x, was)
 }
 
-func (m *Migration) note(name string, e Entry, f Form, x Field, was string) {
-	e.set[x.Name] = true
-	if now := e.value(f, x.Name); now != was {
+func (m *Migration) recordChange(name string, e Entry, f Form, x Field, was string) {
+	e.given[x.Name] = true
+	if now := e.format(f, x.Name); now != was {
 		m.Changed = append(m.Changed, fmt.Sprintf("%s: %s is %s, was %s", name, x.Name, now, was))
 	}
 }
 
-// value is a field as a script writes it.
-func (e Entry) value(f Form, name string) string {
+// format is a field as a script writes it.
+func (e Entry) format(f Form, name string) string {
 	x := f.Fields[slices.IndexFunc(f.Fields, func(x Field) bool { return x.Name == name })]
 	number := func(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 	var list []string
@@ -161,11 +161,11 @@
 	case Bool:
 		return map[bool]string{true: "True", false: "False"}[e.Bool(name)]
 	case NumberList:
-		for _, n := range e.lists[name] {
+		for _, n := range e.numberLists[name] {
 			list = append(list, number(n))
 		}
 	case TextList:
-		for _, t := range e.words[name] {
+		for _, t := range e.textLists[name] {
 			list = append(list, strconv.Quote(t))
 		}
 	default:
@@ -174,15 +174,15 @@
 	return "[" + strings.Join(list, ", ") + "]"
 }
 
-// script writes what a sheet holds, flat.
-func (s *Document) script() []byte {
+// source writes what a sheet holds, flat.
+func (s *Document) source() []byte {
 	var out strings.Builder
 	for _, f := range FrontForms {
 		for _, e := range s.Entries(f.Name) {
 			var fields []string
 			for _, x := range f.Fields {
 				if e.Has(x.Name) {
-					fields = append(fields, x.Name+" = "+e.value(f, x.Name))
+					fields = append(fields, x.Name+" = "+e.format(f, x.Name))
 				}
 			}
 			fmt.Fprintf(&out, "%s(%s)\n", f.Name, strings.Join(fields, ", "))
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func migrated(t *testing.T, old, layout string) (Migration, Config, error) {
+func migrate(t *testing.T, old, layout string) (Migration, Config, error) {
 	t.Helper()
 	dir := t.TempDir()
 	names := [2]string{filepath.Join(dir, "old.star"), filepath.Join(dir, "layout.star")}
@@ -23,12 +23,12 @@
 }
 
 // Without a layout a script comes out flat and means the same.
-func TestMigrationKeepsWhatNoLayoutChanges(t *testing.T) {
-	m, terms, err := migrated(t, "# north\n"+good+`user(name = "ada", password = "q\"\\u")`, "")
+func TestMigrationWithoutLayoutChanges(t *testing.T) {
+	m, terms, err := migrate(t, "# north\n"+validScript+`user(name = "ada", password = "q\"\\u")`, "")
 	if err != nil || len(m.Changed) > 0 {
 		t.Fatal(err, m.Changed)
 	}
-	want := FrontConfig(Read("old.star", []byte(good+`user(name = "ada", password = "q\"\\u")`), FrontForms))
+	want := FrontConfig(Read("old.star", []byte(validScript+`user(name = "ada", password = "q\"\\u")`), FrontForms))
 	if !reflect.DeepEqual(terms, want) {
 		t.Errorf("%+v\n%+v", terms, want)
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestMigrationToAnotherLayout(t *testing.T) {
-	m, terms, err := migrated(t, strings.Replace(good, "seats = 5", "paid = True", 1)+`setups(most = 3)
+func TestMigrationAppliesLayout(t *testing.T) {
+	m, terms, err := migrate(t, strings.Replace(validScript, "seats = 5", "paid = True", 1)+`setups(most = 3)
 front_names = instance
 limits(sessions = 1000 + instance)
 `, `
@@ -72,14 +72,14 @@
 	}
 }
 
-func TestMigrationRefuses(t *testing.T) {
+func TestMigrationErrors(t *testing.T) {
 	for name, c := range map[string]struct{ old, layout, says string }{
-		"a mistake in the old":     {strings.Replace(good, "places = 20", "places = 0", 1), "", ":6:"},
-		"a mistake in the layout":  {good, "fleet(shared_adds = 3)", "1 is the most"},
-		"a group that is not held": {good, `group(name = "clips", live = True)`, "no group"},
-		"an outcome with mistakes": {good, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
+		"a mistake in the old":     {strings.Replace(validScript, "places = 20", "places = 0", 1), "", ":6:"},
+		"a mistake in the layout":  {validScript, "fleet(shared_adds = 3)", "1 is the most"},
+		"a group that is not held": {validScript, `group(name = "clips", live = True)`, "no group"},
+		"an outcome with mistakes": {validScript, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
 	} {
-		m, _, err := migrated(t, c.old, c.layout)
+		m, _, err := migrate(t, c.old, c.layout)
 		if err == nil || !strings.Contains(err.Error(), c.says) || m.Script != nil {
 			t.Errorf("%s: %v, %q", name, err, m.Script)
 		}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -161,14 +161,14 @@
 	}
 	for _, field := range []string{"listen", "admin", "tls_listen", "redirect"} {
 		if a := e.Text(field); a != "" {
-			address(s, e, "front", field, a)
+			checkAddress(s, e, "front", field, a)
 		}
 	}
 	seen := map[string]int{}
 	for _, e := range s.Entries("box") {
 		b := Box{Address: e.Text("address"), Listing: choice.Listing{ID: choice.ServerID(e.Number("id")), Zone: t.Zone(s, e),
 			Cell: e.Int("cell"), Weight: 1, StartedAt: e.Number("born")}}
-		address(s, e, "box", "address", b.Address)
+		checkAddress(s, e, "box", "address", b.Address)
 		if line, twice := seen[b.Address]; twice && b.Address != "" {
 			s.Errorf(e.Line, "box: address %s is that of the box on line %d", b.Address, line)
 		}
@@ -184,7 +184,7 @@
 		default:
 			s.Errorf(e.Line, "box: state is %q; ready, draining or gone would be right", e.Text("state"))
 		}
-		t.cell(s, e, "box", "cell")
+		t.checkCell(s, e, "box", "cell")
 		t.Boxes = append(t.Boxes, b)
 	}
 	for _, e := range s.Entries("title") {
@@ -254,14 +254,14 @@
 	if f.Racks > f.Cells {
 		s.Errorf(e.Line, "fleet: %d racks in %d cells; a rack has one cell at least", f.Racks, f.Cells)
 	}
-	e = s.orDefaults("setups")
+	e = s.singleOrDefaults("setups")
 	f.MaxSetups, f.MaxRetryAfter = e.Int("most"), e.Number("advice")
 	f.BaseRetries, f.RetriesPerSession, f.RetryWindow = e.Number("spare"), e.Number("share"), e.Number("window")
 	if e, ok := s.Single("cold"); ok {
 		f.WarmUp, f.ColdShare = e.Number("warm_up"), e.Number("share")
 		f.OverloadFactor, f.OverloadTime = e.Number("fall_factor"), e.Number("fall_time")
 	}
-	e = s.orDefaults("reports")
+	e = s.singleOrDefaults("reports")
 	f.NoteLag, f.NoteInterval, f.FullThreshold, f.Probes = e.Number("lag"), e.Number("notes_every"), e.Number("full_at"), e.Bool("probes")
 	switch e.Text("come") {
 	case "answers":
@@ -274,61 +274,61 @@
 		s.Errorf(e.Line, "reports: come is %q; answers, probes or never would be right", e.Text("come"))
 	}
 	for _, e := range s.Entries("title") {
-		t.cell(s, e, "title", "start_cell")
+		t.checkCell(s, e, "title", "start_cell")
 		if e.Int("span") > f.Cells && f.Cells > 0 {
 			s.Errorf(e.Line, "title %s: span %d is more than the %d cells", e.Text("name"), e.Int("span"), f.Cells)
 		}
 		t.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), Span: e.Int("span"), Length: e.Number("length")}
 	}
-	e = s.orDefaults("limits")
+	e = s.singleOrDefaults("limits")
 	t.Limits = limits.Bounds{Connections: e.Int("connections"), Sessions: e.Int("sessions"), BoxConnections: e.Int("box_connections"),
 		Queue: e.Int("queue"), ViewerIdle: e.Number("viewer_idle"), KeepAlive: e.Number("keep_alive"),
 		ConnectTimeout: e.Number("connect_timeout"), ProbeTimeout: e.Number("probe_timeout"), WriteStall: e.Number("write_stall")}
-	e = s.orDefaults("drains")
+	e = s.singleOrDefaults("drains")
 	t.DrainGrace = e.Number("grace")
 	return t
 }
 
-// orDefaults is the only call of a form, or one with nothing but defaults.
-func (s *Document) orDefaults(form string) Entry {
+// singleOrDefaults is the only call of a form, or one with nothing but defaults.
+func (s *Document) singleOrDefaults(form string) Entry {
 	if e, ok := s.Single(form); ok {
 		return e
 	}
 	blank := &Document{entries: map[string][]Entry{}}
 	for _, f := range CommonForms {
 		if f.Name == form {
-			blank.take(f, 0, nil)
+			blank.addEntry(f, 0, nil)
 		}
 	}
 	e, _ := blank.Single(form)
 	return e
 }
 
-func (t *Config) cell(s *Document, e Entry, form, field string) {
+func (t *Config) checkCell(s *Document, e Entry, form, field string) {
 	if c := e.Int(field); c >= t.Choice.Cells && t.Choice.Cells > 0 {
 		s.Errorf(e.Line, "%s: %s is %d; 0 to %d would be right", form, field, c, t.Choice.Cells-1)
 	}
 }
 
-// named is the number of the name in an entry's field among those declared; 0 where the field is empty.
-func named(s *Document, e Entry, field string, declared []string) int {
+// declaredIndex is the number of the name in an entry's field among those declared; 0 where the field is empty.
+func declaredIndex(s *Document, e Entry, field string, declared []string) int {
 	name := e.Text(field)
 	if name == "" {
 		return 0
 	}
 	i := slices.Index(declared, name)
 	if i < 0 {
-		s.Errorf(e.Line, "%s %s is not declared%s", field, name, nearest(name, declared))
+		s.Errorf(e.Line, "%s %s is not declared%s", field, name, suggest(name, declared))
 		return 0
 	}
 	return i
 }
 
 // Zone and Kind are the numbers of an entry's zone and kind.
-func (t *Config) Zone(s *Document, e Entry) int { return named(s, e, "zone", t.Zones) }
-func (t *Config) Kind(s *Document, e Entry) int { return named(s, e, "kind", t.Kinds) }
+func (t *Config) Zone(s *Document, e Entry) int { return declaredIndex(s, e, "zone", t.Zones) }
+func (t *Config) Kind(s *Document, e Entry) int { return declaredIndex(s, e, "kind", t.Kinds) }
 
-func address(s *Document, e Entry, form, field, a string) {
+func checkAddress(s *Document, e Entry, form, field, a string) {
 	host, port, err := net.SplitHostPort(a)
 	n, bad := strconv.Atoi(port)
 	if err != nil || bad != nil || n < 0 || n > 65535 || host == "" && form == "box" {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -72,12 +72,12 @@
 
 // Entry is one call that a script made.
 type Entry struct {
-	Line    int
-	numbers map[string]float64
-	texts   map[string]string
-	lists   map[string][]float64
-	words   map[string][]string
-	set     map[string]bool
+	Line        int
+	numbers     map[string]float64
+	texts       map[string]string
+	numberLists map[string][]float64
+	textLists   map[string][]string
+	given       map[string]bool
 }
 
 // Number, Int, Text, Flag, Numbers and Texts are a field's value, or its default.
@@ -85,11 +85,11 @@
 func (e Entry) Int(name string) int              { return int(e.numbers[name]) }
 func (e Entry) Text(name string) string          { return e.texts[name] }
 func (e Entry) Bool(name string) bool            { return e.numbers[name] != 0 }
-func (e Entry) NumberList(name string) []float64 { return e.lists[name] }
-func (e Entry) TextList(name string) []string    { return e.words[name] }
+func (e Entry) NumberList(name string) []float64 { return e.numberLists[name] }
+func (e Entry) TextList(name string) []string    { return e.textLists[name] }
 
 // Has tells whether a field was given.
-func (e Entry) Has(name string) bool { return e.set[name] }
+func (e Entry) Has(name string) bool { return e.given[name] }
 
 // Document is what a script said.
 type Document struct {
@@ -111,15 +111,15 @@
 
 // Errorf adds a mistake at a line.
 func (s *Document) Errorf(line int, format string, args ...any) {
-	if len(s.Diagnostics) < mostMistakes {
+	if len(s.Diagnostics) < maxDiagnostics {
 		s.Diagnostics = append(s.Diagnostics, Diagnostic{s.File, line, fmt.Sprintf(format, args...)})
 	}
 }
 
 const (
-	mostMistakes = 50       // told of one script; the rest follow once these are mended
-	mostSteps    = 20 << 20 // of a script's run: a second or so, for scripts that never end
-	mostEntries  = 20000    // calls in all
+	maxDiagnostics = 50       // told of one script; the rest follow once these are mended
+	maxSteps       = 20 << 20 // of a script's run: a second or so, for scripts that never end
+	maxCalls       = 20000    // calls in all
 )
 
 // ReadFile reads a script from a file for an instance. The error is the file's; mistakes are in the sheet.
@@ -128,32 +128,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
-	return read(file, src, forms, instance), nil
+	return readInstance(file, src, forms, instance), nil
 }
 
 // Read runs a script and takes the calls that its forms allow.
-func Read(file string, src []byte, forms []Form) *Document { return read(file, src, forms, 0) }
+func Read(file string, src []byte, forms []Form) *Document { return readInstance(file, src, forms, 0) }
 
-// read is Read for one of many instances of one script, which knows its number by the name instance.
-func read(file string, src []byte, forms []Form, instance int) *Document {
+// readInstance is Read for one of many instances of one script, which knows its number by the name instance.
+func readInstance(file string, src []byte, forms []Form, instance int) *Document {
 	s := &Document{File: file, entries: map[string][]Entry{}}
 	known, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
 	for _, f := range forms {
 		known[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
 			line := int(t.CallFrame(1).Pos.Line)
-			if count++; count > mostEntries {
-				return nil, fmt.Errorf("over %d calls", mostEntries)
+			if count++; count > maxCalls {
+				return nil, fmt.Errorf("over %d calls", maxCalls)
 			}
 			if len(args) > 0 {
 				s.Errorf(line, "%s takes named fields only, as in %s", f.Name, f.example())
 				return starlark.None, nil
 			}
-			s.take(f, line, kw)
+			s.addEntry(f, line, kw)
 			return starlark.None, nil
 		})
 	}
 	thread := &starlark.Thread{Name: file, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(mostSteps)
+	thread.SetMaxExecutionSteps(maxSteps)
 	_, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, file, src, known)
 	var syn syntax.Error
 	var eval *starlark.EvalError
@@ -170,34 +170,34 @@
 		}
 		s.Errorf(line, "%s", eval.Msg)
 	default:
-		s.unresolved(err, forms)
+		s.reportUnresolved(err, forms)
 	}
 	if len(s.Diagnostics) > 0 && len(s.entries) == 0 {
 		return s // it did not run at all: what is missing would only be noise
 	}
 	for _, f := range forms {
-		s.whole(f)
+		s.checkForm(f)
 	}
 	slices.SortStableFunc(s.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
 	return s
 }
 
-// unresolved names each unknown name of a script and the nearest one that there is.
-func (s *Document) unresolved(err error, forms []Form) {
+// reportUnresolved names each unknown name of a script and the nearest one that there is.
+func (s *Document) reportUnresolved(err error, forms []Form) {
 	names := make([]string, len(forms))
 	for i, f := range forms {
 		names[i] = f.Name
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
-		n, what := 1, line
+		n, message := 1, line
 		if parts := strings.SplitN(strings.TrimPrefix(line, s.File+":"), ":", 3); len(parts) == 3 {
 			fmt.Sscan(parts[0], &n)
-			what = strings.TrimSpace(parts[2])
+			message = strings.TrimSpace(parts[2])
 		}
-		if _, name, ok := strings.Cut(what, "undefined: "); ok {
-			what = fmt.Sprintf("there is no %s%s", name, nearest(name, names))
+		if _, name, ok := strings.Cut(message, "undefined: "); ok {
+			message = fmt.Sprintf("there is no %s%s", name, suggest(name, names))
 		}
-		s.Errorf(n, "%s", what)
+		s.Errorf(n, "%s", message)
 	}
 }
 
@@ -210,10 +210,10 @@
 	return f.Name + "()"
 }
 
-// take reads one call.
-func (s *Document) take(f Form, line int, kw []starlark.Tuple) {
-	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, lists: map[string][]float64{},
-		words: map[string][]string{}, set: map[string]bool{}}
+// addEntry reads one call.
+func (s *Document) addEntry(f Form, line int, kw []starlark.Tuple) {
+	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, numberLists: map[string][]float64{},
+		textLists: map[string][]string{}, given: map[string]bool{}}
 	for _, x := range f.Fields {
 		switch d := x.Default.(type) {
 		case float64:
@@ -234,25 +234,25 @@
 		name := string(pair[0].(starlark.String))
 		i := slices.Index(names, name)
 		if i < 0 {
-			s.Errorf(line, "%s has no field %s%s", f.Name, name, nearest(name, names))
+			s.Errorf(line, "%s has no field %s%s", f.Name, name, suggest(name, names))
 			continue
 		}
-		e.set[name] = true
-		if why := e.field(f.Fields[i], pair[1]); why != "" {
-			s.Errorf(line, "%s: %s %s", f.Name, name, why)
+		e.given[name] = true
+		if problem := e.setField(f.Fields[i], pair[1]); problem != "" {
+			s.Errorf(line, "%s: %s %s", f.Name, name, problem)
 		}
 	}
 	for _, x := range f.Fields {
-		if x.Required && !e.set[x.Name] {
+		if x.Required && !e.given[x.Name] {
 			s.Errorf(line, "%s needs %s: %s, %s", f.Name, x.Name, x.Kind, x.Doc)
 		}
 	}
 	s.entries[f.Name] = append(s.entries[f.Name], e)
 }
 
-// field takes one value; what is wrong with it comes back in words.
-func (e Entry) field(x Field, v starlark.Value) string {
-	wrong := fmt.Sprintf("is %s; %s belongs there: %s", clip(v.String()), x.Kind, x.Doc)
+// setField takes one value; what is wrong with it comes back in words.
+func (e Entry) setField(x Field, v starlark.Value) string {
+	wrongKind := fmt.Sprintf("is %s; %s belongs there: %s", truncate(v.String()), x.Kind, x.Doc)
 	number := func(v starlark.Value) (float64, bool) {
 		if _, is := v.(starlark.Bool); is {
 			return 0, false
@@ -260,7 +260,7 @@
 		n, ok := starlark.AsFloat(v)
 		return n, ok && !math.IsNaN(n) && !math.IsInf(n, 0)
 	}
-	bounds := func(n float64) string {
+	checkRange := func(n float64) string {
 		switch {
 		case n < x.Min:
 			return fmt.Sprintf("is %v; %v is the least", n, x.Min)
@@ -273,14 +273,14 @@
 	case Number, Integer:
 		n, ok := number(v)
 		if !ok || x.Kind == Integer && n != math.Trunc(n) {
-			return wrong
+			return wrongKind
 		}
 		e.numbers[x.Name] = n
-		return bounds(n)
+		return checkRange(n)
 	case Text:
 		t, ok := starlark.AsString(v)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		if e.texts[x.Name] = t; x.Required && t == "" {
 			return "is empty; " + x.Doc + " belongs there"
@@ -288,7 +288,7 @@
 	case Bool:
 		b, ok := v.(starlark.Bool)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		if e.numbers[x.Name] = 0; bool(b) {
 			e.numbers[x.Name] = 1
@@ -296,33 +296,33 @@
 	case NumberList, TextList:
 		list, ok := v.(starlark.Iterable)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		it := list.Iterate()
 		defer it.Done()
 		for one := starlark.Value(nil); it.Next(&one); {
 			if t, is := starlark.AsString(one); is && x.Kind == TextList {
-				e.words[x.Name] = append(e.words[x.Name], t)
+				e.textLists[x.Name] = append(e.textLists[x.Name], t)
 				continue
 			}
 			n, is := number(one)
 			if !is || x.Kind == TextList {
-				return wrong
+				return wrongKind
 			}
-			if why := bounds(n); why != "" {
-				return "has an entry that " + why
+			if problem := checkRange(n); problem != "" {
+				return "has an entry that " + problem
 			}
-			e.lists[x.Name] = append(e.lists[x.Name], n)
+			e.numberLists[x.Name] = append(e.numberLists[x.Name], n)
 		}
-		if x.Required && len(e.lists[x.Name])+len(e.words[x.Name]) == 0 {
+		if x.Required && len(e.numberLists[x.Name])+len(e.textLists[x.Name]) == 0 {
 			return "is empty; " + x.Doc + " belongs there"
 		}
 	}
 	return ""
 }
 
-// whole checks a form's calls together.
-func (s *Document) whole(f Form) {
+// checkForm checks a form's calls together.
+func (s *Document) checkForm(f Form) {
 	list := s.entries[f.Name]
 	if f.Required && len(list) == 0 {
 		s.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
@@ -341,25 +341,25 @@
 		}
 		if line, twice := seen[k]; twice {
 			s.Errorf(e.Line, "%s %s stands a second time; it was on line %d", f.Name, k, line)
-		} else if e.set[f.Key] {
+		} else if e.given[f.Key] {
 			seen[k] = e.Line
 		}
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:37] + "..."
 	}
 	return s
 }
 
-// nearest names the known word that a mistaken one is closest to, if any is close.
-func nearest(word string, known []string) string {
-	best, least := "", len(word)/2+1
+// suggest names the known word that a mistaken one is closest to, if any is close.
+func suggest(word string, known []string) string {
+	best, minDistance := "", len(word)/2+1
 	for _, k := range known {
-		if d := distance(word, k); d < least {
-			best, least = k, d
+		if d := editDistance(word, k); d < minDistance {
+			best, minDistance = k, d
 		}
 	}
 	if best == "" {
@@ -370,8 +370,8 @@
 	return "; " + best + " may be meant"
 }
 
-// distance is how many letters must change, come or go to make a of b.
-func distance(a, b string) int {
+// editDistance is how many letters must change, come or go to make a of b.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"rainhaven/choice"
 )
 
-const good = `
+const validScript = `
 fronts = 4
 front(name = "north-1", listen = "127.0.0.1:8554", me = 1, fronts = fronts, zone = "building-b")
 zone(name = "building-a")
@@ -23,8 +23,8 @@
 title(name = "vents", start_cell = 4, span = 3)
 `
 
-func TestGoodSettings(t *testing.T) {
-	s := Read("good.star", []byte(good), FrontForms)
+func TestValidSettings(t *testing.T) {
+	s := Read("good.star", []byte(validScript), FrontForms)
 	terms := FrontConfig(s)
 	if len(s.Diagnostics) > 0 {
 		t.Fatal(s.Diagnostics)
@@ -43,7 +43,7 @@
 }
 
 // Each mistake is named on its line, with what would be right.
-func TestMistakes(t *testing.T) {
+func TestDiagnostics(t *testing.T) {
 	for name, c := range map[string]struct {
 		from, to string
 		line     string
@@ -81,8 +81,8 @@
 		"divides by zero":    {"fronts = 4\n", "fronts = 4 // 0\n", ":2:", "division by zero"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			src := strings.Replace(good, c.from, c.to, 1)
-			if src == good {
+			src := strings.Replace(validScript, c.from, c.to, 1)
+			if src == validScript {
 				t.Fatal("the case changes nothing")
 			}
 			s := Read("f.star", []byte(src), FrontForms)
@@ -97,14 +97,14 @@
 	}
 }
 
-func TestNoFile(t *testing.T) {
+func TestMissingFile(t *testing.T) {
 	if _, err := ReadConfig("does-not-exist.star"); err == nil || !strings.Contains(err.Error(), "does-not-exist.star") {
 		t.Error(err)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validScript))
 	f.Add([]byte("box(id = 1 << 40, cell = -1)\nladder(rates = [])"))
 	f.Add([]byte("group(**{'name': 'a'})\nfront(*[1])"))
 	f.Fuzz(func(t *testing.T, src []byte) {
