--- a/internal/rtsp/buffer.go
+++ b/internal/rtsp/buffer.go
@@ -6,30 +6,30 @@
 	"io"
 )
 
-// errBufferLimit is more asked for than the buffer may ever hold.
-var errBufferLimit = errors.New("rtsp: more than the buffer may hold")
+// errBufferLimit is returned when more bytes are requested than the buffer may ever hold.
+var errBufferLimit = errors.New("rtsp: request exceeds the read buffer limit")
 
 const (
-	// minBufferSize holds a usual message or two packets; thousands of connections of slow sessions keep to it.
+	// minBufferSize fits a typical message or two packets. Thousands of connections with slow sessions stay at this size.
 	minBufferSize = 4 << 10
-	// maxBufferSize holds a whole frame and then some: at full speed a read takes a hundred packets at once.
+	// maxBufferSize fits more than one whole frame: at full speed, one read returns a hundred packets.
 	maxBufferSize = 160 << 10
 )
 
-// buffer is what was received and not yet taken. Other than bufio's it grows while reads fill it and is small again
-// after quiet times, so that a fast stream costs few reads and a slow one little memory.
+// buffer holds received bytes that have not been consumed. Unlike bufio.Reader it grows while reads fill it and shrinks
+// after a quiet period, so that a fast stream needs few reads and a slow one little memory.
 type buffer struct {
 	r            io.Reader
 	b            []byte
 	start, end   int
-	lastReadFull bool // the last read filled all that was free
-	smallReads   int  // reads in a row that took little of a large buffer
-	maxSize      int  // bytes held ahead
+	lastReadFull bool // the last read filled all free space
+	smallReads   int  // consecutive reads that used less than an eighth of the buffer
+	maxSize      int  // limit, in bytes, for growth by read-ahead
 }
 
 func (u *buffer) buffered() int { return u.end - u.start }
 
-// fill reads once, with room for need bytes from u.from on.
+// fill reads once, after making room for need bytes from u.start on.
 func (u *buffer) fill(need int) error {
 	size := len(u.b)
 	switch {
@@ -65,7 +65,8 @@
 	return io.ErrNoProgress
 }
 
-// peek gives the next n bytes without taking them; they are valid until the next call. Fewer come with an error.
+// peek returns the next n bytes without consuming them; they are valid until the next call. If it returns fewer than n
+// bytes, it also returns an error.
 func (u *buffer) peek(n int) ([]byte, error) {
 	if n > maxBufferSize {
 		return nil, errBufferLimit
@@ -78,10 +79,10 @@
 	return u.b[u.start : u.start+n], nil
 }
 
-// discard takes n bytes that were peeked at.
+// discard consumes n bytes returned by peek.
 func (u *buffer) discard(n int) { u.start += n }
 
-// readLine takes a readLine with its end, of at most so many bytes; errLine where it is longer.
+// readLine consumes a line including its line ending. It returns errLineTooLong if the line exceeds maxLen bytes.
 func (u *buffer) readLine(maxLen int) ([]byte, error) {
 	scanned := 0
 	for {
--- a/internal/rtsp/conn.go
+++ b/internal/rtsp/conn.go
@@ -11,38 +11,39 @@
 	"time"
 )
 
-// Conn reads messages and frames from a connection. It is read by one goroutine; writing is its owner's affair,
-// who appends Messages and frames to what it writes.
+// Conn reads messages and frames from a connection. Only one goroutine may read from it. Writing is left to the owner,
+// which encodes output with Message.Append and AppendFrame.
 type Conn struct {
 	net.Conn
 	in     buffer
 	limits Limits
 }
 
-// NewConn reads from c within bounds.
-func NewConn(c net.Conn, bounds Limits) *Conn {
-	bounds = bounds.withDefaults()
-	return &Conn{Conn: c, in: buffer{r: c, maxSize: bounds.BufferBytes}, limits: bounds}
+// NewConn returns a Conn that reads from c and enforces limits.
+func NewConn(c net.Conn, limits Limits) *Conn {
+	limits = limits.withDefaults()
+	return &Conn{Conn: c, in: buffer{r: c, maxSize: limits.BufferBytes}, limits: limits}
 }
 
-// Frame is an interleaved frame (RFC 2326, section 10.12). Whole holds its four bytes of header and its payload,
-// and is valid until the next call of Next only.
+// Frame is an interleaved frame (RFC 2326, section 10.12). Raw holds its four-byte header and its payload, and is
+// valid only until the next call of Next.
 type Frame struct {
 	Channel byte
 	Raw     []byte
 }
 
-// Payload is the frame without its header.
+// Payload returns the frame without its header.
 func (f Frame) Payload() []byte { return f.Raw[4:] }
 
-// AppendFrame appends a frame as it goes on the wire. The payload is at most 65535 bytes long.
+// AppendFrame appends a frame in wire format. The payload must not exceed 65535 bytes.
 func AppendFrame(b []byte, channel byte, payload []byte) []byte {
 	b = append(b, '$', channel, byte(len(payload)>>8), byte(len(payload)))
 	return append(b, payload...)
 }
 
-// Next reads a message, or, where that is nil, a frame. Its errors are io.EOF between messages,
-// io.ErrUnexpectedEOF within one, *MalformedError, or the connection's. After an error nothing more can be read.
+// Next reads a message or, if the returned message is nil, a frame. The error is io.EOF at the end of input between
+// messages, io.ErrUnexpectedEOF within one, a *MalformedError, or an error of the connection. After an error nothing
+// more can be read.
 func (c *Conn) Next() (*Message, Frame, error) {
 	for {
 		first, err := c.in.peek(1)
@@ -55,12 +56,12 @@
 		}
 		line, err := c.readLine()
 		if err == errLineTooLong {
-			return nil, Frame{}, malformed(URITooLong, "a start line of over %d bytes", c.limits.LineBytes)
+			return nil, Frame{}, malformed(URITooLong, "start line longer than %d bytes", c.limits.LineBytes)
 		}
 		if err != nil {
 			return nil, Frame{}, err
 		}
-		if line == "" { // empty lines between messages are skipped, as section 4 asks
+		if line == "" { // section 4 requires receivers to skip empty lines between messages
 			continue
 		}
 		m, err := c.readMessage(line)
@@ -69,7 +70,7 @@
 }
 
 func (c *Conn) readFrame() (Frame, error) {
-	midMessage := func(err error) error {
+	unexpectedEOF := func(err error) error {
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
@@ -77,31 +78,31 @@
 	}
 	head, err := c.in.peek(4)
 	if err != nil {
-		return Frame{}, midMessage(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	n := int(binary.BigEndian.Uint16(head[2:]))
 	if n > c.limits.FrameBytes {
-		return Frame{}, malformed(0, "a frame of %d bytes", n)
+		return Frame{}, malformed(0, "frame of %d bytes exceeds the limit", n)
 	}
-	whole, err := c.in.peek(n + 4)
+	raw, err := c.in.peek(n + 4)
 	if err != nil {
-		return Frame{}, midMessage(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	c.in.discard(n + 4)
-	return Frame{Channel: whole[1], Raw: whole}, nil
+	return Frame{Channel: raw[1], Raw: raw}, nil
 }
 
-// FrameBuffered tells whether another whole frame was received already, which Next gives without reading.
+// FrameBuffered reports whether a complete frame is buffered, which Next returns without reading from the connection.
 func (c *Conn) FrameBuffered() bool {
 	b := c.in.b[c.in.start:c.in.end]
 	return len(b) >= 4 && b[0] == '$' && len(b) >= 4+int(binary.BigEndian.Uint16(b[2:]))
 }
 
-// Buffered is how many bytes were received and not yet read.
+// Buffered returns the number of bytes received but not yet consumed.
 func (c *Conn) Buffered() int { return c.in.buffered() }
 
-// RoundTrip sends a request and waits for its response; frames and requests meanwhile go to other, which may be
-// nil. It is for callers that do one thing at a time: tools, stand-ins and tests.
+// RoundTrip sends a request and waits for its response. Frames and messages received meanwhile are passed to other,
+// which may be nil. It is meant for callers that have one request in flight at a time: tools, simulated peers and tests.
 func (c *Conn) RoundTrip(req *Message, timeout time.Duration, other func(*Message, Frame)) (*Message, error) {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -113,7 +114,7 @@
 	for {
 		m, f, err := c.Next()
 		if err != nil {
-			return nil, fmt.Errorf("waiting for the answer to %s: %w", req.Method, err)
+			return nil, fmt.Errorf("waiting for the response to %s: %w", req.Method, err)
 		}
 		if m != nil && !m.IsRequest() && m.CSeq() == req.CSeq() {
 			return m, nil
@@ -124,8 +125,8 @@
 	}
 }
 
-// OutOfSync tells whether what was received beyond the last message can't begin another one: then that message's length
-// was wrong, and what was taken for its body is not whole. Of a start that is not whole yet it tells what it can.
+// OutOfSync reports whether the bytes buffered after the last message can't start another one. In that case the
+// message's Content-Length was wrong and its body is incomplete. A partial start line is judged by the bytes received.
 func (c *Conn) OutOfSync() bool {
 	b := bytes.TrimLeft(c.in.b[c.in.start:c.in.end], "\r\n")
 	if len(b) == 0 || b[0] == '$' {
@@ -134,11 +135,11 @@
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
 		return new(Message).parseStartLine(strings.TrimRight(string(b[:i]), "\r")) != nil
 	}
-	word, _, whole := bytes.Cut(b, []byte(" "))
+	word, _, complete := bytes.Cut(b, []byte(" "))
 	if bytes.HasPrefix(word, []byte("RTSP/")) {
-		return whole && !new(Message).parseVersion(string(word))
+		return complete && !new(Message).parseVersion(string(word))
 	}
-	for _, x := range word { // methods are words in capitals
+	for _, x := range word { // a method consists of capital letters and underscores
 		if (x < 'A' || x > 'Z') && x != '_' {
 			return !bytes.HasPrefix([]byte("RTSP/"), word)
 		}
@@ -146,7 +147,7 @@
 	return len(word) > 32
 }
 
-// AwaitMessage waits until a byte of a message was received; line ends between messages are skipped.
+// AwaitMessage blocks until the first byte of a message is received. It skips line ends between messages.
 func (c *Conn) AwaitMessage() error {
 	for {
 		first, err := c.in.peek(1)
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -11,23 +11,23 @@
 
 // Transport is one transport specification (section 12.39).
 type Transport struct {
-	Protocol                string // RTP/AVP/TCP, or as given
-	Interleaved             bool   // channels were named
-	RTPChannel, RTCPChannel byte   // the channels: RTP and RTCP
+	Protocol                string // in upper case, such as RTP/AVP/TCP
+	Interleaved             bool   // the specification names channels
+	RTPChannel, RTCPChannel byte   // set if Interleaved
 	SSRC                    uint32
 	HasSSRC                 bool
 	Append                  bool
 	Record                  bool
 }
 
-// ParseTransport reads a Transport field: its specifications in the sender's order of preference.
+// ParseTransport parses a Transport field and returns its specifications in the sender's order of preference.
 func ParseTransport(v string) ([]Transport, error) {
 	var list []Transport
 	for _, spec := range strings.Split(v, ",") {
 		parts := strings.Split(strings.TrimSpace(spec), ";")
 		t := Transport{Protocol: strings.ToUpper(parts[0])}
 		if t.Protocol == "" {
-			return nil, fmt.Errorf("transport: an empty specification")
+			return nil, fmt.Errorf("transport: empty specification")
 		}
 		for _, p := range parts[1:] {
 			name, value, _ := strings.Cut(strings.TrimSpace(p), "=")
@@ -36,22 +36,22 @@
 				lo, hi, hasHigh := strings.Cut(value, "-")
 				l, err := strconv.ParseUint(lo, 10, 8)
 				if err != nil {
-					return nil, fmt.Errorf("transport: channel %.10q", lo)
+					return nil, fmt.Errorf("transport: invalid channel %.10q", lo)
 				}
 				h := l + 1
 				if hasHigh {
 					if h, err = strconv.ParseUint(hi, 10, 8); err != nil || h < l {
-						return nil, fmt.Errorf("transport: channel %.10q", hi)
+						return nil, fmt.Errorf("transport: invalid channel %.10q", hi)
 					}
 				}
 				if h > 255 {
-					return nil, fmt.Errorf("transport: no channel for RTCP after 255")
+					return nil, fmt.Errorf("transport: no RTCP channel left after RTP channel 255")
 				}
 				t.Interleaved, t.RTPChannel, t.RTCPChannel = true, byte(l), byte(h)
 			case "ssrc":
 				n, err := strconv.ParseUint(value, 16, 32)
 				if err != nil {
-					return nil, fmt.Errorf("transport: ssrc %.12q", value)
+					return nil, fmt.Errorf("transport: invalid ssrc %.12q", value)
 				}
 				t.SSRC, t.HasSSRC = uint32(n), true
 			case "append":
@@ -65,7 +65,7 @@
 	return list, nil
 }
 
-// FindTCP finds the first specification that asks for RTP on this connection.
+// FindTCP returns the first specification that requests playback with RTP interleaved on the RTSP connection.
 func FindTCP(list []Transport) (Transport, bool) {
 	for _, t := range list {
 		if t.Protocol == "RTP/AVP/TCP" && !t.Record {
@@ -83,13 +83,13 @@
 	return s
 }
 
-// Range is a range of normal play time in seconds (section 3.6); End is +Inf where it is open.
+// Range is a range of normal play time in seconds (section 3.6). End is +Inf if the range is open.
 type Range struct {
 	Start, End float64
-	Now        bool // from the live point
+	Now        bool // starts at the live point
 }
 
-// ParseRange reads a Range field in npt. Other units give an error.
+// ParseRange parses a Range field in npt units. It returns an error for other units.
 func ParseRange(v string) (Range, error) {
 	r := Range{End: math.Inf(1)}
 	v, _, _ = strings.Cut(v, ";")
@@ -110,7 +110,7 @@
 			return r, err
 		}
 	case to == "":
-		return r, fmt.Errorf("an empty range")
+		return r, fmt.Errorf("empty range")
 	}
 	if to != "" {
 		if r.End, err = parseNPT(to); err != nil {
@@ -123,20 +123,20 @@
 	return r, nil
 }
 
-// parseNPT reads seconds, or hours, minutes and seconds.
+// parseNPT parses a time given in seconds or as hours:minutes:seconds.
 func parseNPT(s string) (float64, error) {
 	total := 0.0
 	parts := strings.Split(strings.TrimSpace(s), ":")
 	if len(parts) != 1 && len(parts) != 3 {
-		return 0, fmt.Errorf("time %.20q", s)
+		return 0, fmt.Errorf("invalid time %.20q", s)
 	}
 	for _, p := range parts {
 		if p == "" || strings.ContainsAny(p, "+-eExXpPiInN_") {
-			return 0, fmt.Errorf("time %.20q", s)
+			return 0, fmt.Errorf("invalid time %.20q", s)
 		}
 		x, err := strconv.ParseFloat(p, 64)
 		if err != nil || x > 1e9 {
-			return 0, fmt.Errorf("time %.20q", s)
+			return 0, fmt.Errorf("invalid time %.20q", s)
 		}
 		total = total*60 + x
 	}
@@ -153,14 +153,14 @@
 	return fmt.Sprintf("npt=%.3f-%.3f", r.Start, r.End)
 }
 
-// RTPInfo is one stream's part of an RTP-Info field (section 12.33).
+// RTPInfo is the entry of one stream in an RTP-Info field (section 12.33).
 type RTPInfo struct {
 	URL     string
 	Seq     uint16
 	RTPTime uint32
 }
 
-// FormatRTPInfo writes an RTP-Info field.
+// FormatRTPInfo formats the value of an RTP-Info field.
 func FormatRTPInfo(list []RTPInfo) string {
 	var b strings.Builder
 	for i, s := range list {
@@ -172,7 +172,7 @@
 	return b.String()
 }
 
-// ParseRTPInfo reads an RTP-Info field. Streams without a URL give an error.
+// ParseRTPInfo parses an RTP-Info field. It returns an error if a stream has no URL.
 func ParseRTPInfo(v string) (list []RTPInfo, err error) {
 	for _, spec := range strings.Split(v, ",") {
 		var s RTPInfo
@@ -184,31 +184,31 @@
 			case "seq":
 				n, err := strconv.ParseUint(value, 10, 16)
 				if err != nil {
-					return nil, fmt.Errorf("rtp-info: seq %.10q", value)
+					return nil, fmt.Errorf("rtp-info: invalid seq %.10q", value)
 				}
 				s.Seq = uint16(n)
 			case "rtptime":
 				n, err := strconv.ParseUint(value, 10, 32)
 				if err != nil {
-					return nil, fmt.Errorf("rtp-info: rtptime %.12q", value)
+					return nil, fmt.Errorf("rtp-info: invalid rtptime %.12q", value)
 				}
 				s.RTPTime = uint32(n)
 			}
 		}
 		if s.URL == "" {
-			return nil, fmt.Errorf("rtp-info: a stream without URL")
+			return nil, fmt.Errorf("rtp-info: stream without a URL")
 		}
 		list = append(list, s)
 	}
 	return list, nil
 }
 
-// FormatSession writes a Session field with its timeout (section 12.37).
+// FormatSession formats the value of a Session field with its timeout (section 12.37).
 func FormatSession(id string, timeout time.Duration) string {
 	return fmt.Sprintf("%s;timeout=%d", id, int(timeout.Seconds()))
 }
 
-// ParseSessionTimeout is the timeout that a Session field names, 60 s where it names none.
+// ParseSessionTimeout returns the timeout given in a Session field, or the default of 60 s if it gives none.
 func ParseSessionTimeout(v string) time.Duration {
 	_, rest, _ := strings.Cut(v, ";")
 	if s, ok := strings.CutPrefix(strings.TrimSpace(rest), "timeout="); ok {
@@ -219,14 +219,14 @@
 	return 60 * time.Second
 }
 
-// Resource is what a URL names: rtsp://host/<service group>/<title>[/track<n>][?query].
+// Resource holds the parts of a URL of the form rtsp://host/<service group>/<title>[/track<n>][?query].
 type Resource struct {
 	Host, Group, Title string
-	Track              int    // -1 for the presentation
-	Query              string // as given: the viewer's own, passed on to boxes for tracing
+	Track              int    // -1 for the aggregate URL of the presentation
+	Query              string // set by the viewer and passed to boxes unchanged, for tracing
 }
 
-// ParseURL reads a URL by that form.
+// ParseURL parses a URL of the form described at Resource.
 func ParseURL(raw string) (Resource, error) {
 	p := Resource{Track: -1}
 	u, err := url.Parse(raw)
@@ -238,7 +238,7 @@
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(strings.TrimPrefix(parts[2], "track"))
 		if err != nil || n < 0 || n > 127 || !strings.HasPrefix(parts[2], "track") {
-			return p, fmt.Errorf("%.60q names no track", raw)
+			return p, fmt.Errorf("%.60q has an invalid track", raw)
 		}
 		p.Track = n
 		parts = parts[:2]
@@ -250,7 +250,7 @@
 	return p, nil
 }
 
-// URL writes the place.
+// URL formats the resource as a URL.
 func (p Resource) URL() string {
 	s := "rtsp://" + p.Host + "/" + url.PathEscape(p.Group) + "/" + url.PathEscape(p.Title)
 	if p.Track >= 0 {
@@ -262,7 +262,7 @@
 	return s
 }
 
-// ParseParameters reads a text/parameters body: a name and a value a line.
+// ParseParameters parses a text/parameters body, which has one name and value per line. Names are returned in lower case.
 func ParseParameters(body []byte) map[string]string {
 	m := map[string]string{}
 	for _, line := range strings.Split(string(body), "\n") {
--- a/internal/rtsp/message.go
+++ b/internal/rtsp/message.go
@@ -1,5 +1,5 @@
 // Package rtsp reads and writes RTSP 1.0 (RFC 2326) on a connection: requests and responses in both directions,
-// with the `$` frames of section 10.12 between them. It holds no policy: what to answer is its callers' affair.
+// with interleaved frames (section 10.12) between them. It contains no policy: callers decide how to respond.
 package rtsp
 
 import (
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// The methods of RFC 2326, section 10.
+// Methods defined in RFC 2326, section 10.
 const (
 	Options      = "OPTIONS"
 	Describe     = "DESCRIBE"
@@ -27,7 +27,7 @@
 	SetParameter = "SET_PARAMETER"
 )
 
-// The status codes that rainhaven sends or tells apart (RFC 2326, section 11.3 and the HTTP ones it takes over).
+// Status codes that rainhaven sends or distinguishes (RFC 2326, section 11.3, and those it adopts from HTTP).
 const (
 	OK                     = 200
 	BadRequest             = 400
@@ -65,7 +65,7 @@
 	VersionNotSupported: "RTSP Version Not Supported", OptionNotSupported: "Option Not Supported",
 }
 
-// Reason is the phrase that goes with a status code.
+// Reason returns the reason phrase of a status code.
 func Reason(status int) string {
 	if r, ok := reasonPhrases[status]; ok {
 		return r
@@ -73,38 +73,38 @@
 	return "Status " + strconv.Itoa(status)
 }
 
-// Header holds a message's header fields under their canonical names.
+// Header holds a message's header fields, keyed by canonical name.
 type Header = textproto.MIMEHeader
 
-// Message is a request, when Method is set, or a response.
+// Message is a request if Method is set, otherwise a response.
 type Message struct {
-	Method string // of a request, as received
-	URL    string // of a request, as received
-	Major  int    // of the version; 1 where written
+	Method string // request only, as received
+	URL    string // request only, as received
+	Major  int    // protocol version as read; Append always writes 1.0
 	Minor  int
-	Status int    // of a response
-	Reason string // of a response; Reason(Status) where empty
+	Status int    // response only
+	Reason string // response only; if empty, Append writes Reason(Status)
 	Header Header
 	Body   []byte
 }
 
-// NewRequest makes a request without header fields.
+// NewRequest returns a request without header fields.
 func NewRequest(method, url string) *Message {
 	return &Message{Method: method, URL: url, Header: Header{}}
 }
 
-// NewResponse makes the response to a request, with its CSeq.
-func NewResponse(to *Message, status int) *Message {
+// NewResponse returns a response with the CSeq of the request, which may be nil.
+func NewResponse(req *Message, status int) *Message {
 	m := &Message{Status: status, Header: Header{}}
-	if to != nil {
-		if c := to.Header.Get("Cseq"); c != "" {
+	if req != nil {
+		if c := req.Header.Get("Cseq"); c != "" {
 			m.Header["Cseq"] = []string{c}
 		}
 	}
 	return m
 }
 
-// IsRequest tells a request from a response.
+// IsRequest reports whether the message is a request.
 func (m *Message) IsRequest() bool { return m.Method != "" }
 
 // WithHeader sets a header field and returns the message.
@@ -113,7 +113,7 @@
 	return m
 }
 
-// CSeq is the message's sequence number, -1 where it has none that can be read.
+// CSeq returns the message's sequence number, or -1 if it is missing or invalid.
 func (m *Message) CSeq() int {
 	n, err := strconv.Atoi(strings.TrimSpace(m.Header.Get("Cseq")))
 	if err != nil || n < 0 {
@@ -122,16 +122,16 @@
 	return n
 }
 
-// Session is the id in the Session field, without its parameters; empty where there is none.
+// Session returns the id in the Session field without its parameters, or an empty string if there is none.
 func (m *Message) Session() string {
 	id, _, _ := strings.Cut(m.Header.Get("Session"), ";")
 	return strings.TrimSpace(id)
 }
 
-// names that RFC 2326 writes otherwise than net/textproto does.
+// wireNames maps canonical names to the spelling of RFC 2326 where net/textproto differs from it.
 var wireNames = map[string]string{"Cseq": "CSeq", "Rtp-Info": "RTP-Info", "Www-Authenticate": "WWW-Authenticate"}
 
-// Append appends the message as it goes on the wire. Header fields come in the order of their names.
+// Append appends the message in wire format. CSeq comes first, the other header fields follow sorted by name.
 func (m *Message) Append(b []byte) []byte {
 	if m.IsRequest() {
 		b = fmt.Appendf(b, "%s %s RTSP/1.0\r\n", m.Method, m.URL)
@@ -161,15 +161,15 @@
 			b = fmt.Appendf(b, "%s: %s\r\n", wireName, replaceLineBreaks(v))
 		}
 	}
-	// Peers that want a length on every message have it asked for by the field.
-	if _, asked := m.Header["Content-Length"]; asked || len(m.Body) > 0 {
+	// Some peers expect a length on every message: a Content-Length field in Header forces one for an empty body.
+	if _, forced := m.Header["Content-Length"]; forced || len(m.Body) > 0 {
 		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(m.Body))
 	}
 	b = append(b, "\r\n"...)
 	return append(b, m.Body...)
 }
 
-// replaceLineBreaks keeps a value that came from outside from starting a header line of its own.
+// replaceLineBreaks prevents header injection through values that come from a peer.
 func replaceLineBreaks(v string) string {
 	if strings.ContainsAny(v, "\r\n") {
 		return strings.NewReplacer("\r", " ", "\n", " ").Replace(v)
@@ -177,18 +177,18 @@
 	return v
 }
 
-// Limits limits what is read. A zero field means the figure of Usual.
+// Limits bounds what a Conn reads. A zero field takes its value from DefaultLimits.
 type Limits struct {
-	LineBytes    int // bytes of a start or header line
-	HeaderLines  int // lines of a header
-	BodyBytes    int // bytes
-	FrameBytes   int // bytes of an interleaved frame's payload, at most 65535
-	MessageBytes int // bytes of a message's lines and body together
-	BufferBytes  int // bytes that are received ahead
+	LineBytes    int // start line or header line
+	HeaderLines  int // number of header lines
+	BodyBytes    int
+	FrameBytes   int // payload of an interleaved frame, at most 65535
+	MessageBytes int // lines and body of a message together
+	BufferBytes  int // read-ahead
 }
 
-// DefaultLimits holds the limits in force where none are set: a line of 4 kB holds any URL that players make, 64 header
-// lines are three times what the fullest message of RFC 2326's examples has, and no description here passes 64 kB.
+// DefaultLimits holds the limits that apply where none are set. A line of 4 kB fits any URL that players generate, 64
+// header lines are three times the maximum among the examples of RFC 2326, and descriptions stay below 64 kB.
 var DefaultLimits = Limits{LineBytes: 4096, HeaderLines: 64, BodyBytes: 64 << 10, FrameBytes: 65535, MessageBytes: 512 << 10, BufferBytes: maxBufferSize}
 
 func (b Limits) withDefaults() Limits {
@@ -206,8 +206,8 @@
 	return b
 }
 
-// MalformedError tells what was wrong with input. Where Status is not 0 it may be answered before the connection
-// is closed; the rest of the input can't be made sense of.
+// MalformedError describes invalid input. If Status is not 0, the caller may send a response with it before it closes
+// the connection; the rest of the input can't be parsed.
 type MalformedError struct {
 	Status int
 	CSeq   string
@@ -220,32 +220,32 @@
 	return &MalformedError{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
-// parseStartLine reads a request line or a status line.
+// parseStartLine parses a request line or a status line.
 func (m *Message) parseStartLine(line string) error {
 	if v, rest, ok := strings.Cut(line, " "); ok && strings.HasPrefix(v, "RTSP/") {
 		if !m.parseVersion(v) {
-			return malformed(0, "version %.20q", v)
+			return malformed(0, "invalid version %.20q", v)
 		}
 		code, reason, _ := strings.Cut(rest, " ")
 		n, err := strconv.Atoi(code)
 		if err != nil || n < 100 || n > 999 {
-			return malformed(0, "status %.20q", code)
+			return malformed(0, "invalid status code %.20q", code)
 		}
 		m.Status, m.Reason = n, reason
 		return nil
 	}
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
-		return malformed(BadRequest, "start line %.40q", line)
+		return malformed(BadRequest, "invalid start line %.40q", line)
 	}
 	if parts[0] == "" || len(parts[0]) > 32 || !isToken(parts[0]) {
-		return malformed(BadRequest, "method %.40q", parts[0])
+		return malformed(BadRequest, "invalid method %.40q", parts[0])
 	}
 	if parts[1] == "" {
 		return malformed(BadRequest, "empty URL")
 	}
 	if !m.parseVersion(parts[2]) {
-		return malformed(BadRequest, "version %.20q", parts[2])
+		return malformed(BadRequest, "invalid version %.20q", parts[2])
 	}
 	m.Method, m.URL = parts[0], parts[1]
 	return nil
@@ -264,7 +264,7 @@
 	return true
 }
 
-// isToken tells whether s is made of RFC 2326's isToken characters.
+// isToken reports whether s is a token as defined in RFC 2326, section 15.1.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -275,11 +275,11 @@
 	return s != ""
 }
 
-// errLineTooLong is a line longer than the limit.
+// errLineTooLong is returned for a line that exceeds the limit.
 var errLineTooLong = errors.New("line too long")
 
-// readLine reads a line without its end: CR LF, or LF alone as section 15.1 has receivers take it. A line that a
-// deadline cut short stays whole for the next call.
+// readLine reads a line and strips its line ending: CR LF, or a bare LF, which section 15.1 tells receivers to accept.
+// If a deadline interrupts it, the partial line stays buffered for the next call.
 func (c *Conn) readLine() (string, error) {
 	line, err := c.in.readLine(c.limits.LineBytes)
 	if err != nil {
@@ -295,7 +295,7 @@
 	return string(line[:n]), nil
 }
 
-// readMessage reads a message whose start line is line.
+// readMessage reads the rest of a message, given its start line.
 func (c *Conn) readMessage(line string) (*Message, error) {
 	m := &Message{Header: Header{}}
 	startErr := m.parseStartLine(line)
@@ -317,7 +317,7 @@
 		line, err := c.readLine()
 		size += len(line)
 		if err == errLineTooLong {
-			return nil, fail(malformed(TooLarge, "a header line of over %d bytes", c.limits.LineBytes))
+			return nil, fail(malformed(TooLarge, "header line longer than %d bytes", c.limits.LineBytes))
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -329,22 +329,22 @@
 			break
 		}
 		if n >= c.limits.HeaderLines || size > c.limits.MessageBytes {
-			return nil, fail(malformed(TooLarge, "%d header lines of %d bytes", n+1, size))
+			return nil, fail(malformed(TooLarge, "header of %d lines and %d bytes exceeds the limit", n+1, size))
 		}
-		if line[0] == ' ' || line[0] == '\t' { // a folded line continues the field before
+		if line[0] == ' ' || line[0] == '\t' { // a folded line continues the previous field
 			if lastField == "" {
-				return nil, fail(malformed(BadRequest, "a continued line before any field"))
+				return nil, fail(malformed(BadRequest, "folded line before the first header field"))
 			}
 			v := m.Header[lastField]
 			if len(v[len(v)-1])+len(line) > c.limits.LineBytes {
-				return nil, fail(malformed(TooLarge, "a field of over %d bytes", c.limits.LineBytes))
+				return nil, fail(malformed(TooLarge, "header field longer than %d bytes", c.limits.LineBytes))
 			}
 			v[len(v)-1] += " " + strings.TrimSpace(line)
 			continue
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if name = strings.TrimRight(name, " \t"); !ok || !isToken(name) {
-			return nil, fail(malformed(BadRequest, "header line %.40q", line))
+			return nil, fail(malformed(BadRequest, "invalid header line %.40q", line))
 		}
 		lastField = textproto.CanonicalMIMEHeaderKey(name)
 		m.Header[lastField] = append(m.Header[lastField], strings.TrimSpace(value))
@@ -355,10 +355,10 @@
 	if v, ok := m.Header["Content-Length"]; ok {
 		n, err := strconv.Atoi(v[0])
 		if err != nil || n < 0 || len(v) > 1 {
-			return nil, fail(malformed(BadRequest, "Content-Length %.20q", v[0]))
+			return nil, fail(malformed(BadRequest, "invalid Content-Length %.20q", v[0]))
 		}
 		if n > c.limits.BodyBytes || n > c.limits.MessageBytes-size {
-			return nil, fail(malformed(TooLarge, "a body of %d bytes", n))
+			return nil, fail(malformed(TooLarge, "body of %d bytes exceeds the limit", n))
 		}
 		m.Body = make([]byte, n)
 		if _, err := io.ReadFull(&c.in, m.Body); err != nil {
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -25,21 +25,21 @@
 }
 
 func TestInterleavedMessagesAndFrames(t *testing.T) {
-	frame := AppendFrame(nil, 3, bytes.Repeat([]byte{7}, 9000)) // longer than the buffer
+	frame := AppendFrame(nil, 3, bytes.Repeat([]byte{7}, 9000)) // longer than the initial buffer
 	in := "SETUP rtsp://h/g/t/track1 RTSP/1.0\r\nCSeq: 4\r\nTransport: RTP/AVP/TCP;unicast;\r\n interleaved=2-3\r\n\r\n" +
 		string(frame) + "\r\nRTSP/1.0 200 OK\r\ncseq: 9\r\nSession: abc;timeout=20\r\nContent-Length: 3\r\n\r\nxyz$\x01\x00\x02hi" +
 		"PLAY rtsp://h/g/t RTSP/1.0\nCSeq: 5\n\n"
 	c := newTestConn(in, Limits{})
 	m, _, err := c.Next()
 	if err != nil || m.Method != Setup || m.CSeq() != 4 {
-		t.Fatalf("first: %+v %v", m, err)
+		t.Fatalf("first message: %+v %v", m, err)
 	}
 	specs, err := ParseTransport(m.Header.Get("Transport"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if tr, ok := FindTCP(specs); !ok || !tr.Interleaved || tr.RTPChannel != 2 || tr.RTCPChannel != 3 {
-		t.Errorf("transport over a folded line: %+v", tr)
+		t.Errorf("transport from a folded line: %+v", tr)
 	}
 	m, f, err := c.Next()
 	if m != nil || err != nil || f.Channel != 3 || len(f.Payload()) != 9000 || !bytes.Equal(f.Raw, frame) {
@@ -56,10 +56,10 @@
 		t.Fatalf("short frame: %v %v", m, err)
 	}
 	if m, _, err = c.Next(); err != nil || m.Method != Play || m.CSeq() != 5 {
-		t.Fatalf("bare line ends: %+v %v", m, err)
+		t.Fatalf("message with bare LF: %+v %v", m, err)
 	}
 	if _, _, err = c.Next(); err != io.EOF {
-		t.Fatalf("end: %v", err)
+		t.Fatalf("at the end of input: %v", err)
 	}
 }
 
@@ -67,7 +67,7 @@
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
 		in     string
-		status int // of the answer; -1 for a connection that just breaks
+		status int // of the response; -1 if the connection ends without one
 		cseq   string
 	}{
 		"no version":         {"PLAY rtsp://h/x\r\n\r\n", BadRequest, ""},
@@ -92,7 +92,7 @@
 			var bad *MalformedError
 			switch {
 			case err == nil:
-				t.Fatalf("taken: %+v", m)
+				t.Fatalf("accepted: %+v", m)
 			case errors.As(err, &bad):
 				if bad.Status != c.status || bad.CSeq != c.cseq {
 					t.Errorf("status %d CSeq %q, want %d %q: %v", bad.Status, bad.CSeq, c.status, c.cseq, err)
@@ -103,7 +103,7 @@
 		})
 	}
 	if _, _, err := newTestConn("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
-		t.Error("a frame over the limit was taken")
+		t.Error("a frame above the limit was accepted")
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	for _, in := range []string{"", "npt=", "npt=-", "npt=5-4", "smpte=0:10:00-", "npt=1e9-", "npt=NaN-", "npt=1:2-"} {
 		if r, err := ParseRange(in); err == nil {
-			t.Errorf("%q was taken as %+v", in, r)
+			t.Errorf("%q was accepted as %+v", in, r)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	for _, in := range []string{"http://h/a/b", "rtsp://h/a", "rtsp:///a/b", "rtsp://h/a/b/track", "rtsp://h/a/b/c/d", "*"} {
 		if p, err := ParseURL(in); err == nil {
-			t.Errorf("%q was taken as %+v", in, p)
+			t.Errorf("%q was accepted as %+v", in, p)
 		}
 	}
 }
@@ -162,10 +162,10 @@
 			if m == nil {
 				continue
 			}
-			// What was read comes out the same after it was written.
+			// A parsed message must survive encoding and parsing again.
 			again, _, err := NewConn(readOnlyConn{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 			if err != nil {
-				t.Fatalf("%q can't be read again: %v", m.Append(nil), err)
+				t.Fatalf("%q can't be parsed again: %v", m.Append(nil), err)
 			}
 			if again.Method != m.Method || again.URL != m.URL || again.Status != m.Status || !bytes.Equal(again.Body, m.Body) {
 				t.Fatalf("%+v came back as %+v", m, again)
@@ -202,9 +202,9 @@
 }
 
 func BenchmarkFrames(b *testing.B) {
-	one := AppendFrame(nil, 0, make([]byte, 1400))
-	c := NewConn(readOnlyConn{Reader: &loopReader{bytes.Repeat(one, 40), 0}}, Limits{})
-	b.SetBytes(int64(len(one)))
+	frame := AppendFrame(nil, 0, make([]byte, 1400))
+	c := NewConn(readOnlyConn{Reader: &loopReader{bytes.Repeat(frame, 40), 0}}, Limits{})
+	b.SetBytes(int64(len(frame)))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, err := c.Next(); err != nil {
@@ -224,7 +224,7 @@
 	return n, nil
 }
 
-// A message's lines and body together stay within their bound, whatever each is.
+// MessageBytes must bound lines and body together, even if each part is within its own limit.
 func TestMessageSizeLimit(t *testing.T) {
 	for in, ok := range map[string]bool{
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\n\r\n":                                                   true,
@@ -239,7 +239,7 @@
 	}
 }
 
-// What lies behind a message tells whether its length was right.
+// The bytes after a message must reveal a Content-Length that is too small.
 func TestOutOfSync(t *testing.T) {
 	const m = "RTSP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 	for rest, outOfSync := range map[string]bool{
@@ -248,7 +248,7 @@
 	} {
 		c := NewConn(readOnlyConn{nil, strings.NewReader(m + rest)}, Limits{})
 		if _, _, err := c.Next(); err != nil || c.OutOfSync() != outOfSync {
-			t.Errorf("%q is astray: %v, %v", rest, !outOfSync, err)
+			t.Errorf("%q out of sync: %v, %v", rest, !outOfSync, err)
 		}
 	}
 }
