--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries frames from a box's connection to a viewer's without passing the front's loop. Each frame is
-// copied once, into the viewer's queue, with its channel, sequence number, timestamp and source rewritten so that the
-// viewer sees one continuous stream whatever the box does. It decides nothing.
+// Package relay forwards frames from a box's connection to a viewer's without involving the front's event loop. Each
+// frame is copied once, into the viewer's queue, and its channel, sequence number, timestamp and SSRC are rewritten so
+// that the viewer receives one continuous stream even if the box seeks or changes. It contains no policy.
 package relay
 
 import (
@@ -13,39 +13,40 @@
 	"time"
 )
 
-// ErrMessageBacklog ends a Queue whose messages outgrew their bound.
-var ErrMessageBacklog = errors.New("relay: more messages wait than a peer may have")
+// ErrMessageBacklog closes a Queue whose pending messages exceed their limit.
+var ErrMessageBacklog = errors.New("relay: too many bytes of pending messages")
 
-// Queue is what waits to be written to one connection: messages and frames in one order, with a bound on each. Frames
-// past theirs are dropped whole and counted; messages past theirs end the connection.
+// Queue holds the output that is pending for one connection: messages and frames in a single order, with separate
+// limits. Frames beyond their limit are dropped whole and counted; messages beyond theirs close the queue.
 type Queue struct {
 	mu            sync.Mutex
 	wake          sync.Cond
-	pending       []byte  // nil while nothing waits
-	pooled        *[]byte // where pending comes from
-	frameBytes    int     // bytes of frames among pending
-	messageBytes  int     // bytes of messages among pending
+	pending       []byte  // nil while empty
+	pooled        *[]byte // pool entry that backs pending
+	frameBytes    int     // frame bytes in pending
+	messageBytes  int     // message bytes in pending
 	maxFrameBytes int
 	closed        bool
-	finishing     bool // write what is pending, then close
+	finishing     bool // close once pending is written
 	err           error
-	roomFreed     chan struct{} // filled as Run takes what waits
-	behind        bool          // a wait for room was in vain; until half of what may wait is free
-	LastLimitedAt atomic.Int64  // when frames last had to wait or were dropped, nanoseconds on the caller's clock
-	DroppedFrames atomic.Int64  // frames
-	SentBytes     atomic.Int64  // bytes
+	roomFreed     chan struct{} // signaled when Run takes pending
+	behind        bool          // AwaitRoom timed out and less than half of the threshold has been freed since
+	LastLimitedAt atomic.Int64  // last time AwaitRoom found the peer behind, in nanoseconds on the caller's clock
+	DroppedFrames atomic.Int64
+	SentBytes     atomic.Int64
 }
 
-const maxMessageBytes = 64 << 10 // bytes of messages that wait; a pipelining viewer's eight answers take under 8 kB
+// maxMessageBytes limits pending messages. The eight responses to a pipelining viewer take less than 8 kB.
+const maxMessageBytes = 64 << 10
 
-// NewQueue makes a queue that holds so many bytes of frames at most, twice that while a write is under way.
+// NewQueue returns a queue that holds at most maxFrameBytes of frames, and as much again while a write is in progress.
 func NewQueue(maxFrameBytes int) *Queue {
 	q := &Queue{maxFrameBytes: maxFrameBytes, roomFreed: make(chan struct{}, 1)}
 	q.wake.L = &q.mu
 	return q
 }
 
-// PushMessage queues a message.
+// PushMessage appends an encoded message. It returns ErrMessageBacklog and closes the queue if the limit is exceeded.
 func (q *Queue) PushMessage(b []byte) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -64,11 +65,12 @@
 	return nil
 }
 
-// Flush has what is queued written. Frames wait for it, so that those that came together leave in one write.
+// Flush wakes Run to write the pending output. Frames are not written before Flush or the next message, so that frames
+// received together go out in one write.
 func (q *Queue) Flush() { q.wake.Signal() }
 
-// PushFrame queues a frame for the next Flush; edit, which may be nil, may change the copy's payload in place. It tells
-// whether there was room.
+// PushFrame appends a frame, to be written at the next Flush. edit, which may be nil, may change the payload of the copy
+// in place. PushFrame reports whether there was room.
 func (q *Queue) PushFrame(channel byte, payload []byte, edit func(payload []byte)) bool {
 	q.mu.Lock()
 	if q.closed || q.finishing || q.frameBytes+len(payload)+4 > q.maxFrameBytes {
@@ -88,24 +90,25 @@
 	return true
 }
 
-// pacingThreshold is how many bytes may wait before a source is slowed down: a write or two at full speed, still in the
-// processor's cache.
+// pacingThreshold is the number of pending bytes above which AwaitRoom slows the source down: one or two writes at full
+// speed, which still fit the processor's cache.
 const pacingThreshold = 256 << 10
 
-// AwaitRoom waits while much waits already, for the timer's time at most, and not at all where the last wait was in vain and
-// little has gone since: a peer that keeps up slows its source down for a moment; one that doesn't first fills the
-// queue and then loses frames, and its source's other words are not held up. now is noted in Limited for the latter.
+// AwaitRoom applies backpressure: it blocks until n more bytes fit below the pacing threshold, or until wait has passed.
+// After a timeout it returns at once until half of the threshold is free again. A peer that keeps up thus slows its source
+// briefly; one that falls behind fills the queue and then loses frames, without delaying the source's other messages. In
+// that case now is stored in LastLimitedAt.
 func (q *Queue) AwaitRoom(n int, now int64, timer *time.Timer, wait time.Duration) {
-	most := min(q.maxFrameBytes, pacingThreshold)
+	threshold := min(q.maxFrameBytes, pacingThreshold)
 	fits := func() bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		if q.frameBytes <= most/2 {
+		if q.frameBytes <= threshold/2 {
 			q.behind = false
 		} else if q.behind {
 			q.LastLimitedAt.Store(now)
 		}
-		return q.behind || q.closed || q.finishing || q.frameBytes+n <= most
+		return q.behind || q.closed || q.finishing || q.frameBytes+n <= threshold
 	}
 	if fits() {
 		return
@@ -126,7 +129,7 @@
 	}
 }
 
-// Close ends the queue: what waits is dropped, Run returns.
+// Close closes the queue and discards pending output; Run returns.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	q.closed = true
@@ -138,7 +141,7 @@
 	}
 }
 
-// Finish ends the queue once what waits is written.
+// Finish closes the queue once the pending output is written.
 func (q *Queue) Finish() {
 	q.mu.Lock()
 	q.finishing = true
@@ -146,18 +149,18 @@
 	q.wake.Signal()
 }
 
-// PendingBytes is how many bytes wait.
+// PendingBytes returns the number of bytes not yet handed to a write.
 func (q *Queue) PendingBytes() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.pending)
 }
 
-// bufferPool holds what no queue needs just now. A queue takes one when something comes and gives it back once that is
-// written, so that a thousand paced streams share a few, and none allocates.
+// bufferPool holds buffers that no queue is using. A queue takes one when output arrives and returns it once that is
+// written, so that a thousand paced streams share a few buffers without allocating.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 16<<10); return &b }}
 
-// ensureBuffer takes a buffer for the first bytes after a write. Called locked.
+// ensureBuffer takes a buffer from the pool for the first bytes after a write. The caller holds q.mu.
 func (q *Queue) ensureBuffer() {
 	if q.pending == nil {
 		q.pooled = bufferPool.Get().(*[]byte)
@@ -165,8 +168,8 @@
 	}
 }
 
-// Run writes what is queued to w until the queue is closed or a write fails, or takes longer than stall. It is the
-// goroutine that owns the connection's writing.
+// Run writes queued output to w until the queue is closed, a write fails or a write takes longer than stall (0 means no
+// limit). No other goroutine may write to w.
 func (q *Queue) Run(w net.Conn, stall time.Duration) error {
 	for {
 		q.mu.Lock()
@@ -201,35 +204,35 @@
 	}
 }
 
-// Track is one media track of a stream.
+// Track holds the rewriting state of one media track of a stream.
 type Track struct {
-	RTPChannel, RTCPChannel byte // channels at the viewer
+	RTPChannel, RTCPChannel byte // channels on the viewer's connection
 	ClockRate               uint32
 
-	ssrc                uint32 // towards the viewer
+	ssrc                uint32 // SSRC sent to the viewer
 	started             bool
-	sourceSSRC          uint32 // the source's SSRC now
-	seqOffset           uint16 // to be added to the source's
-	tsOffset            uint32
-	lastSeq             uint16 // last sent
-	lastTS, tsStep      uint32 // last sent, and the usual distance between two timestamps
-	firstTS, mediaTicks int64  // media time in clock units since the first frame
+	sourceSSRC          uint32 // current SSRC of the source
+	seqOffset           uint16 // added to the source's sequence numbers
+	tsOffset            uint32 // added to the source's timestamps
+	lastSeq             uint16 // last one sent
+	lastTS, tsStep      uint32 // last one sent, and the usual distance between timestamps
+	firstTS, mediaTicks int64  // first timestamp; media time since the first frame, in clock units
 }
 
-// Stream is one session's way from its box to its viewer.
+// Stream forwards the media of one session from its box to its viewer.
 type Stream struct {
 	out        *Queue
 	mu         sync.Mutex
-	tracks     map[byte]*Track // by the box's RTP channel; as many as were set up
+	tracks     map[byte]*Track // keyed by the box's RTP channel; one entry per track that was set up
 	opened     bool
-	heldFrames []heldFrame // came in before Open; at most mostHeld
+	heldFrames []heldFrame // received before Open; at most maxHeldBytes
 	heldBytes  int
 	onLoadNote func(link, uplink float64)
 
-	lastFrameAt atomic.Int64 // when the newest frame came in, nanoseconds on the front's clock
-	mediaMicros atomic.Int64 // microseconds of media up to it
+	lastFrameAt atomic.Int64 // arrival of the latest RTP frame, in nanoseconds on the front's clock
+	mediaMicros atomic.Int64 // media time up to that frame, in microseconds
 	MediaFrames atomic.Int64
-	StrayFrames atomic.Int64 // frames on channels that were never set up
+	StrayFrames atomic.Int64 // frames on channels that were not set up, and malformed RTCP packets
 }
 
 type heldFrame struct {
@@ -237,25 +240,25 @@
 	payload []byte
 }
 
-// maxHeldBytes is how many bytes may come before the answer to PLAY is on its way: a first access unit and some more.
+// maxHeldBytes limits the frames held until the response to PLAY is queued: the first access unit and some more.
 const maxHeldBytes = 64 << 10
 
-// NewStream makes a stream to a viewer's queue. notes hears each load note that comes with the media.
-func NewStream(out *Queue, notes func(link, uplink float64)) *Stream {
-	return &Stream{out: out, tracks: map[byte]*Track{}, onLoadNote: notes}
+// NewStream returns a stream that writes to a viewer's queue. onLoadNote is called for each load note in the media.
+func NewStream(out *Queue, onLoadNote func(link, uplink float64)) *Stream {
+	return &Stream{out: out, tracks: map[byte]*Track{}, onLoadNote: onLoadNote}
 }
 
-// Queue is the viewer's queue.
+// Queue returns the viewer's queue.
 func (s *Stream) Queue() *Queue { return s.out }
 
-// AddTrack puts a track on a box's channel pair that starts at low.
+// AddTrack assigns a track to the box's channel pair that starts at low.
 func (s *Stream) AddTrack(low byte, t *Track) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tracks[low] = t
 }
 
-// Open lets frames through, those that came before first. The answer to PLAY must be queued by then.
+// Open starts forwarding, beginning with the held frames. The response to PLAY must already be queued.
 func (s *Stream) Open() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,15 +270,16 @@
 	s.out.Flush()
 }
 
-// Progress is when the newest frame came in, on the clock that Frame was given, and the media seconds up to it; ok is
-// false before the first one.
+// Progress returns the arrival time of the latest RTP frame, on the clock passed to ForwardFrame, and the media seconds
+// up to it. ok is false before the first frame.
 func (s *Stream) Progress() (at time.Duration, media float64, ok bool) {
 	a := s.lastFrameAt.Load()
 	return time.Duration(a), float64(s.mediaMicros.Load()) / 1e6, a != 0
 }
 
-// TranslateRTPInfo makes the numbers that a box names for a track's next frame (RTP-Info) those that the viewer gets it under,
-// whether that frame has come already or not; ok is false where the stream has no such track.
+// TranslateRTPInfo translates the sequence number and timestamp that a box announces for a track's next frame (RTP-Info)
+// to those that the viewer receives, whether or not that frame has arrived yet. The last result is false if the stream has
+// no such track.
 func (s *Stream) TranslateRTPInfo(low byte, seq uint16, ts uint32) (uint16, uint32, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -289,7 +293,8 @@
 	return seq + t.seqOffset, ts + t.tsOffset, true
 }
 
-// ForwardFrame takes a frame from the box, received at now. The payload is not kept. Queue().Flush has it written.
+// ForwardFrame queues a frame that was received from the box at now. It does not retain payload. The frame is written at
+// the next Queue().Flush.
 func (s *Stream) ForwardFrame(now time.Duration, channel byte, payload []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -307,7 +312,7 @@
 	}
 }
 
-// forward sends a frame on. It tells whether it moved the media's time.
+// forward rewrites and queues a frame. It reports whether the frame carries media of a track.
 func (s *Stream) forward(channel byte, payload []byte) bool {
 	if t := s.tracks[channel]; t != nil && len(payload) >= 12 {
 		s.MediaFrames.Add(1)
@@ -315,7 +320,7 @@
 		src := binary.BigEndian.Uint32(payload[8:])
 		seq, ts = t.rewrite(seq, ts, src)
 		ssrc := t.ssrc
-		// The sequence number moves on even where the frame is dropped: the viewer sees the loss as one.
+		// The sequence number advances even if the frame is dropped, so that the viewer detects the loss.
 		s.out.PushFrame(t.RTPChannel, payload, func(p []byte) {
 			binary.BigEndian.PutUint16(p[2:], seq)
 			binary.BigEndian.PutUint32(p[4:], ts)
@@ -334,13 +339,14 @@
 	return false
 }
 
-// discontinuous tells whether a source's numbers don't follow on its last ones.
+// discontinuous reports whether a sequence number or timestamp of the source does not follow the last ones.
 func (t *Track) discontinuous(seq uint16, ts uint32) bool {
 	d, dt := int16(seq+t.seqOffset-t.lastSeq), int32(ts+t.tsOffset-t.lastTS)
 	return d < -1000 || d > 1000 || dt < -int32(t.ClockRate) || dt > 10*int32(t.ClockRate)
 }
 
-// rewrite makes a source's numbers the viewer's. A new source, or a leap within one, goes on where the last left off.
+// rewrite translates a sequence number and timestamp of the source to the viewer's. After a change of source or a
+// discontinuity they continue where the previous ones ended.
 func (t *Track) rewrite(seq uint16, ts, src uint32) (uint16, uint32) {
 	switch {
 	case !t.started:
@@ -364,9 +370,9 @@
 	return seq, ts
 }
 
-// forwardRTCP sends a compound RTCP packet on: sources and the sender's timestamp rewritten, load notes taken out.
+// forwardRTCP queues a compound RTCP packet with SSRCs and the sender's RTP timestamp rewritten and load notes removed.
 func (s *Stream) forwardRTCP(t *Track, p []byte) {
-	buf := make([]byte, 0, len(p)) // a few a second at most
+	buf := make([]byte, 0, len(p)) // at most a few per second
 	for len(p) >= 8 {
 		n := (int(binary.BigEndian.Uint16(p[2:])) + 1) * 4
 		if p[0]>>6 != 2 || n > len(p) || n < 8 {
@@ -396,9 +402,9 @@
 	}
 }
 
-// TranslateRTCP makes a viewer's RTCP, which came on a channel of its, the box's: the channel there, and the sources that its
-// reports are about. lost is the largest share lost that it tells, -1 where it tells none; ok is false where it belongs
-// to no track or is broken. The payload is changed in place.
+// TranslateRTCP rewrites an RTCP packet that a viewer sent on channel for the box: it replaces the SSRCs of the report
+// blocks in place and returns the box's channel. lost is the largest fraction lost in the reports, -1 if there are none.
+// ok is false if the channel belongs to no track or the packet is malformed.
 func (s *Stream) TranslateRTCP(channel byte, p []byte) (to byte, lost float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -412,7 +418,7 @@
 			if p[0]>>6 != 2 || n > len(p) {
 				return 0, -1, false
 			}
-			first := map[byte]int{200: 28, 201: 8}[p[1]] // sender's and receiver's reports
+			first := map[byte]int{200: 28, 201: 8}[p[1]] // offset of the report blocks in sender and receiver reports
 			for at := first; first > 0 && at+24 <= n && at < first+24*int(p[0]&31); at += 24 {
 				if t.started && binary.BigEndian.Uint32(p[at:]) == t.ssrc {
 					binary.BigEndian.PutUint32(p[at:], t.sourceSSRC)
@@ -426,7 +432,7 @@
 	return 0, -1, false
 }
 
-// SendBye queues an RTCP BYE (RFC 3550, section 6.6) for each track: the stream is over.
+// SendBye queues an RTCP BYE (RFC 3550, section 6.6) for each track and stops forwarding.
 func (s *Stream) SendBye() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -440,13 +446,13 @@
 	s.opened = false
 }
 
-// loadNoteName marks an RTCP APP packet as a load note (RFC 3550, section 6.7).
+// loadNoteName is the name of the RTCP APP packets that carry load notes (RFC 3550, section 6.7).
 const loadNoteName = "LOAD"
 
-// AppendLoadNote writes a load note: an APP packet whose data are two 16.16 figures, what is asked over what is given of
-// the box's link and of its rack's uplink. A negative figure is not told.
+// AppendLoadNote appends a load note: an APP packet with two 16.16 fixed-point values, the ratio of demand to capacity of
+// the box's link and of its rack's uplink. A negative value is encoded as unknown.
 func AppendLoadNote(b []byte, ssrc uint32, link, uplink float64) []byte {
-	fix := func(x float64) uint32 {
+	encode := func(x float64) uint32 {
 		if x < 0 || x > 60000 {
 			return 0xffffffff
 		}
@@ -455,26 +461,27 @@
 	b = append(b, 0x80, 204, 0, 4)
 	b = binary.BigEndian.AppendUint32(b, ssrc)
 	b = append(b, loadNoteName...)
-	b = binary.BigEndian.AppendUint32(b, fix(link))
-	return binary.BigEndian.AppendUint32(b, fix(uplink))
+	b = binary.BigEndian.AppendUint32(b, encode(link))
+	return binary.BigEndian.AppendUint32(b, encode(uplink))
 }
 
-// ParseLoadNote reads a load note. An untold figure is -1.
+// ParseLoadNote parses a load note. An unknown value is returned as -1.
 func ParseLoadNote(p []byte) (link, uplink float64, ok bool) {
 	if len(p) != 20 || p[0]>>6 != 2 || p[1] != 204 || string(p[8:12]) != loadNoteName {
 		return 0, 0, false
 	}
-	fix := func(b []byte) float64 {
+	decode := func(b []byte) float64 {
 		n := binary.BigEndian.Uint32(b)
 		if n == 0xffffffff {
 			return -1
 		}
 		return float64(n) / 65536
 	}
-	return fix(p[12:]), fix(p[16:]), true
+	return decode(p[12:]), decode(p[16:]), true
 }
 
-// DiscardInput reads a connection to its end within a bound, so that a close is not turned into a reset.
+// DiscardInput reads and discards input until the peer closes, the timeout expires or 1 MB was read. Closing a connection
+// with unread input would send a reset, which can destroy output in transit.
 func DiscardInput(c net.Conn, timeout time.Duration) {
 	c.SetReadDeadline(time.Now().Add(timeout))
 	io.Copy(io.Discard, io.LimitReader(c, 1<<20))
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,10 +20,10 @@
 	return append(p, payload...)
 }
 
-// newTestQueue runs a queue into one end of a connection and reads the other.
-func newTestQueue(t testing.TB, most int) (*Queue, *rtsp.Conn, <-chan error) {
+// newTestQueue returns a queue that writes to one end of a pipe and a Conn that reads the other.
+func newTestQueue(t testing.TB, maxFrameBytes int) (*Queue, *rtsp.Conn, <-chan error) {
 	a, b := net.Pipe()
-	o, done := NewQueue(most), make(chan error, 1)
+	o, done := NewQueue(maxFrameBytes), make(chan error, 1)
 	go func() {
 		err := o.Run(a, time.Second)
 		a.Close()
@@ -40,7 +40,7 @@
 	o, in, _ := newTestQueue(t, 1<<20)
 	s := NewStream(o, nil)
 	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
-	s.ForwardFrame(1, 4, packet(65534, 4294967000, 77)) // before PLAY is answered: kept
+	s.ForwardFrame(1, 4, packet(65534, 4294967000, 77)) // before the response to PLAY: held
 	s.Open()
 	for i := range uint32(4) {
 		s.ForwardFrame(2, 4, packet(uint16(65535+i), 4294967000+3600*(i+1), 77))
@@ -49,9 +49,9 @@
 		s.ForwardFrame(3, 4, packet(uint16(100+i), 5000+3600*i, 88)) // another source
 	}
 	for i := range uint32(4) {
-		s.ForwardFrame(4, 4, packet(uint16(104+i), 5000+3600*4+90000*60+3600*i, 88)) // it leaps ahead
+		s.ForwardFrame(4, 4, packet(uint16(104+i), 5000+3600*4+90000*60+3600*i, 88)) // a jump ahead within the source
 	}
-	s.ForwardFrame(4, 9, packet(1, 1, 1)) // never set up
+	s.ForwardFrame(4, 9, packet(1, 1, 1)) // a channel that was not set up
 	s.SendBye()
 	o.Finish()
 	var seq uint16
@@ -72,10 +72,10 @@
 		seq, ts = q, u
 	}
 	if _, f, err := in.Next(); err != nil || f.Channel != 1 || f.Payload()[1] != 203 {
-		t.Errorf("no BYE at the end: %v", err)
+		t.Errorf("no BYE at the end of the stream: %v", err)
 	}
 	if _, _, err := in.Next(); err != io.EOF {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after BYE: %v", err)
 	}
 	if s.StrayFrames.Load() != 1 {
 		t.Errorf("%d stray frames", s.StrayFrames.Load())
@@ -85,7 +85,8 @@
 	}
 }
 
-// The box's numbers for its next frame become the viewer's, whether that frame has overtaken the box's word or not.
+// The box's RTP-Info must be translated to the viewer's numbers whether the announced frame arrives before or after the
+// response that carries it.
 func TestTranslateRTPInfo(t *testing.T) {
 	s := NewStream(NewQueue(1<<20), nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
@@ -96,19 +97,19 @@
 			t.Errorf("%s: %d %d, want %d %d", what, a, b, wantSeq, wantTS)
 		}
 	}
-	check("before any", 7, 900, 7, 900)
+	check("before the first frame", 7, 900, 7, 900)
 	for i := range uint32(4) {
 		s.ForwardFrame(1, 0, packet(uint16(10+i), 1000+3600*i, 5))
 	}
-	check("it goes on", 14, 15400, 14, 15400)
-	check("a seek", 14, 9_000_000, 14, 15400)
+	check("continuous", 14, 15400, 14, 15400)
+	check("seek", 14, 9_000_000, 14, 15400)
 	s.ForwardFrame(2, 0, packet(14, 9_000_000, 5))
-	check("a seek whose first frame was quicker", 14, 9_000_000, 14, 15400)
+	check("seek, first frame arrived before the response", 14, 9_000_000, 14, 15400)
 	s.ForwardFrame(2, 0, packet(15, 9_003_600, 5))
-	check("whose first two were", 14, 9_000_000, 14, 15400)
-	check("back", 16, 100, 16, 22600)
+	check("seek, two frames arrived before the response", 14, 9_000_000, 14, 15400)
+	check("seek backwards", 16, 100, 16, 22600)
 	if _, _, ok := s.TranslateRTPInfo(2, 1, 1); ok {
-		t.Error("numbers of a track that was never set up")
+		t.Error("translated RTP-Info of a track that was not set up")
 	}
 }
 
@@ -127,14 +128,14 @@
 	in.Next()
 	_, f, err := in.Next()
 	if err != nil || f.Channel != 7 || len(f.Payload()) != 28 {
-		t.Fatalf("the report alone should come: %d bytes, %v", len(f.Payload()), err)
+		t.Fatalf("want the sender report alone: %d bytes, %v", len(f.Payload()), err)
 	}
 	if link != 0.75 || uplink != -1 {
-		t.Errorf("note %v %v", link, uplink)
+		t.Errorf("load note %v %v", link, uplink)
 	}
-	s.ForwardFrame(1, 1, []byte{0x80, 200, 0xff, 0xff, 0, 0, 0, 0}) // longer than it is
+	s.ForwardFrame(1, 1, []byte{0x80, 200, 0xff, 0xff, 0, 0, 0, 0}) // length field exceeds the packet
 	if s.StrayFrames.Load() != 1 {
-		t.Error("a broken report was taken")
+		t.Error("a malformed report was accepted")
 	}
 }
 
@@ -143,20 +144,20 @@
 	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	s.ForwardFrame(1, 4, packet(1, 100, 77))
-	s.ForwardFrame(1, 4, packet(1, 100, 88)) // another source; the viewer still knows the first
+	s.ForwardFrame(1, 4, packet(1, 100, 88)) // another source; the viewer still sees the first SSRC
 	rr := make([]byte, 32)
 	rr[0], rr[1], rr[3], rr[12] = 0x81, 201, 7, 64
 	binary.BigEndian.PutUint32(rr[8:], 77)
 	to, lost, ok := s.TranslateRTCP(1, rr)
 	if !ok || to != 5 || lost != 0.25 || binary.BigEndian.Uint32(rr[8:]) != 88 {
-		t.Errorf("to %d, lost %v, %v, about %d", to, lost, ok, binary.BigEndian.Uint32(rr[8:]))
+		t.Errorf("channel %d, lost %v, %v, SSRC %d", to, lost, ok, binary.BigEndian.Uint32(rr[8:]))
 	}
 	if _, _, ok := s.TranslateRTCP(9, rr); ok {
-		t.Error("a channel of no track")
+		t.Error("accepted a channel of no track")
 	}
 	rr[3] = 200
 	if _, _, ok := s.TranslateRTCP(1, rr); ok {
-		t.Error("a report longer than it is")
+		t.Error("accepted a report whose length field exceeds the packet")
 	}
 }
 
@@ -167,11 +168,11 @@
 	s := NewStream(o, nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
-	for i := range uint32(100) { // nobody reads
+	for i := range uint32(100) { // nothing is reading
 		s.ForwardFrame(1, 0, packet(uint16(i), i*3600, 7, make([]byte, 988)...))
 	}
 	if w := o.PendingBytes(); w > 10000 {
-		t.Errorf("%d bytes wait", w)
+		t.Errorf("%d bytes pending", w)
 	}
 	if d := o.DroppedFrames.Load(); d != 91 {
 		t.Errorf("%d dropped", d)
@@ -199,7 +200,7 @@
 		o.PushMessage(make([]byte, 30<<10))
 	}
 	if err := o.PushMessage(nil); err == nil {
-		t.Error("messages without bound")
+		t.Error("messages exceed their limit without an error")
 	}
 }
 
@@ -209,12 +210,12 @@
 	o := NewQueue(10000)
 	o.PushMessage([]byte("x"))
 	if err := o.Run(a, 5*time.Millisecond); err == nil {
-		t.Error("a write without end")
+		t.Error("a stalled write did not time out")
 	}
 }
 
-// Whatever numbers a source sends, the viewer's sequence goes forward by one a frame in the order sent, or as the
-// source itself skips and swaps within a window; media time never runs back.
+// Whatever numbers a source sends, the viewer's sequence numbers advance by one per frame or follow the source's own gaps
+// and reordering within a window, and media time never decreases.
 func TestRewriteProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := &Track{ClockRate: 90000}
@@ -224,7 +225,7 @@
 			before, known := tr.lastSeq, tr.started
 			out, _ := tr.rewrite(seq, rapid.Uint32().Draw(t, "ts"), rapid.Uint32Range(1, 2).Draw(t, "src"))
 			if d := int16(out - before); known && (d < -1000 || d > 1000) {
-				t.Fatalf("seq leaps by %d", d)
+				t.Fatalf("sequence number jumps by %d", d)
 			}
 			if tr.mediaTicks < last || tr.mediaTicks-last > 10*90000 {
 				t.Fatalf("media time from %d to %d", last, tr.mediaTicks)
@@ -241,7 +242,7 @@
 		o := NewQueue(1 << 16)
 		s := NewStream(o, func(l, u float64) {
 			if l < 0 && l != -1 || u < 0 && u != -1 {
-				t.Fatalf("note %v %v", l, u)
+				t.Fatalf("load note %v %v", l, u)
 			}
 		})
 		s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
