--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -95,7 +95,7 @@
 		"front": {"front = 1", "front = 2", "0 to 1 would be right"},
 		"zone":  {`cut_zone(at = 5, zone = "a"`, `cut_zone(at = 5, zone = "c"`, "no zone c"},
 		"pair":  {"watch = [1, 2]", "watch = [2, 1]", "the least and the most"},
-		"word":  {"crowd(", "croud(", "crowd may be meant"},
+		"word":  {"crowd(", "croud(", "did you mean crowd?"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("d.star", []byte(strings.Replace(short, c.from, c.to, 1)))
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -1,5 +1,5 @@
-// Package settings reads a front's settings, a Starlark script, into checked figures. Every mistake is named with its
-// file and line and what would be right; nothing is taken from a script that has one.
+// Package settings reads a front's settings from a Starlark script and validates them. Every error is reported with its
+// file, line and the expected value; a script with errors is rejected as a whole.
 package settings
 
 import (
@@ -8,58 +8,58 @@
 	"rainhaven/choice/limits"
 )
 
-// Config are what one front runs by.
+// Config holds the settings of one front.
 type Config struct {
-	Name     string      // of the instance: in logs, metrics and towards boxes
+	Name     string      // of the instance, in logs, metrics and requests to boxes
 	Listen   string      // address for viewers
-	TLS      TLSListener // for viewers that come over TLS; an empty Listen is none
-	BoxTLS   TLSTrust    // of boxes, which are then reached over TLS; empty Roots is none
-	StateDir string      // folder that must exist, in which the instance has its own; empty keeps nothing
-	LogLevel string      // least level; empty leaves it as the process began with
-	Admin    string      // address for health and metrics; empty is none
+	TLS      TLSListener // for viewers that connect over TLS; disabled if Listen is empty
+	BoxTLS   TLSTrust    // for connections to boxes over TLS; disabled if RootsFile is empty
+	StateDir string      // existing directory in which the instance creates its own; if empty, no state is saved
+	LogLevel string      // minimum level; if empty, the level set at process start applies
+	Admin    string      // address for health and metrics; disabled if empty
 
-	Choice   choice.Config // Seed 0 is drawn at start
-	Groups   []Group       // in the order of Figures.Groups
+	Choice   choice.Config // a Seed of 0 is replaced by a random one at start
+	Groups   []Group       // in the order of Choice.Groups
 	Titles   map[string]Title
 	Boxes    []Box
-	Redirect string // host:port that viewers are sent to while the front drains; empty is none
+	Redirect string // host:port that viewers are redirected to while the front drains; disabled if empty
 	Realm    string
-	Users    []auth.User // none: everyone may enter
+	Users    []auth.User // if empty, viewers need no credentials
 	Zones    []string
 	Kinds    []string
 
 	Limits     limits.Bounds
-	DrainGrace float64 // seconds after which nothing new may reach a box that drains; the module needs none of it
+	DrainGrace float64 // seconds after which no new session may reach a draining box; package choice does not use it
 }
 
-// TLSListener is an address for TLS and the files of its certificate and key.
+// TLSListener holds a TLS address and the files with its certificate and key.
 type TLSListener struct{ Listen, CertFile, KeyFile string }
 
-// TLSTrust is a file of certificates, and the name that one must be for.
+// TLSTrust holds a file of root certificates and the name that a peer's certificate must be valid for.
 type TLSTrust struct{ RootsFile, ServerName string }
 
-// Group is what a front needs of a service group beside the module's terms.
+// Group holds the settings of a service group that package choice does not need.
 type Group struct {
 	Name         string
-	SetupTimeout float64   // seconds until a viewer gives up
-	Rates        []float64 // kB a second for each rung
+	SetupTimeout float64   // seconds until its viewers give up
+	Rates        []float64 // kB per second, by rung
 }
 
-// Title is what a front knows of a title.
+// Title holds the cells and the length of a title.
 type Title struct {
 	StartCell, Span int
-	Length          float64 // seconds; 0 is not known
+	Length          float64 // seconds; 0 if unknown
 }
 
-// Box is one server of the list, with its address.
+// Box is a listed server with its address.
 type Box struct {
 	choice.Listing
 	Address string
 }
 
-// GroupIndex finds a service group by its name, -1 where there is none.
-func (t *Config) GroupIndex(name string) int {
-	for i, g := range t.Groups {
+// GroupIndex returns the index of the service group with a name, or -1 if there is none.
+func (c *Config) GroupIndex(name string) int {
+	for i, g := range c.Groups {
 		if g.Name == name {
 			return i
 		}
--- a/internal/settings/migrate.go
+++ b/internal/settings/migrate.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Migration is a front's settings rewritten for another layout.
+// Migration is the result of rewriting a front's settings for another layout.
 type Migration struct {
-	Script      []byte   // flat: one call an entry, no loops, names or comments
-	Changed     []string // what the layout set otherwise, in words
-	NotMigrated []string // what could not be carried over, in words
+	Script      []byte   // flat: one call per entry, without loops, variables or comments
+	Changed     []string // descriptions of the values that the layout changed
+	NotMigrated []string // descriptions of what could not be migrated
 }
 
-// layoutForms are the forms of a layout: a front's, with nothing needed but keys, and those that a layout may have and
-// this program has no settings for.
+// layoutForms returns the forms of a layout: those of a front, with only the keys required, and forms that a layout may
+// use but that a front has no settings for.
 func layoutForms() (list []Form) {
 	for _, f := range FrontForms {
 		f.Required, f.Fields = false, slices.Clone(f.Fields)
@@ -28,14 +28,14 @@
 	}
 	return append(list,
 		Form{Name: "everywhere", AtMostOnce: true, Doc: "every box holds every title"},
-		Form{Name: "tenant", Key: "name", Doc: "one whose traffic beyond a share is worth little", Fields: []Field{
-			{Name: "name", Kind: Text, Required: true, Doc: "its name"},
-			{Name: "per_second", Kind: Number, Doc: "requests of its share, at all fronts together"}}},
-		Form{Name: "peers", AtMostOnce: true, Doc: "fronts may send each other messages"})
+		Form{Name: "tenant", Key: "name", Doc: "a tenant whose traffic beyond its share has little value", Fields: []Field{
+			{Name: "name", Kind: Text, Required: true, Doc: "name of the tenant"},
+			{Name: "per_second", Kind: Number, Doc: "requests per second of its share, at all fronts together"}}},
+		Form{Name: "peers", AtMostOnce: true, Doc: "fronts may send messages to each other"})
 }
 
-// Migrate rewrites a front's settings for a layout, both given as files. Mistakes of either, and of the outcome, are
-// its error; then there is no script.
+// Migrate rewrites a front's settings for a layout, both given as files. Errors in either of them or in the resulting
+// settings are returned as Diagnostics; in that case there is no script.
 func Migrate(file, layout string, instance int) (m Migration, err error) {
 	old, err := ReadFile(file, FrontForms, instance)
 	if err != nil {
@@ -67,19 +67,19 @@
 	}
 	script := old.source()
 	after := Read(file+" for "+layout, script, FrontForms)
-	terms := FrontConfig(after)
+	result := FrontConfig(after)
 	if len(after.Diagnostics) > 0 {
 		return Migration{}, after.Diagnostics
 	}
-	// Against a form or a kind of field that the writer does not know: what no layout changed must come out the same.
-	if len(m.Changed) == 0 && !reflect.DeepEqual(before, terms) {
-		return Migration{}, fmt.Errorf("%s: what was written does not read as it did", file)
+	// Guards against forms or kinds of fields that source does not handle: without changes the result must be the same.
+	if len(m.Changed) == 0 && !reflect.DeepEqual(before, result) {
+		return Migration{}, fmt.Errorf("%s: the rewritten script does not yield the same settings", file)
 	}
 	m.Script = script
 	return m, nil
 }
 
-// listNotMigrated lists what cannot be carried over.
+// listNotMigrated records what cannot be migrated.
 func (m *Migration) listNotMigrated(file string, old, over *Document, instance int) {
 	if src, err := os.ReadFile(file); err == nil {
 		comments := 0
@@ -89,14 +89,14 @@
 			}
 		}
 		if comments > 0 {
-			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("%d lines of comments; names, loops and sums are written as what they came to", comments))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("%d comment lines; variables, loops and expressions are replaced by their values", comments))
 		}
 		if other := readInstance(file, src, FrontForms, instance+1); string(other.source()) != string(old.source()) {
-			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("what follows from the number of the instance: this is for instance %d alone", instance))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("values that depend on the instance number: the script is for instance %d only", instance))
 		}
 	}
 	for _, e := range over.Entries("tenant") {
-		m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("tenant %s and its share: a front has no setting for tenants, all are served alike", e.Text("name")))
+		m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("tenant %s and its share: a front has no setting for tenants and serves all alike", e.Text("name")))
 	}
 	if _, ok := over.Single("peers"); ok {
 		m.NotMigrated = append(m.NotMigrated, "messages between fronts: a front sends none")
@@ -105,12 +105,12 @@
 		if g.Bool("paid") && !slices.ContainsFunc(over.Entries("group"), func(e Entry) bool {
 			return e.Text("name") == g.Text("name") && e.Has("paid")
 		}) {
-			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("group %s stays paid, so it is never set up again; set paid = False in the layout where it may be", g.Text("name")))
+			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("group %s stays paid, so its SETUPs are never retried; set paid = False in the layout if they may be", g.Text("name")))
 		}
 	}
 }
 
-// overlay sets the fields that a layout's call names in the old call of the same key.
+// overlay copies the fields set by a layout's call to the old call with the same key.
 func (m *Migration) overlay(f Form, old, over *Document, e Entry) {
 	name := f.Name
 	i := 0
@@ -122,7 +122,7 @@
 		}
 		name += " " + key(e)
 	} else if len(old.Entries(f.Name)) == 0 {
-		old.addEntry(f, e.Line, nil) // with its defaults; what it needs beyond these the outcome's check asks for
+		old.addEntry(f, e.Line, nil) // only defaults; required fields are checked in the result
 		old.Diagnostics = nil
 	}
 	o := old.Entries(f.Name)[i]
@@ -130,27 +130,29 @@
 		if !e.Has(x.Name) || x.Name == f.Key {
 			continue
 		}
-		was := o.format(f, x.Name)
+		before := o.format(f, x.Name)
 		o.numbers[x.Name], o.texts[x.Name], o.numberLists[x.Name], o.textLists[x.Name] = e.numbers[x.Name], e.texts[x.Name], e.numberLists[x.Name], e.textLists[x.Name]
-		m.recordChange(name, o, f, x, was)
+		m.recordChange(name, o, f, x, before)
 	}
 }
 
+// setNumber sets a number in an entry and records the change.
 func (m *Migration) setNumber(name string, e Entry, x Field, to float64) {
 	f := Form{Fields: []Field{x}}
-	was := e.format(f, x.Name)
+	before := e.format(f, x.Name)
 	e.numbers[x.Name] = to
-	m.recordChange(name, e, f, x, was)
+	m.recordChange(name, e, f, x, before)
 }
 
-func (m *Migration) recordChange(name string, e Entry, f Form, x Field, was string) {
+// recordChange marks a field as set and records it in Changed if its value differs from before.
+func (m *Migration) recordChange(name string, e Entry, f Form, x Field, before string) {
 	e.given[x.Name] = true
-	if now := e.format(f, x.Name); now != was {
-		m.Changed = append(m.Changed, fmt.Sprintf("%s: %s is %s, was %s", name, x.Name, now, was))
+	if after := e.format(f, x.Name); after != before {
+		m.Changed = append(m.Changed, fmt.Sprintf("%s: %s is %s, was %s", name, x.Name, after, before))
 	}
 }
 
-// format is a field as a script writes it.
+// format returns the value of a field as a Starlark literal.
 func (e Entry) format(f Form, name string) string {
 	x := f.Fields[slices.IndexFunc(f.Fields, func(x Field) bool { return x.Name == name })]
 	number := func(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
@@ -174,7 +176,7 @@
 	return "[" + strings.Join(list, ", ") + "]"
 }
 
-// source writes what a sheet holds, flat.
+// source returns the document as a flat script.
 func (s *Document) source() []byte {
 	var out strings.Builder
 	for _, f := range FrontForms {
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -22,7 +22,7 @@
 	return m, FrontConfig(s), err
 }
 
-// Without a layout a script comes out flat and means the same.
+// Without a layout the migrated script must be flat and yield the same settings.
 func TestMigrationWithoutLayoutChanges(t *testing.T) {
 	m, terms, err := migrate(t, "# north\n"+validScript+`user(name = "ada", password = "q\"\\u")`, "")
 	if err != nil || len(m.Changed) > 0 {
@@ -32,7 +32,7 @@
 	if !reflect.DeepEqual(terms, want) {
 		t.Errorf("%+v\n%+v", terms, want)
 	}
-	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 lines of comments") {
+	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 comment lines") {
 		t.Error(m.NotMigrated)
 	}
 }
@@ -61,7 +61,7 @@
 		t.Errorf("%+v", terms)
 	}
 	all := strings.Join(m.NotMigrated, "\n")
-	for _, part := range []string{"instance 0 alone", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
+	for _, part := range []string{"instance 0 only", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
 		if !strings.Contains(all, part) {
 			t.Errorf("%q is not listed in\n%s", part, all)
 		}
@@ -73,14 +73,14 @@
 }
 
 func TestMigrationErrors(t *testing.T) {
-	for name, c := range map[string]struct{ old, layout, says string }{
-		"a mistake in the old":     {strings.Replace(validScript, "places = 20", "places = 0", 1), "", ":6:"},
-		"a mistake in the layout":  {validScript, "fleet(shared_adds = 3)", "1 is the most"},
-		"a group that is not held": {validScript, `group(name = "clips", live = True)`, "no group"},
-		"an outcome with mistakes": {validScript, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
+	for name, c := range map[string]struct{ old, layout, want string }{
+		"an error in the old settings": {strings.Replace(validScript, "places = 20", "places = 0", 1), "", ":6:"},
+		"an error in the layout":       {validScript, "fleet(shared_adds = 3)", "the maximum is 1"},
+		"a group that does not exist":  {validScript, `group(name = "clips", live = True)`, "no group"},
+		"an invalid result":            {validScript, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
 	} {
 		m, _, err := migrate(t, c.old, c.layout)
-		if err == nil || !strings.Contains(err.Error(), c.says) || m.Script != nil {
+		if err == nil || !strings.Contains(err.Error(), c.want) || m.Script != nil {
 			t.Errorf("%s: %v, %q", name, err, m.Script)
 		}
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -11,108 +11,109 @@
 	"rainhaven/choice/limits"
 )
 
-// CommonForms are the forms that a front's settings and a day's script share.
+// CommonForms are the forms shared by a front's settings and the script of a simulated day.
 var CommonForms = []Form{
-	{Name: "zone", Key: "name", Doc: "a zone, in the order of their numbers", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "its name"}}},
-	{Name: "kind", Key: "name", Required: true, Doc: "a kind of box, in the order of their numbers", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "its name"},
-		{Name: "places", Kind: Integer, Required: true, Min: 1, Doc: "streams that such a box runs at most"}}},
+	{Name: "zone", Key: "name", Doc: "a zone; zones are numbered in the order of the calls", Fields: []Field{
+		{Name: "name", Kind: Text, Required: true, Doc: "name of the zone"}}},
+	{Name: "kind", Key: "name", Required: true, Doc: "a kind of box; kinds are numbered in the order of the calls", Fields: []Field{
+		{Name: "name", Kind: Text, Required: true, Doc: "name of the kind"},
+		{Name: "places", Kind: Integer, Required: true, Min: 1, Doc: "maximum number of streams of such a box"}}},
 	{Name: "ladder", Required: true, AtMostOnce: true, Doc: "the rates of the rungs", Fields: []Field{
-		{Name: "rates", Kind: NumberList, Required: true, Min: 1, Doc: "kB a second of each rung, lowest first"}}},
+		{Name: "rates", Kind: NumberList, Required: true, Min: 1, Doc: "kB per second of each rung, in ascending order"}}},
 	{Name: "group", Key: "name", Required: true, Doc: "a service group", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "its name, as in URLs"},
-		{Name: "utility", Kind: Number, Default: 1.0, Doc: "what a second of its sessions earns at the top rung"},
-		{Name: "scale", Kind: Number, Default: 1.0, Min: 0.01, Max: 100, Doc: "its rates over those of the ladder"},
-		{Name: "start_target", Kind: Number, Required: true, Min: 0.05, Max: 60, Doc: "seconds within which an answer is wanted"},
+		{Name: "name", Kind: Text, Required: true, Doc: "name, as it appears in URLs"},
+		{Name: "utility", Kind: Number, Default: 1.0, Doc: "value of one second of a session at the top rung"},
+		{Name: "scale", Kind: Number, Default: 1.0, Min: 0.01, Max: 100, Doc: "factor applied to the rates of the ladder"},
+		{Name: "start_target", Kind: Number, Required: true, Min: 0.05, Max: 60, Doc: "seconds within which a response should arrive"},
 		{Name: "setup_timeout", Kind: Number, Required: true, Min: 0.5, Max: 120, Doc: "seconds after which its viewers give up"},
-		{Name: "paid", Kind: Bool, Doc: "a SETUP is paid for and never sent again"},
-		{Name: "floor", Kind: Integer, Doc: "the lowest rung that it may play on"},
-		{Name: "top", Kind: Integer, Default: -1.0, Min: -1, Doc: "the highest rung"},
-		{Name: "seats", Kind: Integer, Doc: "sessions of one title that a front may hold; 0 is no cap"},
-		{Name: "live", Kind: Bool, Doc: "its titles are live: viewers of one at one box and rung share a stream"},
-		{Name: "share", Kind: Number, Default: 1.0, Doc: "its part of new sessions on a day"}}},
-	{Name: "fleet", Required: true, AtMostOnce: true, Doc: "the size of all boxes together", Fields: []Field{
-		{Name: "links", Kind: Number, Required: true, Min: 1, Doc: "kB a second of all links together"},
-		{Name: "uplink", Kind: Number, Required: true, Min: 1, Doc: "kB a second of a rack's uplink, on average"},
+		{Name: "paid", Kind: Bool, Doc: "a SETUP is paid for and never retried"},
+		{Name: "floor", Kind: Integer, Doc: "lowest rung allowed"},
+		{Name: "top", Kind: Integer, Default: -1.0, Min: -1, Doc: "highest rung allowed; -1 is that of the ladder"},
+		{Name: "seats", Kind: Integer, Doc: "maximum number of sessions of one title at a front; 0 is no limit"},
+		{Name: "live", Kind: Bool, Doc: "titles are live: viewers of the same title, box and rung share a stream"},
+		{Name: "share", Kind: Number, Default: 1.0, Doc: "weight among the new sessions of a simulated day"}}},
+	{Name: "fleet", Required: true, AtMostOnce: true, Doc: "total capacity of all boxes", Fields: []Field{
+		{Name: "links", Kind: Number, Required: true, Min: 1, Doc: "kB per second of all links together"},
+		{Name: "uplink", Kind: Number, Required: true, Min: 1, Doc: "kB per second of a rack's uplink, on average"},
 		{Name: "cells", Kind: Integer, Required: true, Min: 1, Doc: "number of cells"},
-		{Name: "racks", Kind: Integer, Required: true, Min: 1, Doc: "number of racks; a box's rack is its cell modulo this"},
-		{Name: "shared_adds", Kind: Number, Default: 1.0, Min: 0.01, Max: 1, Doc: "what a further viewer of a live title adds to its stream, of its rate"},
-		{Name: "cross_zone_price", Kind: Number, Doc: "of a session that crosses zones, in sessions"}}},
-	{Name: "setups", AtMostOnce: true, Doc: "the ration of further SETUPs", Fields: []Field{
-		{Name: "most", Kind: Integer, Default: 3.0, Min: 1, Max: 20, Doc: "SETUPs at most for one request"},
-		{Name: "spare", Kind: Number, Default: 5.0, Doc: "further SETUPs allowed however few sessions are taken"},
-		{Name: "share", Kind: Number, Default: 0.1, Max: 10, Doc: "further SETUPs for each session taken"},
-		{Name: "window", Kind: Number, Default: 10.0, Max: 3600, Doc: "seconds that are counted over; 0 is no ration"},
-		{Name: "advice", Kind: Number, Default: 1.0, Max: 600, Doc: "seconds, the longest advice on coming back"}}},
-	{Name: "drains", AtMostOnce: true, Doc: "the drain rule", Fields: []Field{
-		{Name: "grace", Kind: Number, Default: 0.5, Min: 0.1, Doc: "seconds after which nothing new may reach a box that drains"}}},
-	{Name: "cold", AtMostOnce: true, Doc: "what a box that has just started takes", Fields: []Field{
-		{Name: "warm_up", Kind: Number, Required: true, Doc: "seconds until it is warm"},
-		{Name: "share", Kind: Number, Required: true, Max: 1, Doc: "of its capacity, that it starts at"},
-		{Name: "fall_factor", Kind: Number, Required: true, Min: 1, Doc: "sent so many times what it can take it falls over"},
-		{Name: "fall_time", Kind: Number, Required: true, Min: 0.1, Doc: "seconds of that until it does"}}},
-	{Name: "reports", AtMostOnce: true, Doc: "what boxes tell of their load", Fields: []Field{
-		{Name: "come", Kind: Text, Default: "answers", Doc: "one of answers, probes, never"},
-		{Name: "lag", Kind: Number, Default: 1.0, Max: 60, Doc: "seconds that notes lag"},
+		{Name: "racks", Kind: Integer, Required: true, Min: 1, Doc: "number of racks; the rack of a box is its cell modulo this number"},
+		{Name: "shared_adds", Kind: Number, Default: 1.0, Min: 0.01, Max: 1, Doc: "share of its rate that a further viewer adds to a shared stream of a live title"},
+		{Name: "cross_zone_price", Kind: Number, Doc: "cost of a session that crosses zones, in sessions"}}},
+	{Name: "setups", AtMostOnce: true, Doc: "the retry budget for SETUPs", Fields: []Field{
+		{Name: "most", Kind: Integer, Default: 3.0, Min: 1, Max: 20, Doc: "maximum number of SETUPs for one request"},
+		{Name: "spare", Kind: Number, Default: 5.0, Doc: "base allowance: retries allowed regardless of the number of accepted sessions"},
+		{Name: "share", Kind: Number, Default: 0.1, Max: 10, Doc: "retries allowed per accepted session"},
+		{Name: "window", Kind: Number, Default: 10.0, Max: 3600, Doc: "length of the accounting window in seconds; 0 is no limit"},
+		{Name: "advice", Kind: Number, Default: 1.0, Max: 600, Doc: "maximum Retry-After in seconds"}}},
+	{Name: "drains", AtMostOnce: true, Doc: "rules for draining boxes", Fields: []Field{
+		{Name: "grace", Kind: Number, Default: 0.5, Min: 0.1, Doc: "seconds after which no new session may reach a draining box"}}},
+	{Name: "cold", AtMostOnce: true, Doc: "capacity of a box that has just started", Fields: []Field{
+		{Name: "warm_up", Kind: Number, Required: true, Doc: "seconds until it has full capacity"},
+		{Name: "share", Kind: Number, Required: true, Max: 1, Doc: "share of its capacity that it starts with"},
+		{Name: "fall_factor", Kind: Number, Required: true, Min: 1, Doc: "load, as a multiple of its current capacity, at which it fails"},
+		{Name: "fall_time", Kind: Number, Required: true, Min: 0.1, Doc: "seconds of that load until it fails"}}},
+	{Name: "reports", AtMostOnce: true, Doc: "load reports of boxes", Fields: []Field{
+		{Name: "come", Kind: Text, Default: "answers", Doc: "where reports come from: answers, probes or never"},
+		{Name: "lag", Kind: Number, Default: 1.0, Max: 60, Doc: "delay of load notes in seconds"},
 		{Name: "notes_every", Kind: Number, Default: 3.0, Max: 600, Doc: "seconds between load notes; 0 is none"},
-		{Name: "full_at", Kind: Number, Doc: "load of its link at which a box answers full; 0 is never"},
+		{Name: "full_at", Kind: Number, Doc: "load of its link at which a box responds that it is full; 0 is never"},
 		{Name: "probes", Kind: Bool, Default: true, Doc: "boxes may be probed"}}},
-	{Name: "title", Key: "name", Required: true, Doc: "a title and the boxes that hold it", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "its name, as in URLs"},
-		{Name: "start_cell", Kind: Integer, Doc: "the first cell that holds it"},
-		{Name: "span", Kind: Integer, Default: 1.0, Min: 1, Doc: "how many cells in a row hold it"},
-		{Name: "length", Kind: Number, Doc: "its length in seconds; 0 is not known"},
-		{Name: "wanted", Kind: Number, Default: 1.0, Doc: "how much it is wanted on a day, over others"}}},
-	{Name: "limits", AtMostOnce: true, Doc: "the front's own bounds", Fields: []Field{
-		{Name: "connections", Kind: Integer, Default: float64(limits.Defaults.Connections), Min: 1, Doc: "of viewers, in all"},
-		{Name: "sessions", Kind: Integer, Default: float64(limits.Defaults.Sessions), Min: 1, Doc: "in all; more are busy-replied"},
-		{Name: "box_connections", Kind: Integer, Default: float64(limits.Defaults.BoxConnections), Min: 1, Doc: "to one box"},
-		{Name: "queue", Kind: Integer, Default: float64(limits.Defaults.Queue), Min: 1 << 14, Max: 1 << 28, Doc: "bytes of media that wait for one viewer"},
-		{Name: "viewer_idle", Kind: Number, Default: limits.Defaults.ViewerIdle, Min: 5, Max: 3600, Doc: "seconds after which an unheard viewer is gone"},
-		{Name: "keep_alive", Kind: Number, Default: limits.Defaults.KeepAlive, Min: 1, Max: 3600, Doc: "seconds between signs of life to a box"},
-		{Name: "connect_timeout", Kind: Number, Default: limits.Defaults.ConnectTimeout, Min: 0.01, Max: 30, Doc: "seconds for a connection to a box"},
-		{Name: "probe_timeout", Kind: Number, Default: limits.Defaults.ProbeTimeout, Min: 0.01, Max: 30, Doc: "seconds for a probe's answer"},
-		{Name: "write_stall", Kind: Number, Default: limits.Defaults.WriteStall, Min: 0.5, Max: 300, Doc: "seconds that one write to a viewer may take"}}},
+	{Name: "title", Key: "name", Required: true, Doc: "a title and the cells whose boxes hold it", Fields: []Field{
+		{Name: "name", Kind: Text, Required: true, Doc: "name, as it appears in URLs"},
+		{Name: "start_cell", Kind: Integer, Doc: "first cell that holds it"},
+		{Name: "span", Kind: Integer, Default: 1.0, Min: 1, Doc: "number of consecutive cells that hold it"},
+		{Name: "length", Kind: Number, Doc: "length in seconds; 0 is unknown"},
+		{Name: "wanted", Kind: Number, Default: 1.0, Doc: "relative demand on a simulated day"}}},
+	{Name: "limits", AtMostOnce: true, Doc: "limits of the front", Fields: []Field{
+		{Name: "connections", Kind: Integer, Default: float64(limits.Defaults.Connections), Min: 1, Doc: "maximum number of viewer connections"},
+		{Name: "sessions", Kind: Integer, Default: float64(limits.Defaults.Sessions), Min: 1, Doc: "maximum number of sessions; further ones get a busy reply"},
+		{Name: "box_connections", Kind: Integer, Default: float64(limits.Defaults.BoxConnections), Min: 1, Doc: "maximum number of connections to one box"},
+		{Name: "queue", Kind: Integer, Default: float64(limits.Defaults.Queue), Min: 1 << 14, Max: 1 << 28, Doc: "maximum bytes of media queued for one viewer"},
+		{Name: "viewer_idle", Kind: Number, Default: limits.Defaults.ViewerIdle, Min: 5, Max: 3600, Doc: "seconds without input after which a viewer is considered gone"},
+		{Name: "keep_alive", Kind: Number, Default: limits.Defaults.KeepAlive, Min: 1, Max: 3600, Doc: "seconds between keep-alive requests to a box"},
+		{Name: "connect_timeout", Kind: Number, Default: limits.Defaults.ConnectTimeout, Min: 0.01, Max: 30, Doc: "timeout for connecting to a box, in seconds"},
+		{Name: "probe_timeout", Kind: Number, Default: limits.Defaults.ProbeTimeout, Min: 0.01, Max: 30, Doc: "timeout for the response to a probe, in seconds"},
+		{Name: "write_stall", Kind: Number, Default: limits.Defaults.WriteStall, Min: 0.5, Max: 300, Doc: "maximum seconds for one write to a viewer"}}},
 }
 
 // FrontForms are the forms of a front's settings.
 var FrontForms = slices.Concat([]Form{
 	{Name: "front", Required: true, AtMostOnce: true, Doc: "this front", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "of the instance"},
+		{Name: "name", Kind: Text, Required: true, Doc: "name of the instance"},
 		{Name: "listen", Kind: Text, Required: true, Doc: "host:port for viewers"},
-		{Name: "tls_listen", Kind: Text, Doc: "host:port for viewers over TLS; empty is none"},
-		{Name: "cert", Kind: Text, Doc: "file of the certificate for TLS, and of those that signed it"},
-		{Name: "key", Kind: Text, Doc: "file of its key"},
-		{Name: "redirect", Kind: Text, Doc: "host:port of a front that viewers are sent to while this one drains; empty is none"},
-		{Name: "admin", Kind: Text, Doc: "host:port for health and metrics; empty is none"},
-		{Name: "state", Kind: Text, Doc: "folder that exists, for what must outlive the process; empty keeps nothing"},
-		{Name: "log", Kind: Text, Doc: "least level logged: debug, info, warn, error; that of the command line where empty"},
-		{Name: "me", Kind: Integer, Doc: "its number among the fronts, from 0"},
-		{Name: "fronts", Kind: Integer, Default: 1.0, Min: 1, Doc: "how many fronts there are"},
-		{Name: "zone", Kind: Text, Doc: "the zone it stands in"},
-		{Name: "realm", Kind: Text, Default: "rainhaven", Doc: "what viewers' credentials are for, where users are named"},
-		{Name: "seed", Kind: Integer, Doc: "of its chance; 0 draws one at each start"}}},
-	{Name: "user", Key: "name", Doc: "one who may enter; without any, everyone may", Fields: []Field{
-		{Name: "name", Kind: Text, Required: true, Doc: "the name"},
-		{Name: "password", Kind: Text, Required: true, Doc: "the password; keep the file to yourself"}}},
-	{Name: "box_tls", AtMostOnce: true, Doc: "connections to boxes go over TLS", Fields: []Field{
-		{Name: "roots", Kind: Text, Required: true, Doc: "file of the certificates that boxes are trusted by"},
-		{Name: "name", Kind: Text, Doc: "what their certificates are for; the host of each address where empty"}}},
+		{Name: "tls_listen", Kind: Text, Doc: "host:port for viewers over TLS; disabled if empty"},
+		{Name: "cert", Kind: Text, Doc: "file with the TLS certificate chain"},
+		{Name: "key", Kind: Text, Doc: "file with the key of the certificate"},
+		{Name: "redirect", Kind: Text, Doc: "host:port of a front to which viewers are redirected while this one drains; disabled if empty"},
+		{Name: "admin", Kind: Text, Doc: "host:port for health and metrics; disabled if empty"},
+		{Name: "state", Kind: Text, Doc: "existing directory for state that must outlive the process; if empty, no state is saved"},
+		{Name: "log", Kind: Text, Doc: "minimum log level: debug, info, warn or error; if empty, that of the command line"},
+		{Name: "me", Kind: Integer, Doc: "number among the fronts, starting at 0"},
+		{Name: "fronts", Kind: Integer, Default: 1.0, Min: 1, Doc: "number of fronts"},
+		{Name: "zone", Kind: Text, Doc: "zone it is in"},
+		{Name: "realm", Kind: Text, Default: "rainhaven", Doc: "realm of viewers' credentials, if there are users"},
+		{Name: "seed", Kind: Integer, Doc: "random seed; 0 draws one at each start"}}},
+	{Name: "user", Key: "name", Doc: "a user with access; without any, viewers need no credentials", Fields: []Field{
+		{Name: "name", Kind: Text, Required: true, Doc: "user name"},
+		{Name: "password", Kind: Text, Required: true, Doc: "password; protect the file that holds it"}}},
+	{Name: "box_tls", AtMostOnce: true, Doc: "TLS for connections to boxes", Fields: []Field{
+		{Name: "roots", Kind: Text, Required: true, Doc: "file with the root certificates that boxes are verified with"},
+		{Name: "name", Kind: Text, Doc: "name that their certificates must be valid for; if empty, the host of each address"}}},
 	{Name: "box", Key: "id", Required: true, Doc: "a box", Fields: []Field{
-		{Name: "id", Kind: Integer, Required: true, Max: 1<<32 - 1, Doc: "its number"},
+		{Name: "id", Kind: Integer, Required: true, Max: 1<<32 - 1, Doc: "number of the box"},
 		{Name: "address", Kind: Text, Required: true, Doc: "host:port"},
-		{Name: "zone", Kind: Text, Doc: "the zone it stands in"},
-		{Name: "kind", Kind: Text, Doc: "its kind; the first one where none is named"},
-		{Name: "cell", Kind: Integer, Required: true, Doc: "its cell"},
+		{Name: "zone", Kind: Text, Doc: "zone it is in"},
+		{Name: "kind", Kind: Text, Doc: "kind of the box; the first one if empty"},
+		{Name: "cell", Kind: Integer, Required: true, Doc: "cell of the box"},
 		{Name: "state", Kind: Text, Default: "ready", Doc: "one of ready, draining, gone"},
-		{Name: "born", Kind: Number, Doc: "its last start in seconds since 1970; 0 is long ago"}}},
+		{Name: "born", Kind: Number, Doc: "time of its last start in seconds since 1970; 0 is long ago"}}},
 }, CommonForms)
 
-// ReadConfig reads a front's settings from a file. The error is the file's, or Mistakes.
+// ReadConfig reads a front's settings from a file. The error reports a file that can't be read, or is of type Diagnostics.
 func ReadConfig(file string) (Config, error) { return ReadInstanceConfig(file, 0) }
 
-// ReadInstanceConfig is ReadTerms for one of many fronts that share a script: it knows its number by the name instance.
+// ReadInstanceConfig is like ReadConfig for one of several fronts that share a script. The script reads the front's number
+// from the predefined variable instance.
 func ReadInstanceConfig(file string, instance int) (Config, error) {
 	s, err := ReadFile(file, FrontForms, instance)
 	if err != nil {
@@ -125,7 +126,7 @@
 	return t, nil
 }
 
-// FrontConfig makes a front's terms of what its script said; what does not fit together is added to its mistakes.
+// FrontConfig converts a front's script to its settings. Inconsistencies are added to the document's Diagnostics.
 func FrontConfig(s *Document) Config {
 	t := CommonConfig(s)
 	e, _ := s.Single("front")
@@ -133,28 +134,28 @@
 	t.Choice.FrontIndex, t.Choice.Fronts, t.Choice.Seed = e.Int("me"), max(e.Int("fronts"), 1), uint64(e.Number("seed"))
 	t.Choice.Zone = t.Zone(s, e)
 	if t.Realm = e.Text("realm"); strings.ContainsAny(t.Realm, "\"\\\r\n") {
-		s.Errorf(e.Line, "front: realm %q stands between quotes; none within would be right", t.Realm)
+		s.Errorf(e.Line, "front: realm %q must not contain quotes, backslashes or line breaks", t.Realm)
 	}
 	for _, e := range s.Entries("user") {
 		u := auth.User{Name: e.Text("name"), Password: e.Text("password")}
 		if strings.Contains(u.Name, ":") {
-			s.Errorf(e.Line, "user %s: a colon ends the name in a digest; a name without one would be right", u.Name)
+			s.Errorf(e.Line, "user %s: the name must not contain a colon, which ends it in a digest", u.Name)
 		}
 		t.Users = append(t.Users, u)
 	}
 	if t.Choice.FrontIndex >= t.Choice.Fronts {
-		s.Errorf(e.Line, "front: me is %d of %d fronts; 0 to %d would be right", t.Choice.FrontIndex, t.Choice.Fronts, t.Choice.Fronts-1)
+		s.Errorf(e.Line, "front: me is %d of %d fronts; it must be 0 to %d", t.Choice.FrontIndex, t.Choice.Fronts, t.Choice.Fronts-1)
 	}
 	if strings.ContainsAny(t.Name, "/ \t\\") {
-		s.Errorf(e.Line, "front: name %q is used for files; letters, digits, dots and dashes are right", t.Name)
+		s.Errorf(e.Line, "front: name %q is used in file names; use letters, digits, dots and dashes", t.Name)
 	}
 	t.Redirect = e.Text("redirect")
 	if t.LogLevel = e.Text("log"); !slices.Contains([]string{"", "debug", "info", "warn", "error"}, t.LogLevel) {
-		s.Errorf(e.Line, "front: log is %q; debug, info, warn or error would be right", t.LogLevel)
+		s.Errorf(e.Line, "front: log is %q; it must be debug, info, warn or error", t.LogLevel)
 	}
 	t.TLS = TLSListener{e.Text("tls_listen"), e.Text("cert"), e.Text("key")}
 	if t.TLS.Listen != "" && (t.TLS.CertFile == "" || t.TLS.KeyFile == "") {
-		s.Errorf(e.Line, "front: tls_listen needs cert and key, two files")
+		s.Errorf(e.Line, "front: tls_listen needs cert and key, the names of two files")
 	}
 	if e, ok := s.Single("box_tls"); ok {
 		t.BoxTLS = TLSTrust{e.Text("roots"), e.Text("name")}
@@ -169,8 +170,8 @@
 		b := Box{Address: e.Text("address"), Listing: choice.Listing{ID: choice.ServerID(e.Number("id")), Zone: t.Zone(s, e),
 			Cell: e.Int("cell"), Weight: 1, StartedAt: e.Number("born")}}
 		checkAddress(s, e, "box", "address", b.Address)
-		if line, twice := seen[b.Address]; twice && b.Address != "" {
-			s.Errorf(e.Line, "box: address %s is that of the box on line %d", b.Address, line)
+		if line, duplicate := seen[b.Address]; duplicate && b.Address != "" {
+			s.Errorf(e.Line, "box: address %s is already used by the box on line %d", b.Address, line)
 		}
 		seen[b.Address] = e.Line
 		b.Kind = t.Kind(s, e)
@@ -182,7 +183,7 @@
 		case "gone":
 			b.State = choice.Gone
 		default:
-			s.Errorf(e.Line, "box: state is %q; ready, draining or gone would be right", e.Text("state"))
+			s.Errorf(e.Line, "box: state is %q; it must be ready, draining or gone", e.Text("state"))
 		}
 		t.checkCell(s, e, "box", "cell")
 		t.Boxes = append(t.Boxes, b)
@@ -193,13 +194,13 @@
 			return (b.Cell-e.Int("start_cell")+c)%c < e.Int("span")
 		})
 		if !held && len(t.Boxes) > 0 {
-			s.Errorf(e.Line, "title %s: no box stands in its cells %d to %d", e.Text("name"), e.Int("start_cell"), e.Int("start_cell")+e.Int("span")-1)
+			s.Errorf(e.Line, "title %s: no box is in its cells %d to %d", e.Text("name"), e.Int("start_cell"), e.Int("start_cell")+e.Int("span")-1)
 		}
 	}
 	return t
 }
 
-// CommonConfig makes terms of the common forms.
+// CommonConfig converts the calls of the common forms to settings.
 func CommonConfig(s *Document) Config {
 	t := Config{Titles: map[string]Title{}}
 	f := &t.Choice
@@ -213,7 +214,7 @@
 	e, _ := s.Single("ladder")
 	f.Ladder = e.NumberList("rates")
 	if !slices.IsSorted(f.Ladder) {
-		s.Errorf(e.Line, "ladder: rates are %v; lowest first would be right", f.Ladder)
+		s.Errorf(e.Line, "ladder: rates are %v; they must be in ascending order", f.Ladder)
 	}
 	rungs := len(f.Ladder)
 	for _, e := range s.Entries("group") {
@@ -223,14 +224,14 @@
 			g.Top = rungs - 1
 		}
 		if rungs > 0 && (g.Floor >= rungs || g.Top >= rungs || g.Floor > g.Top) {
-			s.Errorf(e.Line, "group %s: floor %d and top %d; the ladder's rungs are 0 to %d", e.Text("name"), g.Floor, g.Top, rungs-1)
+			s.Errorf(e.Line, "group %s: floor is %d and top is %d; floor must not exceed top, and the ladder's rungs are 0 to %d", e.Text("name"), g.Floor, g.Top, rungs-1)
 		}
 		if e.Number("setup_timeout") <= g.StartTarget {
-			s.Errorf(e.Line, "group %s: its viewers give up after %v s, before its start target of %v s; a longer setup_timeout would be right",
+			s.Errorf(e.Line, "group %s: setup_timeout of %v s must be longer than start_target of %v s",
 				e.Text("name"), e.Number("setup_timeout"), g.StartTarget)
 		}
 		if strings.ContainsAny(e.Text("name"), "/?#% ") {
-			s.Errorf(e.Line, "group %q stands in URLs; letters, digits and dashes are right", e.Text("name"))
+			s.Errorf(e.Line, "group %q is used in URLs; use letters, digits and dashes", e.Text("name"))
 		}
 		f.Groups = append(f.Groups, g)
 		rates := make([]float64, rungs)
@@ -249,10 +250,10 @@
 		}
 	}
 	if e.Number("shared_adds") < 1 && e.Has("shared_adds") && !live {
-		s.Errorf(e.Line, "fleet: shared_adds is %v, and no group is live; live = True in one of them would be right", e.Number("shared_adds"))
+		s.Errorf(e.Line, "fleet: shared_adds is %v, but no group is live; set live = True in a group", e.Number("shared_adds"))
 	}
 	if f.Racks > f.Cells {
-		s.Errorf(e.Line, "fleet: %d racks in %d cells; a rack has one cell at least", f.Racks, f.Cells)
+		s.Errorf(e.Line, "fleet: %d racks for %d cells; each rack needs at least one cell", f.Racks, f.Cells)
 	}
 	e = s.singleOrDefaults("setups")
 	f.MaxSetups, f.MaxRetryAfter = e.Int("most"), e.Number("advice")
@@ -271,12 +272,12 @@
 	case "never":
 		f.Reporting = choice.ReportsNever
 	default:
-		s.Errorf(e.Line, "reports: come is %q; answers, probes or never would be right", e.Text("come"))
+		s.Errorf(e.Line, "reports: come is %q; it must be answers, probes or never", e.Text("come"))
 	}
 	for _, e := range s.Entries("title") {
 		t.checkCell(s, e, "title", "start_cell")
 		if e.Int("span") > f.Cells && f.Cells > 0 {
-			s.Errorf(e.Line, "title %s: span %d is more than the %d cells", e.Text("name"), e.Int("span"), f.Cells)
+			s.Errorf(e.Line, "title %s: span %d exceeds the %d cells", e.Text("name"), e.Int("span"), f.Cells)
 		}
 		t.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), Span: e.Int("span"), Length: e.Number("length")}
 	}
@@ -289,28 +290,29 @@
 	return t
 }
 
-// singleOrDefaults is the only call of a form, or one with nothing but defaults.
+// singleOrDefaults returns the call of a form that is allowed only once, or an entry with its defaults.
 func (s *Document) singleOrDefaults(form string) Entry {
 	if e, ok := s.Single(form); ok {
 		return e
 	}
-	blank := &Document{entries: map[string][]Entry{}}
+	defaults := &Document{entries: map[string][]Entry{}}
 	for _, f := range CommonForms {
 		if f.Name == form {
-			blank.addEntry(f, 0, nil)
+			defaults.addEntry(f, 0, nil)
 		}
 	}
-	e, _ := blank.Single(form)
+	e, _ := defaults.Single(form)
 	return e
 }
 
+// checkCell checks that a field is a valid cell number.
 func (t *Config) checkCell(s *Document, e Entry, form, field string) {
 	if c := e.Int(field); c >= t.Choice.Cells && t.Choice.Cells > 0 {
-		s.Errorf(e.Line, "%s: %s is %d; 0 to %d would be right", form, field, c, t.Choice.Cells-1)
+		s.Errorf(e.Line, "%s: %s is %d; it must be 0 to %d", form, field, c, t.Choice.Cells-1)
 	}
 }
 
-// declaredIndex is the number of the name in an entry's field among those declared; 0 where the field is empty.
+// declaredIndex returns the index in declared of the name in an entry's field, or 0 if the field is empty.
 func declaredIndex(s *Document, e Entry, field string, declared []string) int {
 	name := e.Text(field)
 	if name == "" {
@@ -324,14 +326,15 @@
 	return i
 }
 
-// Zone and Kind are the numbers of an entry's zone and kind.
+// Zone and Kind return the numbers of an entry's zone and kind.
 func (t *Config) Zone(s *Document, e Entry) int { return declaredIndex(s, e, "zone", t.Zones) }
 func (t *Config) Kind(s *Document, e Entry) int { return declaredIndex(s, e, "kind", t.Kinds) }
 
+// checkAddress checks that a field has the form host:port. The host may be empty except for boxes.
 func checkAddress(s *Document, e Entry, form, field, a string) {
 	host, port, err := net.SplitHostPort(a)
 	n, bad := strconv.Atoi(port)
 	if err != nil || bad != nil || n < 0 || n > 65535 || host == "" && form == "box" {
-		s.Errorf(e.Line, "%s: %s is %q; host:port would be right, as in 127.0.0.1:8554", form, field, a)
+		s.Errorf(e.Line, "%s: %s is %q; it must be host:port, as in 127.0.0.1:8554", form, field, a)
 	}
 }
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -13,30 +13,30 @@
 	"go.starlark.net/syntax"
 )
 
-// Diagnostic is one thing that is wrong in a script, and what would be right.
+// Diagnostic describes one error in a script, with its location and what is expected instead.
 type Diagnostic struct {
 	File    string
 	Line    int
 	Message string
 }
 
-func (m Diagnostic) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Message) }
+func (d Diagnostic) Error() string { return fmt.Sprintf("%s:%d: %s", d.File, d.Line, d.Message) }
 
-// Diagnostics are all of a script's.
+// Diagnostics holds the diagnostics of one script. Its Error method returns one line for each.
 type Diagnostics []Diagnostic
 
-func (m Diagnostics) Error() string {
-	lines := make([]string, len(m))
-	for i, x := range m {
-		lines[i] = x.Error()
+func (l Diagnostics) Error() string {
+	lines := make([]string, len(l))
+	for i, d := range l {
+		lines[i] = d.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Kind is what a field takes.
+// Kind is the type of a field's value.
 type Kind int
 
-// The kinds of fields.
+// Kinds of fields.
 const (
 	Number Kind = iota
 	Integer
@@ -47,30 +47,30 @@
 )
 
 func (k Kind) String() string {
-	return [...]string{"a number", "a whole number", "a text", "True or False", "a list of numbers", "a list of texts"}[k]
+	return [...]string{"a number", "an integer", "a string", "True or False", "a list of numbers", "a list of strings"}[k]
 }
 
-// Field is one named value of a form.
+// Field describes one keyword argument of a form.
 type Field struct {
 	Name     string
 	Kind     Kind
 	Required bool
-	Default  any     // float64, string, bool, or nil for the kind's zero
-	Min, Max float64 // of numbers; Max 0 means no bound
+	Default  any     // float64, string, bool, or nil for the zero value of the kind
+	Min, Max float64 // bounds of numbers; a Max of 0 means none
 	Doc      string
 }
 
-// Form is a call that a script may make.
+// Form describes a function that a script may call, such as box or title, and its fields.
 type Form struct {
 	Name       string
-	Required   bool   // once at least
-	AtMostOnce bool   // once at most
-	Key        string // a field whose values must differ from call to call
+	Required   bool   // a script must call it at least once
+	AtMostOnce bool   // a script must not call it more than once
+	Key        string // name of a field whose value must be unique among the calls
 	Doc        string
 	Fields     []Field
 }
 
-// Entry is one call that a script made.
+// Entry holds the field values of one call.
 type Entry struct {
 	Line        int
 	numbers     map[string]float64
@@ -80,7 +80,7 @@
 	given       map[string]bool
 }
 
-// Number, Int, Text, Flag, Numbers and Texts are a field's value, or its default.
+// Number, Int, Text, Bool, NumberList and TextList return the value of a field, or its default.
 func (e Entry) Number(name string) float64       { return e.numbers[name] }
 func (e Entry) Int(name string) int              { return int(e.numbers[name]) }
 func (e Entry) Text(name string) string          { return e.texts[name] }
@@ -88,20 +88,20 @@
 func (e Entry) NumberList(name string) []float64 { return e.numberLists[name] }
 func (e Entry) TextList(name string) []string    { return e.textLists[name] }
 
-// Has tells whether a field was given.
+// Has reports whether the call set a field explicitly.
 func (e Entry) Has(name string) bool { return e.given[name] }
 
-// Document is what a script said.
+// Document holds the calls of a script and the errors found in it.
 type Document struct {
 	File        string
 	entries     map[string][]Entry
 	Diagnostics Diagnostics
 }
 
-// Entries gives the calls of a form, in the script's order.
+// Entries returns the calls of a form in the order of the script.
 func (s *Document) Entries(form string) []Entry { return s.entries[form] }
 
-// Single gives the only call of a form; ok is false where there is none.
+// Single returns the call of a form that is allowed only once. ok is false if there is none.
 func (s *Document) Single(form string) (e Entry, ok bool) {
 	if l := s.entries[form]; len(l) > 0 {
 		return l[0], true
@@ -109,7 +109,7 @@
 	return Entry{numbers: map[string]float64{}}, false
 }
 
-// Errorf adds a mistake at a line.
+// Errorf adds a diagnostic for a line.
 func (s *Document) Errorf(line int, format string, args ...any) {
 	if len(s.Diagnostics) < maxDiagnostics {
 		s.Diagnostics = append(s.Diagnostics, Diagnostic{s.File, line, fmt.Sprintf(format, args...)})
@@ -117,12 +117,13 @@
 }
 
 const (
-	maxDiagnostics = 50       // told of one script; the rest follow once these are mended
-	maxSteps       = 20 << 20 // of a script's run: a second or so, for scripts that never end
-	maxCalls       = 20000    // calls in all
+	maxDiagnostics = 50       // per script
+	maxSteps       = 20 << 20 // Starlark execution steps, about a second; stops scripts that never end
+	maxCalls       = 20000    // calls of all forms together
 )
 
-// ReadFile reads a script from a file for an instance. The error is the file's; mistakes are in the sheet.
+// ReadFile reads a script from a file for an instance. The error reports a file that can't be read; errors in the script
+// are in the document's Diagnostics.
 func ReadFile(file string, forms []Form, instance int) (*Document, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -131,21 +132,22 @@
 	return readInstance(file, src, forms, instance), nil
 }
 
-// Read runs a script and takes the calls that its forms allow.
+// Read runs a script and collects its calls of the given forms.
 func Read(file string, src []byte, forms []Form) *Document { return readInstance(file, src, forms, 0) }
 
-// readInstance is Read for one of many instances of one script, which knows its number by the name instance.
+// readInstance runs a script for one of several instances that share it. The script reads its number from the predefined
+// variable instance.
 func readInstance(file string, src []byte, forms []Form, instance int) *Document {
 	s := &Document{File: file, entries: map[string][]Entry{}}
-	known, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
+	predeclared, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
 	for _, f := range forms {
-		known[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
+		predeclared[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
 			line := int(t.CallFrame(1).Pos.Line)
 			if count++; count > maxCalls {
-				return nil, fmt.Errorf("over %d calls", maxCalls)
+				return nil, fmt.Errorf("more than %d calls", maxCalls)
 			}
 			if len(args) > 0 {
-				s.Errorf(line, "%s takes named fields only, as in %s", f.Name, f.example())
+				s.Errorf(line, "%s accepts only named fields, as in %s", f.Name, f.example())
 				return starlark.None, nil
 			}
 			s.addEntry(f, line, kw)
@@ -154,26 +156,26 @@
 	}
 	thread := &starlark.Thread{Name: file, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
-	_, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, file, src, known)
-	var syn syntax.Error
-	var eval *starlark.EvalError
+	_, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, file, src, predeclared)
+	var syntaxErr syntax.Error
+	var evalErr *starlark.EvalError
 	switch {
 	case err == nil:
-	case errors.As(err, &syn):
-		s.Errorf(int(syn.Pos.Line), "%s", syn.Msg)
-	case errors.As(err, &eval):
+	case errors.As(err, &syntaxErr):
+		s.Errorf(int(syntaxErr.Pos.Line), "%s", syntaxErr.Msg)
+	case errors.As(err, &evalErr):
 		line := 0
-		for _, fr := range eval.CallStack {
+		for _, fr := range evalErr.CallStack {
 			if fr.Pos.Filename() == file {
 				line = int(fr.Pos.Line)
 			}
 		}
-		s.Errorf(line, "%s", eval.Msg)
+		s.Errorf(line, "%s", evalErr.Msg)
 	default:
 		s.reportUnresolved(err, forms)
 	}
 	if len(s.Diagnostics) > 0 && len(s.entries) == 0 {
-		return s // it did not run at all: what is missing would only be noise
+		return s // the script did not run at all: diagnostics for missing calls would only be noise
 	}
 	for _, f := range forms {
 		s.checkForm(f)
@@ -182,7 +184,7 @@
 	return s
 }
 
-// reportUnresolved names each unknown name of a script and the nearest one that there is.
+// reportUnresolved adds a diagnostic for each undefined name in a script and suggests the closest form.
 func (s *Document) reportUnresolved(err error, forms []Form) {
 	names := make([]string, len(forms))
 	for i, f := range forms {
@@ -195,12 +197,13 @@
 			message = strings.TrimSpace(parts[2])
 		}
 		if _, name, ok := strings.Cut(message, "undefined: "); ok {
-			message = fmt.Sprintf("there is no %s%s", name, suggest(name, names))
+			message = fmt.Sprintf("undefined name %s%s", name, suggest(name, names))
 		}
 		s.Errorf(n, "%s", message)
 	}
 }
 
+// example returns a sample call for diagnostics.
 func (f Form) example() string {
 	for _, x := range f.Fields {
 		if x.Required {
@@ -210,7 +213,7 @@
 	return f.Name + "()"
 }
 
-// addEntry reads one call.
+// addEntry checks one call and adds it to the document.
 func (s *Document) addEntry(f Form, line int, kw []starlark.Tuple) {
 	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, numberLists: map[string][]float64{},
 		textLists: map[string][]string{}, given: map[string]bool{}}
@@ -244,15 +247,15 @@
 	}
 	for _, x := range f.Fields {
 		if x.Required && !e.given[x.Name] {
-			s.Errorf(line, "%s needs %s: %s, %s", f.Name, x.Name, x.Kind, x.Doc)
+			s.Errorf(line, "%s: missing field %s, %s: %s", f.Name, x.Name, x.Kind, x.Doc)
 		}
 	}
 	s.entries[f.Name] = append(s.entries[f.Name], e)
 }
 
-// setField takes one value; what is wrong with it comes back in words.
+// setField stores the value of a field. It returns a description of the problem if the value is invalid.
 func (e Entry) setField(x Field, v starlark.Value) string {
-	wrongKind := fmt.Sprintf("is %s; %s belongs there: %s", truncate(v.String()), x.Kind, x.Doc)
+	wrongKind := fmt.Sprintf("is %s; want %s: %s", truncate(v.String()), x.Kind, x.Doc)
 	number := func(v starlark.Value) (float64, bool) {
 		if _, is := v.(starlark.Bool); is {
 			return 0, false
@@ -263,9 +266,9 @@
 	checkRange := func(n float64) string {
 		switch {
 		case n < x.Min:
-			return fmt.Sprintf("is %v; %v is the least", n, x.Min)
+			return fmt.Sprintf("is %v; the minimum is %v", n, x.Min)
 		case x.Max > 0 && n > x.Max:
-			return fmt.Sprintf("is %v; %v is the most", n, x.Max)
+			return fmt.Sprintf("is %v; the maximum is %v", n, x.Max)
 		}
 		return ""
 	}
@@ -283,7 +286,7 @@
 			return wrongKind
 		}
 		if e.texts[x.Name] = t; x.Required && t == "" {
-			return "is empty; " + x.Doc + " belongs there"
+			return "must not be empty: " + x.Doc
 		}
 	case Bool:
 		b, ok := v.(starlark.Bool)
@@ -300,35 +303,35 @@
 		}
 		it := list.Iterate()
 		defer it.Done()
-		for one := starlark.Value(nil); it.Next(&one); {
-			if t, is := starlark.AsString(one); is && x.Kind == TextList {
+		for element := starlark.Value(nil); it.Next(&element); {
+			if t, is := starlark.AsString(element); is && x.Kind == TextList {
 				e.textLists[x.Name] = append(e.textLists[x.Name], t)
 				continue
 			}
-			n, is := number(one)
+			n, is := number(element)
 			if !is || x.Kind == TextList {
 				return wrongKind
 			}
 			if problem := checkRange(n); problem != "" {
-				return "has an entry that " + problem
+				return "has an element that " + problem
 			}
 			e.numberLists[x.Name] = append(e.numberLists[x.Name], n)
 		}
 		if x.Required && len(e.numberLists[x.Name])+len(e.textLists[x.Name]) == 0 {
-			return "is empty; " + x.Doc + " belongs there"
+			return "must not be empty: " + x.Doc
 		}
 	}
 	return ""
 }
 
-// checkForm checks a form's calls together.
+// checkForm checks the number of calls of a form and the uniqueness of its key.
 func (s *Document) checkForm(f Form) {
 	list := s.entries[f.Name]
 	if f.Required && len(list) == 0 {
 		s.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
 	}
 	if f.AtMostOnce && len(list) > 1 {
-		s.Errorf(list[1].Line, "%s stands a second time; it was on line %d, and one of them must go", f.Name, list[0].Line)
+		s.Errorf(list[1].Line, "%s is allowed only once; the first call is on line %d", f.Name, list[0].Line)
 	}
 	if f.Key == "" {
 		return
@@ -339,8 +342,8 @@
 		if k == "" {
 			k = fmt.Sprint(e.numbers[f.Key])
 		}
-		if line, twice := seen[k]; twice {
-			s.Errorf(e.Line, "%s %s stands a second time; it was on line %d", f.Name, k, line)
+		if line, duplicate := seen[k]; duplicate {
+			s.Errorf(e.Line, "duplicate %s %s; the first one is on line %d", f.Name, k, line)
 		} else if e.given[f.Key] {
 			seen[k] = e.Line
 		}
@@ -354,7 +357,8 @@
 	return s
 }
 
-// suggest names the known word that a mistaken one is closest to, if any is close.
+// suggest returns a hint to append to a message about an unknown word: the known word closest to it or, if none is
+// close, all of them.
 func suggest(word string, known []string) string {
 	best, minDistance := "", len(word)/2+1
 	for _, k := range known {
@@ -365,12 +369,12 @@
 	if best == "" {
 		list := slices.Clone(known)
 		slices.Sort(list)
-		return "; there are " + strings.Join(list, ", ")
+		return "; known names: " + strings.Join(list, ", ")
 	}
-	return "; " + best + " may be meant"
+	return "; did you mean " + best + "?"
 }
 
-// editDistance is how many letters must change, come or go to make a of b.
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -42,43 +42,43 @@
 	}
 }
 
-// Each mistake is named on its line, with what would be right.
+// Each error must be reported on its line, with what is expected instead.
 func TestDiagnostics(t *testing.T) {
 	for name, c := range map[string]struct {
 		from, to string
 		line     string
-		says     string
+		want     string
 	}{
-		"a name mistyped":    {"ladder(", "lader(", ":7:", "ladder may be meant"},
-		"shared, none live":  {"racks = 3", "racks = 3, shared_adds = 0.3", ":10:", "no group is live"},
-		"shared more":        {"racks = 3", "racks = 3, shared_adds = 1.3", ":10:", "1 is the most"},
-		"live as a number":   {"seats = 5", "live = 1", ":8:", "True or False belongs there"},
-		"a field mistyped":   {"seats = 5", "seat = 5", ":8:", "seats may be meant"},
-		"a field missing":    {"uplink = 25000, ", "", ":10:", "fleet needs uplink"},
-		"a form missing":     {"title(name", "dict(name", ":1:", "title is missing"},
-		"a text for number":  {"places = 20", `places = "20"`, ":6:", "a whole number belongs there"},
-		"a half":             {"places = 20", "places = 2.5", ":6:", "a whole number belongs there"},
-		"below the least":    {"places = 20", "places = 0", ":6:", "1 is the least"},
-		"no number":          {"links = 100000", `links = float("nan")`, ":10:", "a number belongs there"},
-		"ladder upside down": {"[250, 550", "[550, 250", ":7:", "lowest first"},
-		"floor off ladder":   {"floor = 1", "floor = 4", ":8:", "rungs are 0 to 3"},
-		"gives up first":     {"setup_timeout = 3", "setup_timeout = 0.9", ":8:", "longer setup_timeout"},
-		"unknown zone":       {`zone = "building-b")`, `zone = "bilding-b")`, ":3:", "building-b may be meant"},
-		"unknown kind":       {"cell = i,", `cell = i, kind = "to-core",`, ":13:", "two-core may be meant"},
-		"me of fronts":       {"me = 1", "me = 4", ":3:", "0 to 3 would be right"},
-		"cell too high":      {"cell = i,", "cell = i + 1,", ":13:", "0 to 5 would be right"},
-		"same id":            {"id = 10 + i", "id = 10", ":13:", "second time"},
-		"same address":       {"9000 + i", "9000", ":13:", "that of the box"},
-		"no port":            {"127.0.0.1:8554", "127.0.0.1", ":3:", "host:port"},
-		"state":              {"cell = i,", `cell = i, state = "redy",`, ":13:", "ready, draining or gone"},
-		"a second front":     {"fronts = 4\n", "fronts = 4; front(name = 'x', listen = ':1')\n", ":3:", "second time"},
-		"no brackets":        {"cells = 6, racks = 3)", "cells = 6, racks = 3", ":11:", "got"},
-		"positions":          {`kind(name = "two-core", places = 20)`, `kind("two-core", 20)`, ":6:", "named fields only"},
-		"never ends":         {"fronts = 4\n", "fronts = 4\nx = [a for a in range(9999999) for b in range(9999999)]\n", ":3:", "too many steps"},
-		"nobody holds it":    {"start_cell = 4, span = 3", "start_cell = 4, span = 1)\nfleet(links = 1, uplink = 1, cells = 9, racks = 1", ":15:", "second time"},
-		"TLS without key":    {"me = 1", `me = 1, tls_listen = "127.0.0.1:322", cert = "c.pem"`, ":3:", "needs cert and key"},
-		"colon in a name":    {"fronts = 4\n", "fronts = 4\nuser(name = 'a:b', password = 'c')\n", ":3:", "without one"},
-		"divides by zero":    {"fronts = 4\n", "fronts = 4 // 0\n", ":2:", "division by zero"},
+		"misspelled form":                   {"ladder(", "lader(", ":7:", "did you mean ladder?"},
+		"shared_adds without live group":    {"racks = 3", "racks = 3, shared_adds = 0.3", ":10:", "no group is live"},
+		"shared_adds too large":             {"racks = 3", "racks = 3, shared_adds = 1.3", ":10:", "the maximum is 1"},
+		"live as a number":                  {"seats = 5", "live = 1", ":8:", "want True or False"},
+		"misspelled field":                  {"seats = 5", "seat = 5", ":8:", "did you mean seats?"},
+		"missing field":                     {"uplink = 25000, ", "", ":10:", "fleet: missing field uplink"},
+		"missing form":                      {"title(name", "dict(name", ":1:", "title is missing"},
+		"string for a number":               {"places = 20", `places = "20"`, ":6:", "want an integer"},
+		"fraction for an integer":           {"places = 20", "places = 2.5", ":6:", "want an integer"},
+		"below the minimum":                 {"places = 20", "places = 0", ":6:", "the minimum is 1"},
+		"NaN":                               {"links = 100000", `links = float("nan")`, ":10:", "want a number"},
+		"descending ladder":                 {"[250, 550", "[550, 250", ":7:", "ascending order"},
+		"floor above the ladder":            {"floor = 1", "floor = 4", ":8:", "rungs are 0 to 3"},
+		"setup timeout before start target": {"setup_timeout = 3", "setup_timeout = 0.9", ":8:", "must be longer than start_target"},
+		"unknown zone":                      {`zone = "building-b")`, `zone = "bilding-b")`, ":3:", "did you mean building-b?"},
+		"unknown kind":                      {"cell = i,", `cell = i, kind = "to-core",`, ":13:", "did you mean two-core?"},
+		"me out of range":                   {"me = 1", "me = 4", ":3:", "must be 0 to 3"},
+		"cell out of range":                 {"cell = i,", "cell = i + 1,", ":13:", "must be 0 to 5"},
+		"duplicate id":                      {"id = 10 + i", "id = 10", ":13:", "duplicate box 10"},
+		"duplicate address":                 {"9000 + i", "9000", ":13:", "already used by the box"},
+		"address without port":              {"127.0.0.1:8554", "127.0.0.1", ":3:", "host:port"},
+		"unknown state":                     {"cell = i,", `cell = i, state = "redy",`, ":13:", "ready, draining or gone"},
+		"second front":                      {"fronts = 4\n", "fronts = 4; front(name = 'x', listen = ':1')\n", ":3:", "front is allowed only once"},
+		"missing bracket":                   {"cells = 6, racks = 3)", "cells = 6, racks = 3", ":11:", "got"},
+		"positional arguments":              {`kind(name = "two-core", places = 20)`, `kind("two-core", 20)`, ":6:", "accepts only named fields"},
+		"endless script":                    {"fronts = 4\n", "fronts = 4\nx = [a for a in range(9999999) for b in range(9999999)]\n", ":3:", "too many steps"},
+		"second fleet":                      {"start_cell = 4, span = 3", "start_cell = 4, span = 1)\nfleet(links = 1, uplink = 1, cells = 9, racks = 1", ":15:", "fleet is allowed only once"},
+		"TLS without key":                   {"me = 1", `me = 1, tls_listen = "127.0.0.1:322", cert = "c.pem"`, ":3:", "needs cert and key"},
+		"colon in a user name":              {"fronts = 4\n", "fronts = 4\nuser(name = 'a:b', password = 'c')\n", ":3:", "must not contain a colon"},
+		"division by zero":                  {"fronts = 4\n", "fronts = 4 // 0\n", ":2:", "division by zero"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			src := strings.Replace(validScript, c.from, c.to, 1)
@@ -88,11 +88,11 @@
 			s := Read("f.star", []byte(src), FrontForms)
 			FrontConfig(s)
 			for _, m := range s.Diagnostics {
-				if e := m.Error(); strings.HasPrefix(e, "f.star"+c.line) && strings.Contains(e, c.says) {
+				if e := m.Error(); strings.HasPrefix(e, "f.star"+c.line) && strings.Contains(e, c.want) {
 					return
 				}
 			}
-			t.Errorf("want %s ... %s; got:\n%v", c.line, c.says, s.Diagnostics)
+			t.Errorf("want %s ... %s; got:\n%v", c.line, c.want, s.Diagnostics)
 		})
 	}
 }
