--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,22 +23,22 @@
 // newTestQueue returns a queue that writes to one end of a pipe and a Conn that reads the other.
 func newTestQueue(t testing.TB, maxFrameBytes int) (*Queue, *rtsp.Conn, <-chan error) {
 	a, b := net.Pipe()
-	o, done := NewQueue(maxFrameBytes), make(chan error, 1)
+	q, done := NewQueue(maxFrameBytes), make(chan error, 1)
 	go func() {
-		err := o.Run(a, time.Second)
+		err := q.Run(a, time.Second)
 		a.Close()
 		done <- err
 	}()
 	t.Cleanup(func() {
-		o.Close()
+		q.Close()
 		b.Close()
 	})
-	return o, rtsp.NewConn(b, rtsp.Limits{}), done
+	return q, rtsp.NewConn(b, rtsp.Limits{}), done
 }
 
 func TestContinuousStreamAcrossSources(t *testing.T) {
-	o, in, _ := newTestQueue(t, 1<<20)
-	s := NewStream(o, nil)
+	q, in, _ := newTestQueue(t, 1<<20)
+	s := NewStream(q, nil)
 	s.AddTrack(4, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.ForwardFrame(1, 4, packet(65534, 4294967000, 77)) // before the response to PLAY: held
 	s.Open()
@@ -53,7 +53,7 @@
 	}
 	s.ForwardFrame(4, 9, packet(1, 1, 1)) // a channel that was not set up
 	s.SendBye()
-	o.Finish()
+	q.Finish()
 	var seq uint16
 	var ts uint32
 	for i := range 13 {
@@ -62,14 +62,14 @@
 			t.Fatalf("frame %d: channel %d, %v", i, f.Channel, err)
 		}
 		p := f.Payload()
-		q, u := binary.BigEndian.Uint16(p[2:]), binary.BigEndian.Uint32(p[4:])
-		if i > 0 && (q != seq+1 || u != ts+3600) {
-			t.Errorf("frame %d: seq %d after %d, ts %d after %d", i, q, seq, u, ts)
+		gotSeq, gotTS := binary.BigEndian.Uint16(p[2:]), binary.BigEndian.Uint32(p[4:])
+		if i > 0 && (gotSeq != seq+1 || gotTS != ts+3600) {
+			t.Errorf("frame %d: seq %d after %d, ts %d after %d", i, gotSeq, seq, gotTS, ts)
 		}
 		if src := binary.BigEndian.Uint32(p[8:]); src != 77 {
 			t.Errorf("frame %d: source %d", i, src)
 		}
-		seq, ts = q, u
+		seq, ts = gotSeq, gotTS
 	}
 	if _, f, err := in.Next(); err != nil || f.Channel != 1 || f.Payload()[1] != 203 {
 		t.Errorf("no BYE at the end of the stream: %v", err)
@@ -91,10 +91,10 @@
 	s := NewStream(NewQueue(1<<20), nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
-	check := func(what string, seq uint16, ts uint32, wantSeq uint16, wantTS uint32) {
+	check := func(name string, seq uint16, ts uint32, wantSeq uint16, wantTS uint32) {
 		t.Helper()
 		if a, b, ok := s.TranslateRTPInfo(0, seq, ts); !ok || a != wantSeq || b != wantTS {
-			t.Errorf("%s: %d %d, want %d %d", what, a, b, wantSeq, wantTS)
+			t.Errorf("%s: %d %d, want %d %d", name, a, b, wantSeq, wantTS)
 		}
 	}
 	check("before the first frame", 7, 900, 7, 900)
@@ -114,9 +114,9 @@
 }
 
 func TestLoadNotesAreRemoved(t *testing.T) {
-	o, in, _ := newTestQueue(t, 1<<20)
+	q, in, _ := newTestQueue(t, 1<<20)
 	var link, uplink float64
-	s := NewStream(o, func(l, u float64) { link, uplink = l, u })
+	s := NewStream(q, func(l, u float64) { link, uplink = l, u })
 	s.AddTrack(0, &Track{RTPChannel: 6, RTCPChannel: 7, ClockRate: 90000})
 	s.Open()
 	s.ForwardFrame(1, 0, packet(5, 100, 77))
@@ -124,7 +124,7 @@
 	report[0], report[1], report[3] = 0x80, 200, 6
 	binary.BigEndian.PutUint32(report[4:], 77)
 	s.ForwardFrame(1, 1, AppendLoadNote(report, 77, 0.75, -1))
-	o.Flush()
+	q.Flush()
 	in.Next()
 	_, f, err := in.Next()
 	if err != nil || f.Channel != 7 || len(f.Payload()) != 28 {
@@ -164,24 +164,24 @@
 func TestSlowViewerLosesOnlyFrames(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	o := NewQueue(10000)
-	s := NewStream(o, nil)
+	q := NewQueue(10000)
+	s := NewStream(q, nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	for i := range uint32(100) { // nothing is reading
 		s.ForwardFrame(1, 0, packet(uint16(i), i*3600, 7, make([]byte, 988)...))
 	}
-	if w := o.PendingBytes(); w > 10000 {
+	if w := q.PendingBytes(); w > 10000 {
 		t.Errorf("%d bytes pending", w)
 	}
-	if d := o.DroppedFrames.Load(); d != 91 {
+	if d := q.DroppedFrames.Load(); d != 91 {
 		t.Errorf("%d dropped", d)
 	}
-	if err := o.PushMessage([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")); err != nil {
+	if err := q.PushMessage([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\n\r\n")); err != nil {
 		t.Error(err)
 	}
-	o.Finish()
-	go o.Run(a, time.Second)
+	q.Finish()
+	go q.Run(a, time.Second)
 	in, n := rtsp.NewConn(b, rtsp.Limits{}), 0
 	for {
 		m, _, err := in.Next()
@@ -197,9 +197,9 @@
 		t.Errorf("%d frames before the message", n)
 	}
 	for range 3 {
-		o.PushMessage(make([]byte, 30<<10))
+		q.PushMessage(make([]byte, 30<<10))
 	}
-	if err := o.PushMessage(nil); err == nil {
+	if err := q.PushMessage(nil); err == nil {
 		t.Error("messages exceed their limit without an error")
 	}
 }
@@ -207,9 +207,9 @@
 func TestWriteTimeout(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	o := NewQueue(10000)
-	o.PushMessage([]byte("x"))
-	if err := o.Run(a, 5*time.Millisecond); err == nil {
+	q := NewQueue(10000)
+	q.PushMessage([]byte("x"))
+	if err := q.Run(a, 5*time.Millisecond); err == nil {
 		t.Error("a stalled write did not time out")
 	}
 }
@@ -239,8 +239,8 @@
 	f.Add(AppendLoadNote(nil, 1, 0.5, 0.25))
 	f.Add([]byte{0x81, 203, 0, 1, 0, 0, 0, 9})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		o := NewQueue(1 << 16)
-		s := NewStream(o, func(l, u float64) {
+		q := NewQueue(1 << 16)
+		s := NewStream(q, func(l, u float64) {
 			if l < 0 && l != -1 || u < 0 && u != -1 {
 				t.Fatalf("load note %v %v", l, u)
 			}
@@ -255,12 +255,12 @@
 }
 
 func BenchmarkFrame(b *testing.B) {
-	o := NewQueue(1 << 20)
+	q := NewQueue(1 << 20)
 	x, y := net.Pipe()
-	go o.Run(x, 0)
+	go q.Run(x, 0)
 	go io.Copy(io.Discard, y)
-	defer o.Close()
-	s := NewStream(o, nil)
+	defer q.Close()
+	s := NewStream(q, nil)
 	s.AddTrack(0, &Track{RTPChannel: 0, RTCPChannel: 1, ClockRate: 90000})
 	s.Open()
 	p := packet(0, 0, 7, make([]byte, 1388)...)
@@ -273,7 +273,7 @@
 		binary.BigEndian.PutUint32(p[4:], i*3600)
 		s.ForwardFrame(1, 0, p)
 		if i%40 == 0 {
-			o.Flush()
+			q.Flush()
 		}
 	}
 }
--- a/internal/rtsp/header.go
+++ b/internal/rtsp/header.go
@@ -228,36 +228,36 @@
 
 // ParseURL parses a URL of the form described at Resource.
 func ParseURL(raw string) (Resource, error) {
-	p := Resource{Track: -1}
+	r := Resource{Track: -1}
 	u, err := url.Parse(raw)
 	if err != nil || u.Scheme != "rtsp" && u.Scheme != "rtsps" || u.Host == "" {
-		return p, fmt.Errorf("%.60q is not an rtsp URL", raw)
+		return r, fmt.Errorf("%.60q is not an rtsp URL", raw)
 	}
-	p.Host, p.Query = u.Host, u.RawQuery
+	r.Host, r.Query = u.Host, u.RawQuery
 	parts := strings.Split(strings.Trim(u.Path, "/"), "/")
 	if len(parts) == 3 {
 		n, err := strconv.Atoi(strings.TrimPrefix(parts[2], "track"))
 		if err != nil || n < 0 || n > 127 || !strings.HasPrefix(parts[2], "track") {
-			return p, fmt.Errorf("%.60q has an invalid track", raw)
+			return r, fmt.Errorf("%.60q has an invalid track", raw)
 		}
-		p.Track = n
+		r.Track = n
 		parts = parts[:2]
 	}
 	if len(parts) != 2 || parts[0] == "" || parts[1] == "" {
-		return p, fmt.Errorf("%.60q does not name a service group and a title", raw)
+		return r, fmt.Errorf("%.60q does not name a service group and a title", raw)
 	}
-	p.Group, p.Title = parts[0], parts[1]
-	return p, nil
+	r.Group, r.Title = parts[0], parts[1]
+	return r, nil
 }
 
 // URL formats the resource as a URL.
-func (p Resource) URL() string {
-	s := "rtsp://" + p.Host + "/" + url.PathEscape(p.Group) + "/" + url.PathEscape(p.Title)
-	if p.Track >= 0 {
-		s += "/track" + strconv.Itoa(p.Track)
+func (r Resource) URL() string {
+	s := "rtsp://" + r.Host + "/" + url.PathEscape(r.Group) + "/" + url.PathEscape(r.Title)
+	if r.Track >= 0 {
+		s += "/track" + strconv.Itoa(r.Track)
 	}
-	if p.Query != "" {
-		s += "?" + p.Query
+	if r.Query != "" {
+		s += "?" + r.Query
 	}
 	return s
 }
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -134,16 +134,16 @@
 }
 
 func TestParseURL(t *testing.T) {
-	p, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
-	if err != nil || p.Group != "fault-clips" || p.Title != "vent 1" || p.Track != 1 || p.Query != "viewer=7" {
-		t.Errorf("%+v %v", p, err)
+	r, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
+	if err != nil || r.Group != "fault-clips" || r.Title != "vent 1" || r.Track != 1 || r.Query != "viewer=7" {
+		t.Errorf("%+v %v", r, err)
 	}
-	if again, err := ParseURL(p.URL()); err != nil || again != p {
-		t.Errorf("%s: %+v %v", p.URL(), again, err)
+	if again, err := ParseURL(r.URL()); err != nil || again != r {
+		t.Errorf("%s: %+v %v", r.URL(), again, err)
 	}
 	for _, in := range []string{"http://h/a/b", "rtsp://h/a", "rtsp:///a/b", "rtsp://h/a/b/track", "rtsp://h/a/b/c/d", "*"} {
-		if p, err := ParseURL(in); err == nil {
-			t.Errorf("%q was accepted as %+v", in, p)
+		if r, err := ParseURL(in); err == nil {
+			t.Errorf("%q was accepted as %+v", in, r)
 		}
 	}
 }
@@ -190,9 +190,9 @@
 		if r, err := ParseRange(v); err == nil && (r.Start < 0 || r.End < r.Start || math.IsNaN(r.Start)) {
 			t.Fatalf("%q: %+v", v, r)
 		}
-		if p, err := ParseURL(v); err == nil {
-			if again, err := ParseURL(p.URL()); err != nil || again.Group != p.Group || again.Title != p.Title {
-				t.Fatalf("%q: %q: %+v %v", v, p.URL(), again, err)
+		if r, err := ParseURL(v); err == nil {
+			if again, err := ParseURL(r.URL()); err != nil || again.Group != r.Group || again.Title != r.Title {
+				t.Fatalf("%q: %q: %+v %v", v, r.URL(), again, err)
 			}
 		}
 		ParseRTPInfo(v)
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -58,8 +58,8 @@
 }
 
 // GroupIndex returns the index of the service group with a name, or -1 if there is none.
-func (c *Config) GroupIndex(name string) int {
-	for i, g := range c.Groups {
+func (cfg *Config) GroupIndex(name string) int {
+	for i, g := range cfg.Groups {
 		if g.Name == name {
 			return i
 		}
--- a/internal/settings/migrate.go
+++ b/internal/settings/migrate.go
@@ -45,25 +45,25 @@
 	if len(old.Diagnostics) > 0 {
 		return m, old.Diagnostics
 	}
-	over, err := ReadFile(layout, layoutForms(), instance)
+	overrides, err := ReadFile(layout, layoutForms(), instance)
 	if err != nil {
 		return m, err
 	}
-	m.listNotMigrated(file, old, over, instance)
+	m.listNotMigrated(file, old, overrides, instance)
 	for _, f := range FrontForms {
-		for _, e := range over.Entries(f.Name) {
-			m.overlay(f, old, over, e)
+		for _, e := range overrides.Entries(f.Name) {
+			m.overlay(f, old, overrides, e)
 		}
 	}
-	if _, ok := over.Single("everywhere"); ok {
+	if _, ok := overrides.Single("everywhere"); ok {
 		fleet, _ := old.Single("fleet")
 		for _, e := range old.Entries("title") {
 			m.setNumber("title "+e.Text("name"), e, Field{Name: "start_cell", Kind: Integer}, 0)
 			m.setNumber("title "+e.Text("name"), e, Field{Name: "span", Kind: Integer}, fleet.Number("cells"))
 		}
 	}
-	if len(over.Diagnostics) > 0 {
-		return Migration{}, over.Diagnostics
+	if len(overrides.Diagnostics) > 0 {
+		return Migration{}, overrides.Diagnostics
 	}
 	script := old.source()
 	after := Read(file+" for "+layout, script, FrontForms)
@@ -80,7 +80,7 @@
 }
 
 // listNotMigrated records what cannot be migrated.
-func (m *Migration) listNotMigrated(file string, old, over *Document, instance int) {
+func (m *Migration) listNotMigrated(file string, old, overrides *Document, instance int) {
 	if src, err := os.ReadFile(file); err == nil {
 		comments := 0
 		for _, line := range strings.Split(string(src), "\n") {
@@ -95,14 +95,14 @@
 			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("values that depend on the instance number: the script is for instance %d only", instance))
 		}
 	}
-	for _, e := range over.Entries("tenant") {
+	for _, e := range overrides.Entries("tenant") {
 		m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("tenant %s and its share: a front has no setting for tenants and serves all alike", e.Text("name")))
 	}
-	if _, ok := over.Single("peers"); ok {
+	if _, ok := overrides.Single("peers"); ok {
 		m.NotMigrated = append(m.NotMigrated, "messages between fronts: a front sends none")
 	}
 	for _, g := range old.Entries("group") {
-		if g.Bool("paid") && !slices.ContainsFunc(over.Entries("group"), func(e Entry) bool {
+		if g.Bool("paid") && !slices.ContainsFunc(overrides.Entries("group"), func(e Entry) bool {
 			return e.Text("name") == g.Text("name") && e.Has("paid")
 		}) {
 			m.NotMigrated = append(m.NotMigrated, fmt.Sprintf("group %s stays paid, so its SETUPs are never retried; set paid = False in the layout if they may be", g.Text("name")))
@@ -111,13 +111,13 @@
 }
 
 // overlay copies the fields set by a layout's call to the old call with the same key.
-func (m *Migration) overlay(f Form, old, over *Document, e Entry) {
+func (m *Migration) overlay(f Form, old, overrides *Document, e Entry) {
 	name := f.Name
 	i := 0
 	if f.Key != "" {
 		key := func(e Entry) string { return e.format(f, f.Key) }
 		if i = slices.IndexFunc(old.Entries(f.Name), func(o Entry) bool { return key(o) == key(e) }); i < 0 {
-			over.Errorf(e.Line, "%s: there is no %s %s in the old settings", f.Name, f.Name, key(e))
+			overrides.Errorf(e.Line, "%s: there is no %s %s in the old settings", f.Name, f.Name, key(e))
 			return
 		}
 		name += " " + key(e)
@@ -177,10 +177,10 @@
 }
 
 // source returns the document as a flat script.
-func (s *Document) source() []byte {
+func (doc *Document) source() []byte {
 	var out strings.Builder
 	for _, f := range FrontForms {
-		for _, e := range s.Entries(f.Name) {
+		for _, e := range doc.Entries(f.Name) {
 			var fields []string
 			for _, x := range f.Fields {
 				if e.Has(x.Name) {
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -18,19 +18,19 @@
 		}
 	}
 	m, err := Migrate(names[0], names[1], 0)
-	s := Read("new.star", m.Script, FrontForms)
-	return m, FrontConfig(s), err
+	doc := Read("new.star", m.Script, FrontForms)
+	return m, FrontConfig(doc), err
 }
 
 // Without a layout the migrated script must be flat and yield the same settings.
 func TestMigrationWithoutLayoutChanges(t *testing.T) {
-	m, terms, err := migrate(t, "# north\n"+validScript+`user(name = "ada", password = "q\"\\u")`, "")
+	m, cfg, err := migrate(t, "# north\n"+validScript+`user(name = "ada", password = "q\"\\u")`, "")
 	if err != nil || len(m.Changed) > 0 {
 		t.Fatal(err, m.Changed)
 	}
 	want := FrontConfig(Read("old.star", []byte(validScript+`user(name = "ada", password = "q\"\\u")`), FrontForms))
-	if !reflect.DeepEqual(terms, want) {
-		t.Errorf("%+v\n%+v", terms, want)
+	if !reflect.DeepEqual(cfg, want) {
+		t.Errorf("%+v\n%+v", cfg, want)
 	}
 	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 comment lines") {
 		t.Error(m.NotMigrated)
@@ -38,7 +38,7 @@
 }
 
 func TestMigrationAppliesLayout(t *testing.T) {
-	m, terms, err := migrate(t, strings.Replace(validScript, "seats = 5", "paid = True", 1)+`setups(most = 3)
+	m, cfg, err := migrate(t, strings.Replace(validScript, "seats = 5", "paid = True", 1)+`setups(most = 3)
 front_names = instance
 limits(sessions = 1000 + instance)
 `, `
@@ -54,11 +54,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := terms.Choice
+	f := cfg.Choice
 	if f.Groups[1].AddedRateShare != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].AddedRateShare != 0 || f.FullThreshold != 1 || f.NoteInterval != 0 ||
-		f.MaxSetups != 5 || f.RetryWindow != 0 || terms.DrainGrace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
-		len(terms.Boxes) != 6 || !f.Groups[0].Paid {
-		t.Errorf("%+v", terms)
+		f.MaxSetups != 5 || f.RetryWindow != 0 || cfg.DrainGrace != 0.25 || cfg.Titles["vents"] != (Title{Span: 6}) ||
+		len(cfg.Boxes) != 6 || !f.Groups[0].Paid {
+		t.Errorf("%+v", cfg)
 	}
 	all := strings.Join(m.NotMigrated, "\n")
 	for _, part := range []string{"instance 0 only", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -115,66 +115,66 @@
 // ReadInstanceConfig is like ReadConfig for one of several fronts that share a script. The script reads the front's number
 // from the predefined variable instance.
 func ReadInstanceConfig(file string, instance int) (Config, error) {
-	s, err := ReadFile(file, FrontForms, instance)
+	doc, err := ReadFile(file, FrontForms, instance)
 	if err != nil {
 		return Config{}, err
 	}
-	t := FrontConfig(s)
-	if len(s.Diagnostics) > 0 {
-		return Config{}, s.Diagnostics
+	cfg := FrontConfig(doc)
+	if len(doc.Diagnostics) > 0 {
+		return Config{}, doc.Diagnostics
 	}
-	return t, nil
+	return cfg, nil
 }
 
 // FrontConfig converts a front's script to its settings. Inconsistencies are added to the document's Diagnostics.
-func FrontConfig(s *Document) Config {
-	t := CommonConfig(s)
-	e, _ := s.Single("front")
-	t.Name, t.Listen, t.Admin, t.StateDir = e.Text("name"), e.Text("listen"), e.Text("admin"), e.Text("state")
-	t.Choice.FrontIndex, t.Choice.Fronts, t.Choice.Seed = e.Int("me"), max(e.Int("fronts"), 1), uint64(e.Number("seed"))
-	t.Choice.Zone = t.Zone(s, e)
-	if t.Realm = e.Text("realm"); strings.ContainsAny(t.Realm, "\"\\\r\n") {
-		s.Errorf(e.Line, "front: realm %q must not contain quotes, backslashes or line breaks", t.Realm)
+func FrontConfig(doc *Document) Config {
+	cfg := CommonConfig(doc)
+	e, _ := doc.Single("front")
+	cfg.Name, cfg.Listen, cfg.Admin, cfg.StateDir = e.Text("name"), e.Text("listen"), e.Text("admin"), e.Text("state")
+	cfg.Choice.FrontIndex, cfg.Choice.Fronts, cfg.Choice.Seed = e.Int("me"), max(e.Int("fronts"), 1), uint64(e.Number("seed"))
+	cfg.Choice.Zone = cfg.Zone(doc, e)
+	if cfg.Realm = e.Text("realm"); strings.ContainsAny(cfg.Realm, "\"\\\r\n") {
+		doc.Errorf(e.Line, "front: realm %q must not contain quotes, backslashes or line breaks", cfg.Realm)
 	}
-	for _, e := range s.Entries("user") {
+	for _, e := range doc.Entries("user") {
 		u := auth.User{Name: e.Text("name"), Password: e.Text("password")}
 		if strings.Contains(u.Name, ":") {
-			s.Errorf(e.Line, "user %s: the name must not contain a colon, which ends it in a digest", u.Name)
+			doc.Errorf(e.Line, "user %s: the name must not contain a colon, which ends it in a digest", u.Name)
 		}
-		t.Users = append(t.Users, u)
+		cfg.Users = append(cfg.Users, u)
 	}
-	if t.Choice.FrontIndex >= t.Choice.Fronts {
-		s.Errorf(e.Line, "front: me is %d of %d fronts; it must be 0 to %d", t.Choice.FrontIndex, t.Choice.Fronts, t.Choice.Fronts-1)
+	if cfg.Choice.FrontIndex >= cfg.Choice.Fronts {
+		doc.Errorf(e.Line, "front: me is %d of %d fronts; it must be 0 to %d", cfg.Choice.FrontIndex, cfg.Choice.Fronts, cfg.Choice.Fronts-1)
 	}
-	if strings.ContainsAny(t.Name, "/ \t\\") {
-		s.Errorf(e.Line, "front: name %q is used in file names; use letters, digits, dots and dashes", t.Name)
+	if strings.ContainsAny(cfg.Name, "/ \t\\") {
+		doc.Errorf(e.Line, "front: name %q is used in file names; use letters, digits, dots and dashes", cfg.Name)
 	}
-	t.Redirect = e.Text("redirect")
-	if t.LogLevel = e.Text("log"); !slices.Contains([]string{"", "debug", "info", "warn", "error"}, t.LogLevel) {
-		s.Errorf(e.Line, "front: log is %q; it must be debug, info, warn or error", t.LogLevel)
+	cfg.Redirect = e.Text("redirect")
+	if cfg.LogLevel = e.Text("log"); !slices.Contains([]string{"", "debug", "info", "warn", "error"}, cfg.LogLevel) {
+		doc.Errorf(e.Line, "front: log is %q; it must be debug, info, warn or error", cfg.LogLevel)
 	}
-	t.TLS = TLSListener{e.Text("tls_listen"), e.Text("cert"), e.Text("key")}
-	if t.TLS.Listen != "" && (t.TLS.CertFile == "" || t.TLS.KeyFile == "") {
-		s.Errorf(e.Line, "front: tls_listen needs cert and key, the names of two files")
+	cfg.TLS = TLSListener{e.Text("tls_listen"), e.Text("cert"), e.Text("key")}
+	if cfg.TLS.Listen != "" && (cfg.TLS.CertFile == "" || cfg.TLS.KeyFile == "") {
+		doc.Errorf(e.Line, "front: tls_listen needs cert and key, the names of two files")
 	}
-	if e, ok := s.Single("box_tls"); ok {
-		t.BoxTLS = TLSTrust{e.Text("roots"), e.Text("name")}
+	if e, ok := doc.Single("box_tls"); ok {
+		cfg.BoxTLS = TLSTrust{e.Text("roots"), e.Text("name")}
 	}
 	for _, field := range []string{"listen", "admin", "tls_listen", "redirect"} {
 		if a := e.Text(field); a != "" {
-			checkAddress(s, e, "front", field, a)
+			checkAddress(doc, e, "front", field, a)
 		}
 	}
 	seen := map[string]int{}
-	for _, e := range s.Entries("box") {
-		b := Box{Address: e.Text("address"), Listing: choice.Listing{ID: choice.ServerID(e.Number("id")), Zone: t.Zone(s, e),
+	for _, e := range doc.Entries("box") {
+		b := Box{Address: e.Text("address"), Listing: choice.Listing{ID: choice.ServerID(e.Number("id")), Zone: cfg.Zone(doc, e),
 			Cell: e.Int("cell"), Weight: 1, StartedAt: e.Number("born")}}
-		checkAddress(s, e, "box", "address", b.Address)
+		checkAddress(doc, e, "box", "address", b.Address)
 		if line, duplicate := seen[b.Address]; duplicate && b.Address != "" {
-			s.Errorf(e.Line, "box: address %s is already used by the box on line %d", b.Address, line)
+			doc.Errorf(e.Line, "box: address %s is already used by the box on line %d", b.Address, line)
 		}
 		seen[b.Address] = e.Line
-		b.Kind = t.Kind(s, e)
+		b.Kind = cfg.Kind(doc, e)
 		switch e.Text("state") {
 		case "ready":
 			b.State = choice.Ready
@@ -183,86 +183,86 @@
 		case "gone":
 			b.State = choice.Gone
 		default:
-			s.Errorf(e.Line, "box: state is %q; it must be ready, draining or gone", e.Text("state"))
+			doc.Errorf(e.Line, "box: state is %q; it must be ready, draining or gone", e.Text("state"))
 		}
-		t.checkCell(s, e, "box", "cell")
-		t.Boxes = append(t.Boxes, b)
+		cfg.checkCell(doc, e, "box", "cell")
+		cfg.Boxes = append(cfg.Boxes, b)
 	}
-	for _, e := range s.Entries("title") {
-		held := slices.ContainsFunc(t.Boxes, func(b Box) bool {
-			c := max(t.Choice.Cells, 1)
+	for _, e := range doc.Entries("title") {
+		held := slices.ContainsFunc(cfg.Boxes, func(b Box) bool {
+			c := max(cfg.Choice.Cells, 1)
 			return (b.Cell-e.Int("start_cell")+c)%c < e.Int("span")
 		})
-		if !held && len(t.Boxes) > 0 {
-			s.Errorf(e.Line, "title %s: no box is in its cells %d to %d", e.Text("name"), e.Int("start_cell"), e.Int("start_cell")+e.Int("span")-1)
+		if !held && len(cfg.Boxes) > 0 {
+			doc.Errorf(e.Line, "title %s: no box is in its cells %d to %d", e.Text("name"), e.Int("start_cell"), e.Int("start_cell")+e.Int("span")-1)
 		}
 	}
-	return t
+	return cfg
 }
 
 // CommonConfig converts the calls of the common forms to settings.
-func CommonConfig(s *Document) Config {
-	t := Config{Titles: map[string]Title{}}
-	f := &t.Choice
-	for _, e := range s.Entries("zone") {
-		t.Zones = append(t.Zones, e.Text("name"))
+func CommonConfig(doc *Document) Config {
+	cfg := Config{Titles: map[string]Title{}}
+	f := &cfg.Choice
+	for _, e := range doc.Entries("zone") {
+		cfg.Zones = append(cfg.Zones, e.Text("name"))
 	}
-	for _, e := range s.Entries("kind") {
-		t.Kinds = append(t.Kinds, e.Text("name"))
+	for _, e := range doc.Entries("kind") {
+		cfg.Kinds = append(cfg.Kinds, e.Text("name"))
 		f.MaxStreams = append(f.MaxStreams, e.Number("places"))
 	}
-	e, _ := s.Single("ladder")
+	e, _ := doc.Single("ladder")
 	f.Ladder = e.NumberList("rates")
 	if !slices.IsSorted(f.Ladder) {
-		s.Errorf(e.Line, "ladder: rates are %v; they must be in ascending order", f.Ladder)
+		doc.Errorf(e.Line, "ladder: rates are %v; they must be in ascending order", f.Ladder)
 	}
 	rungs := len(f.Ladder)
-	for _, e := range s.Entries("group") {
+	for _, e := range doc.Entries("group") {
 		g := choice.ServiceGroup{Utility: e.Number("utility"), Scale: e.Number("scale"), StartTarget: e.Number("start_target"),
 			Paid: e.Bool("paid"), Floor: e.Int("floor"), Top: e.Int("top"), Seats: e.Int("seats")}
 		if g.Top < 0 {
 			g.Top = rungs - 1
 		}
 		if rungs > 0 && (g.Floor >= rungs || g.Top >= rungs || g.Floor > g.Top) {
-			s.Errorf(e.Line, "group %s: floor is %d and top is %d; floor must not exceed top, and the ladder's rungs are 0 to %d", e.Text("name"), g.Floor, g.Top, rungs-1)
+			doc.Errorf(e.Line, "group %s: floor is %d and top is %d; floor must not exceed top, and the ladder's rungs are 0 to %d", e.Text("name"), g.Floor, g.Top, rungs-1)
 		}
 		if e.Number("setup_timeout") <= g.StartTarget {
-			s.Errorf(e.Line, "group %s: setup_timeout of %v s must be longer than start_target of %v s",
+			doc.Errorf(e.Line, "group %s: setup_timeout of %v s must be longer than start_target of %v s",
 				e.Text("name"), e.Number("setup_timeout"), g.StartTarget)
 		}
 		if strings.ContainsAny(e.Text("name"), "/?#% ") {
-			s.Errorf(e.Line, "group %q is used in URLs; use letters, digits and dashes", e.Text("name"))
+			doc.Errorf(e.Line, "group %q is used in URLs; use letters, digits and dashes", e.Text("name"))
 		}
 		f.Groups = append(f.Groups, g)
 		rates := make([]float64, rungs)
 		for i, r := range f.Ladder {
 			rates[i] = r * g.Scale
 		}
-		t.Groups = append(t.Groups, Group{Name: e.Text("name"), SetupTimeout: e.Number("setup_timeout"), Rates: rates})
+		cfg.Groups = append(cfg.Groups, Group{Name: e.Text("name"), SetupTimeout: e.Number("setup_timeout"), Rates: rates})
 	}
-	e, _ = s.Single("fleet")
+	e, _ = doc.Single("fleet")
 	f.FleetLinkCapacity, f.MeanUplinkCapacity, f.CrossZonePrice = e.Number("links"), e.Number("uplink"), e.Number("cross_zone_price")
 	f.Cells, f.Racks = e.Int("cells"), e.Int("racks")
 	live := false
-	for i, g := range s.Entries("group") {
+	for i, g := range doc.Entries("group") {
 		if g.Bool("live") {
 			f.Groups[i].AddedRateShare, live = e.Number("shared_adds"), true
 		}
 	}
 	if e.Number("shared_adds") < 1 && e.Has("shared_adds") && !live {
-		s.Errorf(e.Line, "fleet: shared_adds is %v, but no group is live; set live = True in a group", e.Number("shared_adds"))
+		doc.Errorf(e.Line, "fleet: shared_adds is %v, but no group is live; set live = True in a group", e.Number("shared_adds"))
 	}
 	if f.Racks > f.Cells {
-		s.Errorf(e.Line, "fleet: %d racks for %d cells; each rack needs at least one cell", f.Racks, f.Cells)
+		doc.Errorf(e.Line, "fleet: %d racks for %d cells; each rack needs at least one cell", f.Racks, f.Cells)
 	}
-	e = s.singleOrDefaults("setups")
+	e = doc.singleOrDefaults("setups")
 	f.MaxSetups, f.MaxRetryAfter = e.Int("most"), e.Number("advice")
 	f.BaseRetries, f.RetriesPerSession, f.RetryWindow = e.Number("spare"), e.Number("share"), e.Number("window")
-	if e, ok := s.Single("cold"); ok {
+	if e, ok := doc.Single("cold"); ok {
 		f.WarmUp, f.ColdShare = e.Number("warm_up"), e.Number("share")
 		f.OverloadFactor, f.OverloadTime = e.Number("fall_factor"), e.Number("fall_time")
 	}
-	e = s.singleOrDefaults("reports")
+	e = doc.singleOrDefaults("reports")
 	f.NoteLag, f.NoteInterval, f.FullThreshold, f.Probes = e.Number("lag"), e.Number("notes_every"), e.Number("full_at"), e.Bool("probes")
 	switch e.Text("come") {
 	case "answers":
@@ -272,27 +272,27 @@
 	case "never":
 		f.Reporting = choice.ReportsNever
 	default:
-		s.Errorf(e.Line, "reports: come is %q; it must be answers, probes or never", e.Text("come"))
+		doc.Errorf(e.Line, "reports: come is %q; it must be answers, probes or never", e.Text("come"))
 	}
-	for _, e := range s.Entries("title") {
-		t.checkCell(s, e, "title", "start_cell")
+	for _, e := range doc.Entries("title") {
+		cfg.checkCell(doc, e, "title", "start_cell")
 		if e.Int("span") > f.Cells && f.Cells > 0 {
-			s.Errorf(e.Line, "title %s: span %d exceeds the %d cells", e.Text("name"), e.Int("span"), f.Cells)
+			doc.Errorf(e.Line, "title %s: span %d exceeds the %d cells", e.Text("name"), e.Int("span"), f.Cells)
 		}
-		t.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), Span: e.Int("span"), Length: e.Number("length")}
+		cfg.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), Span: e.Int("span"), Length: e.Number("length")}
 	}
-	e = s.singleOrDefaults("limits")
-	t.Limits = limits.Bounds{Connections: e.Int("connections"), Sessions: e.Int("sessions"), BoxConnections: e.Int("box_connections"),
+	e = doc.singleOrDefaults("limits")
+	cfg.Limits = limits.Bounds{Connections: e.Int("connections"), Sessions: e.Int("sessions"), BoxConnections: e.Int("box_connections"),
 		Queue: e.Int("queue"), ViewerIdle: e.Number("viewer_idle"), KeepAlive: e.Number("keep_alive"),
 		ConnectTimeout: e.Number("connect_timeout"), ProbeTimeout: e.Number("probe_timeout"), WriteStall: e.Number("write_stall")}
-	e = s.singleOrDefaults("drains")
-	t.DrainGrace = e.Number("grace")
-	return t
+	e = doc.singleOrDefaults("drains")
+	cfg.DrainGrace = e.Number("grace")
+	return cfg
 }
 
 // singleOrDefaults returns the call of a form that is allowed only once, or an entry with its defaults.
-func (s *Document) singleOrDefaults(form string) Entry {
-	if e, ok := s.Single(form); ok {
+func (doc *Document) singleOrDefaults(form string) Entry {
+	if e, ok := doc.Single(form); ok {
 		return e
 	}
 	defaults := &Document{entries: map[string][]Entry{}}
@@ -306,35 +306,35 @@
 }
 
 // checkCell checks that a field is a valid cell number.
-func (t *Config) checkCell(s *Document, e Entry, form, field string) {
-	if c := e.Int(field); c >= t.Choice.Cells && t.Choice.Cells > 0 {
-		s.Errorf(e.Line, "%s: %s is %d; it must be 0 to %d", form, field, c, t.Choice.Cells-1)
+func (cfg *Config) checkCell(doc *Document, e Entry, form, field string) {
+	if c := e.Int(field); c >= cfg.Choice.Cells && cfg.Choice.Cells > 0 {
+		doc.Errorf(e.Line, "%s: %s is %d; it must be 0 to %d", form, field, c, cfg.Choice.Cells-1)
 	}
 }
 
 // declaredIndex returns the index in declared of the name in an entry's field, or 0 if the field is empty.
-func declaredIndex(s *Document, e Entry, field string, declared []string) int {
+func declaredIndex(doc *Document, e Entry, field string, declared []string) int {
 	name := e.Text(field)
 	if name == "" {
 		return 0
 	}
 	i := slices.Index(declared, name)
 	if i < 0 {
-		s.Errorf(e.Line, "%s %s is not declared%s", field, name, suggest(name, declared))
+		doc.Errorf(e.Line, "%s %s is not declared%s", field, name, suggest(name, declared))
 		return 0
 	}
 	return i
 }
 
 // Zone and Kind return the numbers of an entry's zone and kind.
-func (t *Config) Zone(s *Document, e Entry) int { return declaredIndex(s, e, "zone", t.Zones) }
-func (t *Config) Kind(s *Document, e Entry) int { return declaredIndex(s, e, "kind", t.Kinds) }
+func (cfg *Config) Zone(doc *Document, e Entry) int { return declaredIndex(doc, e, "zone", cfg.Zones) }
+func (cfg *Config) Kind(doc *Document, e Entry) int { return declaredIndex(doc, e, "kind", cfg.Kinds) }
 
 // checkAddress checks that a field has the form host:port. The host may be empty except for boxes.
-func checkAddress(s *Document, e Entry, form, field, a string) {
+func checkAddress(doc *Document, e Entry, form, field, a string) {
 	host, port, err := net.SplitHostPort(a)
 	n, bad := strconv.Atoi(port)
 	if err != nil || bad != nil || n < 0 || n > 65535 || host == "" && form == "box" {
-		s.Errorf(e.Line, "%s: %s is %q; it must be host:port, as in 127.0.0.1:8554", form, field, a)
+		doc.Errorf(e.Line, "%s: %s is %q; it must be host:port, as in 127.0.0.1:8554", form, field, a)
 	}
 }
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -99,20 +99,20 @@
 }
 
 // Entries returns the calls of a form in the order of the script.
-func (s *Document) Entries(form string) []Entry { return s.entries[form] }
+func (doc *Document) Entries(form string) []Entry { return doc.entries[form] }
 
 // Single returns the call of a form that is allowed only once. ok is false if there is none.
-func (s *Document) Single(form string) (e Entry, ok bool) {
-	if l := s.entries[form]; len(l) > 0 {
+func (doc *Document) Single(form string) (e Entry, ok bool) {
+	if l := doc.entries[form]; len(l) > 0 {
 		return l[0], true
 	}
 	return Entry{numbers: map[string]float64{}}, false
 }
 
 // Errorf adds a diagnostic for a line.
-func (s *Document) Errorf(line int, format string, args ...any) {
-	if len(s.Diagnostics) < maxDiagnostics {
-		s.Diagnostics = append(s.Diagnostics, Diagnostic{s.File, line, fmt.Sprintf(format, args...)})
+func (doc *Document) Errorf(line int, format string, args ...any) {
+	if len(doc.Diagnostics) < maxDiagnostics {
+		doc.Diagnostics = append(doc.Diagnostics, Diagnostic{doc.File, line, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -138,7 +138,7 @@
 // readInstance runs a script for one of several instances that share it. The script reads its number from the predefined
 // variable instance.
 func readInstance(file string, src []byte, forms []Form, instance int) *Document {
-	s := &Document{File: file, entries: map[string][]Entry{}}
+	doc := &Document{File: file, entries: map[string][]Entry{}}
 	predeclared, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
 	for _, f := range forms {
 		predeclared[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
@@ -147,10 +147,10 @@
 				return nil, fmt.Errorf("more than %d calls", maxCalls)
 			}
 			if len(args) > 0 {
-				s.Errorf(line, "%s accepts only named fields, as in %s", f.Name, f.example())
+				doc.Errorf(line, "%s accepts only named fields, as in %s", f.Name, f.example())
 				return starlark.None, nil
 			}
-			s.addEntry(f, line, kw)
+			doc.addEntry(f, line, kw)
 			return starlark.None, nil
 		})
 	}
@@ -162,7 +162,7 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &syntaxErr):
-		s.Errorf(int(syntaxErr.Pos.Line), "%s", syntaxErr.Msg)
+		doc.Errorf(int(syntaxErr.Pos.Line), "%s", syntaxErr.Msg)
 	case errors.As(err, &evalErr):
 		line := 0
 		for _, fr := range evalErr.CallStack {
@@ -170,36 +170,36 @@
 				line = int(fr.Pos.Line)
 			}
 		}
-		s.Errorf(line, "%s", evalErr.Msg)
+		doc.Errorf(line, "%s", evalErr.Msg)
 	default:
-		s.reportUnresolved(err, forms)
+		doc.reportUnresolved(err, forms)
 	}
-	if len(s.Diagnostics) > 0 && len(s.entries) == 0 {
-		return s // the script did not run at all: diagnostics for missing calls would only be noise
+	if len(doc.Diagnostics) > 0 && len(doc.entries) == 0 {
+		return doc // the script did not run at all: diagnostics for missing calls would only be noise
 	}
 	for _, f := range forms {
-		s.checkForm(f)
+		doc.checkForm(f)
 	}
-	slices.SortStableFunc(s.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
-	return s
+	slices.SortStableFunc(doc.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
+	return doc
 }
 
 // reportUnresolved adds a diagnostic for each undefined name in a script and suggests the closest form.
-func (s *Document) reportUnresolved(err error, forms []Form) {
+func (doc *Document) reportUnresolved(err error, forms []Form) {
 	names := make([]string, len(forms))
 	for i, f := range forms {
 		names[i] = f.Name
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
 		n, message := 1, line
-		if parts := strings.SplitN(strings.TrimPrefix(line, s.File+":"), ":", 3); len(parts) == 3 {
+		if parts := strings.SplitN(strings.TrimPrefix(line, doc.File+":"), ":", 3); len(parts) == 3 {
 			fmt.Sscan(parts[0], &n)
 			message = strings.TrimSpace(parts[2])
 		}
 		if _, name, ok := strings.Cut(message, "undefined: "); ok {
 			message = fmt.Sprintf("undefined name %s%s", name, suggest(name, names))
 		}
-		s.Errorf(n, "%s", message)
+		doc.Errorf(n, "%s", message)
 	}
 }
 
@@ -214,7 +214,7 @@
 }
 
 // addEntry checks one call and adds it to the document.
-func (s *Document) addEntry(f Form, line int, kw []starlark.Tuple) {
+func (doc *Document) addEntry(f Form, line int, kw []starlark.Tuple) {
 	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, numberLists: map[string][]float64{},
 		textLists: map[string][]string{}, given: map[string]bool{}}
 	for _, x := range f.Fields {
@@ -237,20 +237,20 @@
 		name := string(pair[0].(starlark.String))
 		i := slices.Index(names, name)
 		if i < 0 {
-			s.Errorf(line, "%s has no field %s%s", f.Name, name, suggest(name, names))
+			doc.Errorf(line, "%s has no field %s%s", f.Name, name, suggest(name, names))
 			continue
 		}
 		e.given[name] = true
 		if problem := e.setField(f.Fields[i], pair[1]); problem != "" {
-			s.Errorf(line, "%s: %s %s", f.Name, name, problem)
+			doc.Errorf(line, "%s: %s %s", f.Name, name, problem)
 		}
 	}
 	for _, x := range f.Fields {
 		if x.Required && !e.given[x.Name] {
-			s.Errorf(line, "%s: missing field %s, %s: %s", f.Name, x.Name, x.Kind, x.Doc)
+			doc.Errorf(line, "%s: missing field %s, %s: %s", f.Name, x.Name, x.Kind, x.Doc)
 		}
 	}
-	s.entries[f.Name] = append(s.entries[f.Name], e)
+	doc.entries[f.Name] = append(doc.entries[f.Name], e)
 }
 
 // setField stores the value of a field. It returns a description of the problem if the value is invalid.
@@ -325,13 +325,13 @@
 }
 
 // checkForm checks the number of calls of a form and the uniqueness of its key.
-func (s *Document) checkForm(f Form) {
-	list := s.entries[f.Name]
+func (doc *Document) checkForm(f Form) {
+	list := doc.entries[f.Name]
 	if f.Required && len(list) == 0 {
-		s.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
+		doc.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
 	}
 	if f.AtMostOnce && len(list) > 1 {
-		s.Errorf(list[1].Line, "%s is allowed only once; the first call is on line %d", f.Name, list[0].Line)
+		doc.Errorf(list[1].Line, "%s is allowed only once; the first call is on line %d", f.Name, list[0].Line)
 	}
 	if f.Key == "" {
 		return
@@ -343,7 +343,7 @@
 			k = fmt.Sprint(e.numbers[f.Key])
 		}
 		if line, duplicate := seen[k]; duplicate {
-			s.Errorf(e.Line, "duplicate %s %s; the first one is on line %d", f.Name, k, line)
+			doc.Errorf(e.Line, "duplicate %s %s; the first one is on line %d", f.Name, k, line)
 		} else if e.given[f.Key] {
 			seen[k] = e.Line
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,21 +24,21 @@
 `
 
 func TestValidSettings(t *testing.T) {
-	s := Read("good.star", []byte(validScript), FrontForms)
-	terms := FrontConfig(s)
-	if len(s.Diagnostics) > 0 {
-		t.Fatal(s.Diagnostics)
+	doc := Read("good.star", []byte(validScript), FrontForms)
+	cfg := FrontConfig(doc)
+	if len(doc.Diagnostics) > 0 {
+		t.Fatal(doc.Diagnostics)
 	}
-	f := terms.Choice
-	if f.FrontIndex != 1 || f.Fronts != 4 || f.Zone != 1 || len(terms.Boxes) != 6 || f.Groups[0].Top != 3 || f.Groups[1].Utility != 1 ||
+	f := cfg.Choice
+	if f.FrontIndex != 1 || f.Fronts != 4 || f.Zone != 1 || len(cfg.Boxes) != 6 || f.Groups[0].Top != 3 || f.Groups[1].Utility != 1 ||
 		f.MaxSetups != 3 || f.RetryWindow != 10 || f.Reporting != choice.ReportsInAnswers || !f.Probes || f.WarmUp != 10 {
-		t.Errorf("%+v", terms)
+		t.Errorf("%+v", cfg)
 	}
-	if b := terms.Boxes[1]; b.ID != 11 || b.Zone != 0 || b.State != choice.Ready || b.Address != "127.0.0.1:9001" {
+	if b := cfg.Boxes[1]; b.ID != 11 || b.Zone != 0 || b.State != choice.Ready || b.Address != "127.0.0.1:9001" {
 		t.Errorf("%+v", b)
 	}
-	if terms.Limits.Sessions == 0 || terms.Groups[0].Rates[3] != 3500 || terms.Titles["vents"].Span != 3 {
-		t.Errorf("%+v", terms)
+	if cfg.Limits.Sessions == 0 || cfg.Groups[0].Rates[3] != 3500 || cfg.Titles["vents"].Span != 3 {
+		t.Errorf("%+v", cfg)
 	}
 }
 
@@ -85,14 +85,14 @@
 			if src == validScript {
 				t.Fatal("the case changes nothing")
 			}
-			s := Read("f.star", []byte(src), FrontForms)
-			FrontConfig(s)
-			for _, m := range s.Diagnostics {
+			doc := Read("f.star", []byte(src), FrontForms)
+			FrontConfig(doc)
+			for _, m := range doc.Diagnostics {
 				if e := m.Error(); strings.HasPrefix(e, "f.star"+c.line) && strings.Contains(e, c.want) {
 					return
 				}
 			}
-			t.Errorf("want %s ... %s; got:\n%v", c.line, c.want, s.Diagnostics)
+			t.Errorf("want %s ... %s; got:\n%v", c.line, c.want, doc.Diagnostics)
 		})
 	}
 }
@@ -111,9 +111,9 @@
 		if len(src) > 4000 {
 			return
 		}
-		s := Read("f.star", src, FrontForms)
-		FrontConfig(s)
-		for _, m := range s.Diagnostics {
+		doc := Read("f.star", src, FrontForms)
+		FrontConfig(doc)
+		for _, m := range doc.Diagnostics {
 			if m.Message == "" || m.Line < 0 {
 				t.Fatalf("%+v", m)
 			}
