--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// input is a connection that only reads.
-type input struct {
+// readOnlyConn is a connection that only reads.
+type readOnlyConn struct {
 	net.Conn
 	io.Reader
 }
 
-func (i input) Read(b []byte) (int, error) { return i.Reader.Read(b) }
+func (i readOnlyConn) Read(b []byte) (int, error) { return i.Reader.Read(b) }
 
-func reader(s string, b Limits) *Conn {
-	return NewConn(input{Reader: iotest.OneByteReader(strings.NewReader(s))}, b)
+func newTestConn(s string, b Limits) *Conn {
+	return NewConn(readOnlyConn{Reader: iotest.OneByteReader(strings.NewReader(s))}, b)
 }
 
-func TestMessagesAndFramesMixed(t *testing.T) {
-	frame := AppendFrame(nil, 3, bytes.Repeat([]byte{7}, 9000)) // longer than the buffer
+func TestInterleavedMessagesAndFrames(t *testing.T) {
+	frame := AppendFrame(nil, 3, bytes.Repeat([]byte{7}, 9000)) // longer than the initial buffer
 	in := "SETUP rtsp://h/g/t/track1 RTSP/1.0\r\nCSeq: 4\r\nTransport: RTP/AVP/TCP;unicast;\r\n interleaved=2-3\r\n\r\n" +
 		string(frame) + "\r\nRTSP/1.0 200 OK\r\ncseq: 9\r\nSession: abc;timeout=20\r\nContent-Length: 3\r\n\r\nxyz$\x01\x00\x02hi" +
 		"PLAY rtsp://h/g/t RTSP/1.0\nCSeq: 5\n\n"
-	c := reader(in, Limits{})
+	c := newTestConn(in, Limits{})
 	m, _, err := c.Next()
 	if err != nil || m.Method != Setup || m.CSeq() != 4 {
-		t.Fatalf("first: %+v %v", m, err)
+		t.Fatalf("first message: %+v %v", m, err)
 	}
 	specs, err := ParseTransport(m.Header.Get("Transport"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if tr, ok := FindTCP(specs); !ok || !tr.Interleaved || tr.RTPChannel != 2 || tr.RTCPChannel != 3 {
-		t.Errorf("transport over a folded line: %+v", tr)
+		t.Errorf("transport from a folded line: %+v", tr)
 	}
 	m, f, err := c.Next()
 	if m != nil || err != nil || f.Channel != 3 || len(f.Payload()) != 9000 || !bytes.Equal(f.Raw, frame) {
@@ -56,18 +56,18 @@
 		t.Fatalf("short frame: %v %v", m, err)
 	}
 	if m, _, err = c.Next(); err != nil || m.Method != Play || m.CSeq() != 5 {
-		t.Fatalf("bare line ends: %+v %v", m, err)
+		t.Fatalf("message with bare LF: %+v %v", m, err)
 	}
 	if _, _, err = c.Next(); err != io.EOF {
-		t.Fatalf("end: %v", err)
+		t.Fatalf("at the end of input: %v", err)
 	}
 }
 
-func TestRefusedInput(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
 		in     string
-		status int // of the answer; -1 for a connection that just breaks
+		status int // of the response; -1 if the connection ends without one
 		cseq   string
 	}{
 		"no version":         {"PLAY rtsp://h/x\r\n\r\n", BadRequest, ""},
@@ -88,11 +88,11 @@
 		"ends in its header": {"$\x00", -1, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _, err := reader(c.in, Limits{}).Next()
+			m, _, err := newTestConn(c.in, Limits{}).Next()
 			var bad *MalformedError
 			switch {
 			case err == nil:
-				t.Fatalf("taken: %+v", m)
+				t.Fatalf("accepted: %+v", m)
 			case errors.As(err, &bad):
 				if bad.Status != c.status || bad.CSeq != c.cseq {
 					t.Errorf("status %d CSeq %q, want %d %q: %v", bad.Status, bad.CSeq, c.status, c.cseq, err)
@@ -102,20 +102,20 @@
 			}
 		})
 	}
-	if _, _, err := reader("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
-		t.Error("a frame over the limit was taken")
+	if _, _, err := newTestConn("$\x00\x02\x00"+long, Limits{FrameBytes: 511}).Next(); err == nil {
+		t.Error("a frame above the limit was accepted")
 	}
 }
 
-func TestWrittenMessagesKeepToTheirLines(t *testing.T) {
+func TestHeaderInjection(t *testing.T) {
 	m := NewRequest(Options, "*").WithHeader("CSeq", "1").WithHeader("User-Agent", "x\r\nSession: stolen")
-	got, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
+	got, _, err := NewConn(readOnlyConn{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 	if err != nil || got.Session() != "" || got.CSeq() != 1 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-func TestRanges(t *testing.T) {
+func TestParseRange(t *testing.T) {
 	for in, want := range map[string]Range{
 		"npt=1.5-":       {Start: 1.5, End: math.Inf(1)},
 		"npt=0:01:10-80": {Start: 70, End: 80},
@@ -128,22 +128,22 @@
 	}
 	for _, in := range []string{"", "npt=", "npt=-", "npt=5-4", "smpte=0:10:00-", "npt=1e9-", "npt=NaN-", "npt=1:2-"} {
 		if r, err := ParseRange(in); err == nil {
-			t.Errorf("%q was taken as %+v", in, r)
+			t.Errorf("%q was accepted as %+v", in, r)
 		}
 	}
 }
 
-func TestPlaces(t *testing.T) {
-	p, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
-	if err != nil || p.Group != "fault-clips" || p.Title != "vent 1" || p.Track != 1 || p.Query != "viewer=7" {
-		t.Errorf("%+v %v", p, err)
+func TestParseURL(t *testing.T) {
+	r, err := ParseURL("rtsp://front:8554/fault-clips/vent%201/track1?viewer=7")
+	if err != nil || r.Group != "fault-clips" || r.Title != "vent 1" || r.Track != 1 || r.Query != "viewer=7" {
+		t.Errorf("%+v %v", r, err)
 	}
-	if again, err := ParseURL(p.URL()); err != nil || again != p {
-		t.Errorf("%s: %+v %v", p.URL(), again, err)
+	if again, err := ParseURL(r.URL()); err != nil || again != r {
+		t.Errorf("%s: %+v %v", r.URL(), again, err)
 	}
 	for _, in := range []string{"http://h/a/b", "rtsp://h/a", "rtsp:///a/b", "rtsp://h/a/b/track", "rtsp://h/a/b/c/d", "*"} {
-		if p, err := ParseURL(in); err == nil {
-			t.Errorf("%q was taken as %+v", in, p)
+		if r, err := ParseURL(in); err == nil {
+			t.Errorf("%q was accepted as %+v", in, r)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	f.Add([]byte("RTSP/1.0 200 OK\r\nCSeq: 1\r\nContent-Length: 3\r\n\r\nabc\r\n\r\n"))
 	f.Add([]byte("$\x00\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c := NewConn(input{Reader: bytes.NewReader(in)}, Limits{LineBytes: 200, HeaderLines: 10, BodyBytes: 300})
+		c := NewConn(readOnlyConn{Reader: bytes.NewReader(in)}, Limits{LineBytes: 200, HeaderLines: 10, BodyBytes: 300})
 		for {
 			m, _, err := c.Next()
 			if err != nil {
@@ -162,10 +162,10 @@
 			if m == nil {
 				continue
 			}
-			// What was read comes out the same after it was written.
-			again, _, err := NewConn(input{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
+			// A parsed message must survive encoding and parsing again.
+			again, _, err := NewConn(readOnlyConn{Reader: bytes.NewReader(m.Append(nil))}, Limits{}).Next()
 			if err != nil {
-				t.Fatalf("%q can't be read again: %v", m.Append(nil), err)
+				t.Fatalf("%q can't be parsed again: %v", m.Append(nil), err)
 			}
 			if again.Method != m.Method || again.URL != m.URL || again.Status != m.Status || !bytes.Equal(again.Body, m.Body) {
 				t.Fatalf("%+v came back as %+v", m, again)
@@ -190,9 +190,9 @@
 		if r, err := ParseRange(v); err == nil && (r.Start < 0 || r.End < r.Start || math.IsNaN(r.Start)) {
 			t.Fatalf("%q: %+v", v, r)
 		}
-		if p, err := ParseURL(v); err == nil {
-			if again, err := ParseURL(p.URL()); err != nil || again.Group != p.Group || again.Title != p.Title {
-				t.Fatalf("%q: %q: %+v %v", v, p.URL(), again, err)
+		if r, err := ParseURL(v); err == nil {
+			if again, err := ParseURL(r.URL()); err != nil || again.Group != r.Group || again.Title != r.Title {
+				t.Fatalf("%q: %q: %+v %v", v, r.URL(), again, err)
 			}
 		}
 		ParseRTPInfo(v)
@@ -202,9 +202,9 @@
 }
 
 func BenchmarkFrames(b *testing.B) {
-	one := AppendFrame(nil, 0, make([]byte, 1400))
-	c := NewConn(input{Reader: &endless{bytes.Repeat(one, 40), 0}}, Limits{})
-	b.SetBytes(int64(len(one)))
+	frame := AppendFrame(nil, 0, make([]byte, 1400))
+	c := NewConn(readOnlyConn{Reader: &loopReader{bytes.Repeat(frame, 40), 0}}, Limits{})
+	b.SetBytes(int64(len(frame)))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, err := c.Next(); err != nil {
@@ -213,42 +213,42 @@
 	}
 }
 
-type endless struct {
+type loopReader struct {
 	b  []byte
 	at int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *loopReader) Read(p []byte) (int, error) {
 	n := copy(p, e.b[e.at:])
 	e.at = (e.at + n) % len(e.b)
 	return n, nil
 }
 
-// A message's lines and body together stay within their bound, whatever each is.
-func TestWholeMessageBound(t *testing.T) {
+// MessageBytes must bound lines and body together, even if each part is within its own limit.
+func TestMessageSizeLimit(t *testing.T) {
 	for in, ok := range map[string]bool{
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\n\r\n":                                                   true,
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\nY: " + strings.Repeat("a", 150) + "\r\n\r\n":            false,
 		"OPTIONS * RTSP/1.0\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100):                                        true,
 		"OPTIONS * RTSP/1.0\r\nX: " + strings.Repeat("a", 150) + "\r\nContent-Length: 100\r\n\r\n" + strings.Repeat("a", 100): false,
 	} {
-		c := NewConn(input{nil, strings.NewReader(in)}, Limits{MessageBytes: 256, BufferBytes: 512})
+		c := NewConn(readOnlyConn{nil, strings.NewReader(in)}, Limits{MessageBytes: 256, BufferBytes: 512})
 		if _, _, err := c.Next(); (err == nil) != ok {
 			t.Errorf("%.60q: %v", in, err)
 		}
 	}
 }
 
-// What lies behind a message tells whether its length was right.
-func TestAstray(t *testing.T) {
+// The bytes after a message must reveal a Content-Length that is too small.
+func TestOutOfSync(t *testing.T) {
 	const m = "RTSP/1.0 200 OK\r\nContent-Length: 4\r\n\r\nbody"
-	for rest, astray := range map[string]bool{
+	for rest, outOfSync := range map[string]bool{
 		"": false, "\r\n": false, "RTSP/1.0 200 OK\r\n": false, "RTSP": false, "RTSP/1.0": false, "TEARDOWN rtsp://x RTSP/1.0\r\n": false, "ANNOU": false, "SET_PARAM": false,
 		"=IN IP4\r\n": true, "m=video 1": true, "8": true, "31000 RTP/AVP": true, "\r\nc=IN": true, "RTSP/x.y 200": true, "NOT A START LINE\r\n": true,
 	} {
-		c := NewConn(input{nil, strings.NewReader(m + rest)}, Limits{})
-		if _, _, err := c.Next(); err != nil || c.OutOfSync() != astray {
-			t.Errorf("%q is astray: %v, %v", rest, !astray, err)
+		c := NewConn(readOnlyConn{nil, strings.NewReader(m + rest)}, Limits{})
+		if _, _, err := c.Next(); err != nil || c.OutOfSync() != outOfSync {
+			t.Errorf("%q out of sync: %v, %v", rest, !outOfSync, err)
 		}
 	}
 }
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func migrated(t *testing.T, old, layout string) (Migration, Config, error) {
+func migrate(t *testing.T, old, layout string) (Migration, Config, error) {
 	t.Helper()
 	dir := t.TempDir()
 	names := [2]string{filepath.Join(dir, "old.star"), filepath.Join(dir, "layout.star")}
@@ -18,27 +18,27 @@
 		}
 	}
 	m, err := Migrate(names[0], names[1], 0)
-	s := Read("new.star", m.Script, FrontForms)
-	return m, FrontConfig(s), err
+	doc := Read("new.star", m.Script, FrontForms)
+	return m, FrontConfig(doc), err
 }
 
-// Without a layout a script comes out flat and means the same.
-func TestMigrationKeepsWhatNoLayoutChanges(t *testing.T) {
-	m, terms, err := migrated(t, "# north\n"+good+`user(name = "ada", password = "q\"\\u")`, "")
+// Without a layout the migrated script must be flat and yield the same settings.
+func TestMigrationWithoutLayoutChanges(t *testing.T) {
+	m, cfg, err := migrate(t, "# north\n"+validScript+`user(name = "ada", password = "q\"\\u")`, "")
 	if err != nil || len(m.Changed) > 0 {
 		t.Fatal(err, m.Changed)
 	}
-	want := FrontConfig(Read("old.star", []byte(good+`user(name = "ada", password = "q\"\\u")`), FrontForms))
-	if !reflect.DeepEqual(terms, want) {
-		t.Errorf("%+v\n%+v", terms, want)
+	want := FrontConfig(Read("old.star", []byte(validScript+`user(name = "ada", password = "q\"\\u")`), FrontForms))
+	if !reflect.DeepEqual(cfg, want) {
+		t.Errorf("%+v\n%+v", cfg, want)
 	}
-	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 lines of comments") {
+	if len(m.NotMigrated) != 1 || !strings.Contains(m.NotMigrated[0], "1 comment lines") {
 		t.Error(m.NotMigrated)
 	}
 }
 
-func TestMigrationToAnotherLayout(t *testing.T) {
-	m, terms, err := migrated(t, strings.Replace(good, "seats = 5", "paid = True", 1)+`setups(most = 3)
+func TestMigrationAppliesLayout(t *testing.T) {
+	m, cfg, err := migrate(t, strings.Replace(validScript, "seats = 5", "paid = True", 1)+`setups(most = 3)
 front_names = instance
 limits(sessions = 1000 + instance)
 `, `
@@ -54,14 +54,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := terms.Choice
+	f := cfg.Choice
 	if f.Groups[1].AddedRateShare != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].AddedRateShare != 0 || f.FullThreshold != 1 || f.NoteInterval != 0 ||
-		f.MaxSetups != 5 || f.RetryWindow != 0 || terms.DrainGrace != 0.25 || terms.Titles["vents"] != (Title{Span: 6}) ||
-		len(terms.Boxes) != 6 || !f.Groups[0].Paid {
-		t.Errorf("%+v", terms)
+		f.MaxSetups != 5 || f.RetryWindow != 0 || cfg.DrainGrace != 0.25 || cfg.Titles["vents"] != (Title{Span: 6}) ||
+		len(cfg.Boxes) != 6 || !f.Groups[0].Paid {
+		t.Errorf("%+v", cfg)
 	}
 	all := strings.Join(m.NotMigrated, "\n")
-	for _, part := range []string{"instance 0 alone", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
+	for _, part := range []string{"instance 0 only", "tenant leie", "messages between fronts", "fault-clips stays paid"} {
 		if !strings.Contains(all, part) {
 			t.Errorf("%q is not listed in\n%s", part, all)
 		}
@@ -72,15 +72,15 @@
 	}
 }
 
-func TestMigrationRefuses(t *testing.T) {
-	for name, c := range map[string]struct{ old, layout, says string }{
-		"a mistake in the old":     {strings.Replace(good, "places = 20", "places = 0", 1), "", ":6:"},
-		"a mistake in the layout":  {good, "fleet(shared_adds = 3)", "1 is the most"},
-		"a group that is not held": {good, `group(name = "clips", live = True)`, "no group"},
-		"an outcome with mistakes": {good, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
+func TestMigrationErrors(t *testing.T) {
+	for name, c := range map[string]struct{ old, layout, want string }{
+		"an error in the old settings": {strings.Replace(validScript, "places = 20", "places = 0", 1), "", ":6:"},
+		"an error in the layout":       {validScript, "fleet(shared_adds = 3)", "the maximum is 1"},
+		"a group that does not exist":  {validScript, `group(name = "clips", live = True)`, "no group"},
+		"an invalid result":            {validScript, `group(name = "fault-clips", top = 7)`, "rungs are 0 to 3"},
 	} {
-		m, _, err := migrated(t, c.old, c.layout)
-		if err == nil || !strings.Contains(err.Error(), c.says) || m.Script != nil {
+		m, _, err := migrate(t, c.old, c.layout)
+		if err == nil || !strings.Contains(err.Error(), c.want) || m.Script != nil {
 			t.Errorf("%s: %v, %q", name, err, m.Script)
 		}
 	}
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -13,30 +13,30 @@
 	"go.starlark.net/syntax"
 )
 
-// Diagnostic is one thing that is wrong in a script, and what would be right.
+// Diagnostic describes one error in a script, with its location and what is expected instead.
 type Diagnostic struct {
 	File    string
 	Line    int
 	Message string
 }
 
-func (m Diagnostic) Error() string { return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Message) }
+func (d Diagnostic) Error() string { return fmt.Sprintf("%s:%d: %s", d.File, d.Line, d.Message) }
 
-// Diagnostics are all of a script's.
+// Diagnostics holds the diagnostics of one script. Its Error method returns one line for each.
 type Diagnostics []Diagnostic
 
-func (m Diagnostics) Error() string {
-	lines := make([]string, len(m))
-	for i, x := range m {
-		lines[i] = x.Error()
+func (l Diagnostics) Error() string {
+	lines := make([]string, len(l))
+	for i, d := range l {
+		lines[i] = d.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Kind is what a field takes.
+// Kind is the type of a field's value.
 type Kind int
 
-// The kinds of fields.
+// Kinds of fields.
 const (
 	Number Kind = iota
 	Integer
@@ -47,160 +47,163 @@
 )
 
 func (k Kind) String() string {
-	return [...]string{"a number", "a whole number", "a text", "True or False", "a list of numbers", "a list of texts"}[k]
+	return [...]string{"a number", "an integer", "a string", "True or False", "a list of numbers", "a list of strings"}[k]
 }
 
-// Field is one named value of a form.
+// Field describes one keyword argument of a form.
 type Field struct {
 	Name     string
 	Kind     Kind
 	Required bool
-	Default  any     // float64, string, bool, or nil for the kind's zero
-	Min, Max float64 // of numbers; Max 0 means no bound
+	Default  any     // float64, string, bool, or nil for the zero value of the kind
+	Min, Max float64 // bounds of numbers; a Max of 0 means none
 	Doc      string
 }
 
-// Form is a call that a script may make.
+// Form describes a function that a script may call, such as box or title, and its fields.
 type Form struct {
 	Name       string
-	Required   bool   // once at least
-	AtMostOnce bool   // once at most
-	Key        string // a field whose values must differ from call to call
+	Required   bool   // a script must call it at least once
+	AtMostOnce bool   // a script must not call it more than once
+	Key        string // name of a field whose value must be unique among the calls
 	Doc        string
 	Fields     []Field
 }
 
-// Entry is one call that a script made.
+// Entry holds the field values of one call.
 type Entry struct {
-	Line    int
-	numbers map[string]float64
-	texts   map[string]string
-	lists   map[string][]float64
-	words   map[string][]string
-	set     map[string]bool
+	Line        int
+	numbers     map[string]float64
+	texts       map[string]string
+	numberLists map[string][]float64
+	textLists   map[string][]string
+	given       map[string]bool
 }
 
-// Number, Int, Text, Flag, Numbers and Texts are a field's value, or its default.
+// Number, Int, Text, Bool, NumberList and TextList return the value of a field, or its default.
 func (e Entry) Number(name string) float64       { return e.numbers[name] }
 func (e Entry) Int(name string) int              { return int(e.numbers[name]) }
 func (e Entry) Text(name string) string          { return e.texts[name] }
 func (e Entry) Bool(name string) bool            { return e.numbers[name] != 0 }
-func (e Entry) NumberList(name string) []float64 { return e.lists[name] }
-func (e Entry) TextList(name string) []string    { return e.words[name] }
+func (e Entry) NumberList(name string) []float64 { return e.numberLists[name] }
+func (e Entry) TextList(name string) []string    { return e.textLists[name] }
 
-// Has tells whether a field was given.
-func (e Entry) Has(name string) bool { return e.set[name] }
+// Has reports whether the call set a field explicitly.
+func (e Entry) Has(name string) bool { return e.given[name] }
 
-// Document is what a script said.
+// Document holds the calls of a script and the errors found in it.
 type Document struct {
 	File        string
 	entries     map[string][]Entry
 	Diagnostics Diagnostics
 }
 
-// Entries gives the calls of a form, in the script's order.
-func (s *Document) Entries(form string) []Entry { return s.entries[form] }
+// Entries returns the calls of a form in the order of the script.
+func (doc *Document) Entries(form string) []Entry { return doc.entries[form] }
 
-// Single gives the only call of a form; ok is false where there is none.
-func (s *Document) Single(form string) (e Entry, ok bool) {
-	if l := s.entries[form]; len(l) > 0 {
+// Single returns the call of a form that is allowed only once. ok is false if there is none.
+func (doc *Document) Single(form string) (e Entry, ok bool) {
+	if l := doc.entries[form]; len(l) > 0 {
 		return l[0], true
 	}
 	return Entry{numbers: map[string]float64{}}, false
 }
 
-// Errorf adds a mistake at a line.
-func (s *Document) Errorf(line int, format string, args ...any) {
-	if len(s.Diagnostics) < mostMistakes {
-		s.Diagnostics = append(s.Diagnostics, Diagnostic{s.File, line, fmt.Sprintf(format, args...)})
+// Errorf adds a diagnostic for a line.
+func (doc *Document) Errorf(line int, format string, args ...any) {
+	if len(doc.Diagnostics) < maxDiagnostics {
+		doc.Diagnostics = append(doc.Diagnostics, Diagnostic{doc.File, line, fmt.Sprintf(format, args...)})
 	}
 }
 
 const (
-	mostMistakes = 50       // told of one script; the rest follow once these are mended
-	mostSteps    = 20 << 20 // of a script's run: a second or so, for scripts that never end
-	mostEntries  = 20000    // calls in all
+	maxDiagnostics = 50       // per script
+	maxSteps       = 20 << 20 // Starlark execution steps, about a second; stops scripts that never end
+	maxCalls       = 20000    // calls of all forms together
 )
 
-// ReadFile reads a script from a file for an instance. The error is the file's; mistakes are in the sheet.
+// ReadFile reads a script from a file for an instance. The error reports a file that can't be read; errors in the script
+// are in the document's Diagnostics.
 func ReadFile(file string, forms []Form, instance int) (*Document, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
-	return read(file, src, forms, instance), nil
+	return readInstance(file, src, forms, instance), nil
 }
 
-// Read runs a script and takes the calls that its forms allow.
-func Read(file string, src []byte, forms []Form) *Document { return read(file, src, forms, 0) }
+// Read runs a script and collects its calls of the given forms.
+func Read(file string, src []byte, forms []Form) *Document { return readInstance(file, src, forms, 0) }
 
-// read is Read for one of many instances of one script, which knows its number by the name instance.
-func read(file string, src []byte, forms []Form, instance int) *Document {
-	s := &Document{File: file, entries: map[string][]Entry{}}
-	known, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
+// readInstance runs a script for one of several instances that share it. The script reads its number from the predefined
+// variable instance.
+func readInstance(file string, src []byte, forms []Form, instance int) *Document {
+	doc := &Document{File: file, entries: map[string][]Entry{}}
+	predeclared, count := starlark.StringDict{"instance": starlark.MakeInt(instance)}, 0
 	for _, f := range forms {
-		known[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
+		predeclared[f.Name] = starlark.NewBuiltin(f.Name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kw []starlark.Tuple) (starlark.Value, error) {
 			line := int(t.CallFrame(1).Pos.Line)
-			if count++; count > mostEntries {
-				return nil, fmt.Errorf("over %d calls", mostEntries)
+			if count++; count > maxCalls {
+				return nil, fmt.Errorf("more than %d calls", maxCalls)
 			}
 			if len(args) > 0 {
-				s.Errorf(line, "%s takes named fields only, as in %s", f.Name, f.example())
+				doc.Errorf(line, "%s accepts only named fields, as in %s", f.Name, f.example())
 				return starlark.None, nil
 			}
-			s.take(f, line, kw)
+			doc.addEntry(f, line, kw)
 			return starlark.None, nil
 		})
 	}
 	thread := &starlark.Thread{Name: file, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(mostSteps)
-	_, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, file, src, known)
-	var syn syntax.Error
-	var eval *starlark.EvalError
+	thread.SetMaxExecutionSteps(maxSteps)
+	_, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, file, src, predeclared)
+	var syntaxErr syntax.Error
+	var evalErr *starlark.EvalError
 	switch {
 	case err == nil:
-	case errors.As(err, &syn):
-		s.Errorf(int(syn.Pos.Line), "%s", syn.Msg)
-	case errors.As(err, &eval):
+	case errors.As(err, &syntaxErr):
+		doc.Errorf(int(syntaxErr.Pos.Line), "%s", syntaxErr.Msg)
+	case errors.As(err, &evalErr):
 		line := 0
-		for _, fr := range eval.CallStack {
+		for _, fr := range evalErr.CallStack {
 			if fr.Pos.Filename() == file {
 				line = int(fr.Pos.Line)
 			}
 		}
-		s.Errorf(line, "%s", eval.Msg)
+		doc.Errorf(line, "%s", evalErr.Msg)
 	default:
-		s.unresolved(err, forms)
+		doc.reportUnresolved(err, forms)
 	}
-	if len(s.Diagnostics) > 0 && len(s.entries) == 0 {
-		return s // it did not run at all: what is missing would only be noise
+	if len(doc.Diagnostics) > 0 && len(doc.entries) == 0 {
+		return doc // the script did not run at all: diagnostics for missing calls would only be noise
 	}
 	for _, f := range forms {
-		s.whole(f)
+		doc.checkForm(f)
 	}
-	slices.SortStableFunc(s.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
-	return s
+	slices.SortStableFunc(doc.Diagnostics, func(a, b Diagnostic) int { return cmp.Compare(a.Line, b.Line) })
+	return doc
 }
 
-// unresolved names each unknown name of a script and the nearest one that there is.
-func (s *Document) unresolved(err error, forms []Form) {
+// reportUnresolved adds a diagnostic for each undefined name in a script and suggests the closest form.
+func (doc *Document) reportUnresolved(err error, forms []Form) {
 	names := make([]string, len(forms))
 	for i, f := range forms {
 		names[i] = f.Name
 	}
 	for _, line := range strings.Split(err.Error(), "\n") {
-		n, what := 1, line
-		if parts := strings.SplitN(strings.TrimPrefix(line, s.File+":"), ":", 3); len(parts) == 3 {
+		n, message := 1, line
+		if parts := strings.SplitN(strings.TrimPrefix(line, doc.File+":"), ":", 3); len(parts) == 3 {
 			fmt.Sscan(parts[0], &n)
-			what = strings.TrimSpace(parts[2])
+			message = strings.TrimSpace(parts[2])
 		}
-		if _, name, ok := strings.Cut(what, "undefined: "); ok {
-			what = fmt.Sprintf("there is no %s%s", name, nearest(name, names))
+		if _, name, ok := strings.Cut(message, "undefined: "); ok {
+			message = fmt.Sprintf("undefined name %s%s", name, suggest(name, names))
 		}
-		s.Errorf(n, "%s", what)
+		doc.Errorf(n, "%s", message)
 	}
 }
 
+// example returns a sample call for diagnostics.
 func (f Form) example() string {
 	for _, x := range f.Fields {
 		if x.Required {
@@ -210,10 +213,10 @@
 	return f.Name + "()"
 }
 
-// take reads one call.
-func (s *Document) take(f Form, line int, kw []starlark.Tuple) {
-	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, lists: map[string][]float64{},
-		words: map[string][]string{}, set: map[string]bool{}}
+// addEntry checks one call and adds it to the document.
+func (doc *Document) addEntry(f Form, line int, kw []starlark.Tuple) {
+	e := Entry{Line: line, numbers: map[string]float64{}, texts: map[string]string{}, numberLists: map[string][]float64{},
+		textLists: map[string][]string{}, given: map[string]bool{}}
 	for _, x := range f.Fields {
 		switch d := x.Default.(type) {
 		case float64:
@@ -234,25 +237,25 @@
 		name := string(pair[0].(starlark.String))
 		i := slices.Index(names, name)
 		if i < 0 {
-			s.Errorf(line, "%s has no field %s%s", f.Name, name, nearest(name, names))
+			doc.Errorf(line, "%s has no field %s%s", f.Name, name, suggest(name, names))
 			continue
 		}
-		e.set[name] = true
-		if why := e.field(f.Fields[i], pair[1]); why != "" {
-			s.Errorf(line, "%s: %s %s", f.Name, name, why)
+		e.given[name] = true
+		if problem := e.setField(f.Fields[i], pair[1]); problem != "" {
+			doc.Errorf(line, "%s: %s %s", f.Name, name, problem)
 		}
 	}
 	for _, x := range f.Fields {
-		if x.Required && !e.set[x.Name] {
-			s.Errorf(line, "%s needs %s: %s, %s", f.Name, x.Name, x.Kind, x.Doc)
+		if x.Required && !e.given[x.Name] {
+			doc.Errorf(line, "%s: missing field %s, %s: %s", f.Name, x.Name, x.Kind, x.Doc)
 		}
 	}
-	s.entries[f.Name] = append(s.entries[f.Name], e)
+	doc.entries[f.Name] = append(doc.entries[f.Name], e)
 }
 
-// field takes one value; what is wrong with it comes back in words.
-func (e Entry) field(x Field, v starlark.Value) string {
-	wrong := fmt.Sprintf("is %s; %s belongs there: %s", clip(v.String()), x.Kind, x.Doc)
+// setField stores the value of a field. It returns a description of the problem if the value is invalid.
+func (e Entry) setField(x Field, v starlark.Value) string {
+	wrongKind := fmt.Sprintf("is %s; want %s: %s", truncate(v.String()), x.Kind, x.Doc)
 	number := func(v starlark.Value) (float64, bool) {
 		if _, is := v.(starlark.Bool); is {
 			return 0, false
@@ -260,12 +263,12 @@
 		n, ok := starlark.AsFloat(v)
 		return n, ok && !math.IsNaN(n) && !math.IsInf(n, 0)
 	}
-	bounds := func(n float64) string {
+	checkRange := func(n float64) string {
 		switch {
 		case n < x.Min:
-			return fmt.Sprintf("is %v; %v is the least", n, x.Min)
+			return fmt.Sprintf("is %v; the minimum is %v", n, x.Min)
 		case x.Max > 0 && n > x.Max:
-			return fmt.Sprintf("is %v; %v is the most", n, x.Max)
+			return fmt.Sprintf("is %v; the maximum is %v", n, x.Max)
 		}
 		return ""
 	}
@@ -273,22 +276,22 @@
 	case Number, Integer:
 		n, ok := number(v)
 		if !ok || x.Kind == Integer && n != math.Trunc(n) {
-			return wrong
+			return wrongKind
 		}
 		e.numbers[x.Name] = n
-		return bounds(n)
+		return checkRange(n)
 	case Text:
 		t, ok := starlark.AsString(v)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		if e.texts[x.Name] = t; x.Required && t == "" {
-			return "is empty; " + x.Doc + " belongs there"
+			return "must not be empty: " + x.Doc
 		}
 	case Bool:
 		b, ok := v.(starlark.Bool)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		if e.numbers[x.Name] = 0; bool(b) {
 			e.numbers[x.Name] = 1
@@ -296,39 +299,39 @@
 	case NumberList, TextList:
 		list, ok := v.(starlark.Iterable)
 		if !ok {
-			return wrong
+			return wrongKind
 		}
 		it := list.Iterate()
 		defer it.Done()
-		for one := starlark.Value(nil); it.Next(&one); {
-			if t, is := starlark.AsString(one); is && x.Kind == TextList {
-				e.words[x.Name] = append(e.words[x.Name], t)
+		for element := starlark.Value(nil); it.Next(&element); {
+			if t, is := starlark.AsString(element); is && x.Kind == TextList {
+				e.textLists[x.Name] = append(e.textLists[x.Name], t)
 				continue
 			}
-			n, is := number(one)
+			n, is := number(element)
 			if !is || x.Kind == TextList {
-				return wrong
+				return wrongKind
 			}
-			if why := bounds(n); why != "" {
-				return "has an entry that " + why
+			if problem := checkRange(n); problem != "" {
+				return "has an element that " + problem
 			}
-			e.lists[x.Name] = append(e.lists[x.Name], n)
+			e.numberLists[x.Name] = append(e.numberLists[x.Name], n)
 		}
-		if x.Required && len(e.lists[x.Name])+len(e.words[x.Name]) == 0 {
-			return "is empty; " + x.Doc + " belongs there"
+		if x.Required && len(e.numberLists[x.Name])+len(e.textLists[x.Name]) == 0 {
+			return "must not be empty: " + x.Doc
 		}
 	}
 	return ""
 }
 
-// whole checks a form's calls together.
-func (s *Document) whole(f Form) {
-	list := s.entries[f.Name]
+// checkForm checks the number of calls of a form and the uniqueness of its key.
+func (doc *Document) checkForm(f Form) {
+	list := doc.entries[f.Name]
 	if f.Required && len(list) == 0 {
-		s.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
+		doc.Errorf(1, "%s is missing: %s, as in %s", f.Name, f.Doc, f.example())
 	}
 	if f.AtMostOnce && len(list) > 1 {
-		s.Errorf(list[1].Line, "%s stands a second time; it was on line %d, and one of them must go", f.Name, list[0].Line)
+		doc.Errorf(list[1].Line, "%s is allowed only once; the first call is on line %d", f.Name, list[0].Line)
 	}
 	if f.Key == "" {
 		return
@@ -339,39 +342,40 @@
 		if k == "" {
 			k = fmt.Sprint(e.numbers[f.Key])
 		}
-		if line, twice := seen[k]; twice {
-			s.Errorf(e.Line, "%s %s stands a second time; it was on line %d", f.Name, k, line)
-		} else if e.set[f.Key] {
+		if line, duplicate := seen[k]; duplicate {
+			doc.Errorf(e.Line, "duplicate %s %s; the first one is on line %d", f.Name, k, line)
+		} else if e.given[f.Key] {
 			seen[k] = e.Line
 		}
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:37] + "..."
 	}
 	return s
 }
 
-// nearest names the known word that a mistaken one is closest to, if any is close.
-func nearest(word string, known []string) string {
-	best, least := "", len(word)/2+1
+// suggest returns a hint to append to a message about an unknown word: the known word closest to it or, if none is
+// close, all of them.
+func suggest(word string, known []string) string {
+	best, minDistance := "", len(word)/2+1
 	for _, k := range known {
-		if d := distance(word, k); d < least {
-			best, least = k, d
+		if d := editDistance(word, k); d < minDistance {
+			best, minDistance = k, d
 		}
 	}
 	if best == "" {
 		list := slices.Clone(known)
 		slices.Sort(list)
-		return "; there are " + strings.Join(list, ", ")
+		return "; known names: " + strings.Join(list, ", ")
 	}
-	return "; " + best + " may be meant"
+	return "; did you mean " + best + "?"
 }
 
-// distance is how many letters must change, come or go to make a of b.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of a and b in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
