--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -21,57 +21,58 @@
 	"rainhaven/internal/rtsp"
 )
 
-// boxConn is one connection to a box. It carries one session, one probe or one late TEARDOWN at a time.
+// boxConn is a connection to a box. It carries one session, probe, DESCRIBE or TEARDOWN of an orphan at a time.
 type boxConn struct {
-	f      *Front
-	num    pool.ConnID
-	box    choice.ServerID
-	host   string // its address
-	conn   *rtsp.Conn
-	out    *relay.Out
-	stream atomic.Pointer[relay.Stream]
+	f       *Front
+	id      pool.ConnID
+	box     choice.ServerID
+	address string // host:port of the box
+	conn    *rtsp.Conn
+	out     *relay.Out
+	stream  atomic.Pointer[relay.Stream]
 
 	// Owned by the loop.
-	cseq      int
-	waits     map[int]func(*rtsp.Message) // by CSeq; called with nil where the connection ends first
-	sess      *sess
-	try       int
-	session   string // the box's name for it
-	rung      int    // asked for last
-	withdrawn bool
-	closed    bool
+	cseq       int
+	pending    map[int]func(*rtsp.Message) // callbacks by CSeq; called with nil if the connection ends first
+	session    *frontSession
+	attempt    int
+	boxSession string // session id at the box
+	rung       int    // requested last
+	canceled   bool
+	closed     bool
 }
 
-// connect gives a connection to a box to got, in the loop and after the orders under way; nil where none could be had.
-func (f *Front) connect(ctx context.Context, box choice.ServerID, got func(*boxConn)) {
-	if num, ok := f.keeper.Get(box); ok {
-		c := f.conns[num]
-		f.after = append(f.after, func() { got(c) })
+// connect passes an idle or new connection to a box to onConn, or nil if there is none. onConn runs in the loop, after the
+// actions in progress.
+func (f *Front) connect(ctx context.Context, box choice.ServerID, onConn func(*boxConn)) {
+	if id, ok := f.pool.Get(box); ok {
+		c := f.boxConns[id]
+		f.deferred = append(f.deferred, func() { onConn(c) })
 		return
 	}
-	host, listed := f.address[box]
-	if !listed || !f.keeper.Reserve(box) {
-		f.after = append(f.after, func() { got(nil) })
+	address, listed := f.addresses[box]
+	if !listed || !f.pool.Reserve(box) {
+		f.deferred = append(f.deferred, func() { onConn(nil) })
 		return
 	}
-	f.work.Add(1)
+	f.wg.Add(1)
 	go func() {
-		defer f.work.Done()
+		defer f.wg.Done()
 		ctx, cancel := context.WithTimeout(ctx, time.Duration(f.terms().Bounds.ConnectTimeout*1e9))
 		defer cancel()
-		raw, err := f.dial(ctx, host)
+		raw, err := f.dial(ctx, address)
 		f.post(func() {
 			if err != nil {
-				f.keeper.Closed(box, 0)
-				f.log.Debug("no connection", zap.Uint32("box", uint32(box)), zap.Error(err))
-				got(nil)
+				f.pool.Closed(box, 0)
+				f.log.Debug("connecting to a box failed", zap.Uint32("box", uint32(box)), zap.Error(err))
+				onConn(nil)
 				return
 			}
-			got(f.begin(box, host, raw))
+			onConn(f.startBoxConn(box, address, raw))
 		})
 		if err == nil {
 			select {
-			case <-f.done: // the loop may have ended before it took the connection
+			case <-f.done: // the loop may have ended before it received the connection
 				raw.Close()
 			default:
 			}
@@ -79,15 +80,15 @@
 	}()
 }
 
-// begin starts a connection's goroutines.
-func (f *Front) begin(box choice.ServerID, host string, raw net.Conn) *boxConn {
-	f.serial++
-	c := &boxConn{f: f, num: pool.ConnID(f.serial), box: box, host: host, conn: rtsp.NewConn(raw, rtsp.Bounds{Line: 2048}),
-		out: relay.NewOut(0), waits: map[int]func(*rtsp.Message){}}
-	f.conns[c.num] = c
-	f.work.Add(2)
+// startBoxConn starts the goroutines of a new connection to a box.
+func (f *Front) startBoxConn(box choice.ServerID, address string, raw net.Conn) *boxConn {
+	f.lastConnID++
+	c := &boxConn{f: f, id: pool.ConnID(f.lastConnID), box: box, address: address, conn: rtsp.NewConn(raw, rtsp.Bounds{Line: 2048}),
+		out: relay.NewOut(0), pending: map[int]func(*rtsp.Message){}}
+	f.boxConns[c.id] = c
+	f.wg.Add(2)
 	go func() {
-		defer f.work.Done()
+		defer f.wg.Done()
 		err := c.out.Run(raw, 2*time.Second)
 		if t, ok := raw.(interface{ CloseWrite() error }); ok && err == nil {
 			t.CloseWrite()
@@ -101,16 +102,16 @@
 		raw.Close()
 	}()
 	go func() {
-		defer f.work.Done()
+		defer f.wg.Done()
 		err := c.read()
 		raw.Close()
 		c.out.Close()
-		f.post(func() { f.boxClosed(c, err) })
+		f.post(func() { f.handleBoxClosed(c, err) })
 	}()
 	return c
 }
 
-// read takes what a box sends until the connection ends.
+// read handles messages and media frames from a box until the connection ends.
 func (c *boxConn) read() error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -121,33 +122,33 @@
 		}
 		if m == nil {
 			if s := c.stream.Load(); s != nil {
-				now := time.Since(c.f.began)
+				now := time.Since(c.f.startedAt)
 				s.Out().Room(len(frame.Whole), int64(now), timer, time.Duration(limits.QueueFullWait*1e9))
 				s.Frame(now, frame.Channel, frame.Payload())
 				if !c.conn.More() {
 					s.Out().Flush()
 				}
 			} else {
-				c.f.count.stray.Inc()
+				c.f.metrics.stray.Inc()
 			}
 			continue
 		}
-		c.f.post(func() { c.message(m) })
+		c.f.post(func() { c.handleMessage(m) })
 	}
 }
 
-// send sends a request; then hears of its answer, or nil where the connection ends first.
-func (c *boxConn) send(m *rtsp.Message, then func(*rtsp.Message)) {
+// send sends a request and calls onAnswer with its answer, or with nil if the connection ends first.
+func (c *boxConn) send(m *rtsp.Message, onAnswer func(*rtsp.Message)) {
 	c.cseq++
 	m.With("CSeq", strconv.Itoa(c.cseq)).With("User-Agent", "rainhaven/"+c.f.terms().Name)
-	c.waits[c.cseq] = then
+	c.pending[c.cseq] = onAnswer
 	if err := c.out.Message(m.Append(nil)); err != nil {
 		c.close()
 	}
 }
 
-// message takes a message of the box's in the loop.
-func (c *boxConn) message(m *rtsp.Message) {
+// handleMessage handles a message from a box in the loop.
+func (c *boxConn) handleMessage(m *rtsp.Message) {
 	if m.IsRequest() {
 		status := rtsp.MethodNotAllowed
 		if m.Method == rtsp.Options || m.Method == rtsp.GetParameter && len(m.Body) == 0 {
@@ -156,14 +157,14 @@
 		c.out.Message(rtsp.Response(m, status).Append(nil))
 		return
 	}
-	then, ok := c.waits[m.CSeq()]
-	if !ok || m.Session() != "" && c.session != "" && m.Session() != c.session {
-		c.f.count.stray.Inc()
-		c.f.log.Info("a box's answer belongs to no request", zap.Uint32("box", uint32(c.box)), zap.Int("cseq", m.CSeq()))
+	onAnswer, ok := c.pending[m.CSeq()]
+	if !ok || m.Session() != "" && c.boxSession != "" && m.Session() != c.boxSession {
+		c.f.metrics.stray.Inc()
+		c.f.log.Info("answer from a box matches no request", zap.Uint32("box", uint32(c.box)), zap.Int("cseq", m.CSeq()))
 		return
 	}
-	delete(c.waits, m.CSeq())
-	then(m)
+	delete(c.pending, m.CSeq())
+	onAnswer(m)
 }
 
 func (c *boxConn) close() {
@@ -171,55 +172,56 @@
 	c.out.Close()
 }
 
-// idle gives the connection back.
-func (c *boxConn) idle() {
-	c.sess, c.session = nil, ""
+// release returns the connection to the pool, or closes it if the pool doesn't keep it or answers are pending.
+func (c *boxConn) release() {
+	c.session, c.boxSession = nil, ""
 	c.stream.Store(nil)
-	if c.closed || len(c.waits) > 0 || !c.f.keeper.Put(c.box, c.num, c.f.now()) {
+	if c.closed || len(c.pending) > 0 || !c.f.pool.Put(c.box, c.id, c.f.now()) {
 		c.close()
 	}
 }
 
-// leave gives the connection back if it is clean, else closes it.
-func (c *boxConn) leave(clean bool) {
+// releaseOrClose returns the connection to the pool if it is clean, else closes it.
+func (c *boxConn) releaseOrClose(clean bool) {
 	if clean {
-		c.idle()
+		c.release()
 		return
 	}
-	c.sess = nil
+	c.session = nil
 	c.stream.Store(nil)
 	c.close()
 }
 
-func (f *Front) boxClosed(c *boxConn, err error) {
+func (f *Front) handleBoxClosed(c *boxConn, err error) {
 	c.closed = true
-	delete(f.conns, c.num)
-	f.keeper.Closed(c.box, c.num)
-	if c.withdrawn {
-		f.late--
-	}
-	waits := c.waits
-	c.waits = map[int]func(*rtsp.Message){}
-	for cseq := 1; cseq <= c.cseq && len(waits) > 0; cseq++ {
-		if then, ok := waits[cseq]; ok {
-			delete(waits, cseq)
-			then(nil)
+	delete(f.boxConns, c.id)
+	f.pool.Closed(c.box, c.id)
+	if c.canceled {
+		f.lateAnswers--
+	}
+	pending := c.pending
+	c.pending = map[int]func(*rtsp.Message){}
+	for cseq := 1; cseq <= c.cseq && len(pending) > 0; cseq++ {
+		if onAnswer, ok := pending[cseq]; ok {
+			delete(pending, cseq)
+			onAnswer(nil)
 		}
 	}
-	if s := c.sess; s != nil && f.atBox[s.id] == c {
-		delete(f.atBox, s.id)
-		f.log.Info("a box's connection broke", zap.Uint32("box", uint32(c.box)), zap.String("session", string(s.id)), zap.Error(err))
-		f.table.BoxFailed(s.id, c.try)
+	if sess := c.session; sess != nil && f.connOf[sess.id] == c {
+		delete(f.connOf, sess.id)
+		f.log.Info("connection to a box broke", zap.Uint32("box", uint32(c.box)), zap.String("session", string(sess.id)), zap.Error(err))
+		f.table.BoxFailed(sess.id, c.attempt)
 	}
 }
 
-// report reads the box's word on its load: a dictionary of RFC 8941 with the members link and uplink.
-func report(m *rtsp.Message) choice.LoadReport {
+// parseLoadReport parses a Load-Report header: an RFC 8941 dictionary with the members link and uplink. Missing or invalid
+// values become -1.
+func parseLoadReport(m *rtsp.Message) choice.LoadReport {
 	d, err := httpsfv.UnmarshalDictionary(m.Header["Load-Report"])
 	if err != nil {
 		return choice.LoadReport{Link: -1, Uplink: -1}
 	}
-	figure := func(name string) (x float64, capped bool) {
+	member := func(name string) (x float64, capped bool) {
 		v, ok := d.Get(name)
 		item, one := v.(httpsfv.Item)
 		if !ok || !one {
@@ -236,52 +238,52 @@
 		}
 		return -1, false
 	}
-	link, capped := figure("link")
-	uplink, _ := figure("uplink")
+	link, capped := member("link")
+	uplink, _ := member("uplink")
 	return delivery.SanitizeReport(link, uplink, capped)
 }
 
-// carrier carries out the table's orders.
-type carrier struct{ f *Front }
+// frontActions implements session.Actions for a front.
+type frontActions struct{ f *Front }
 
-func (c *boxConn) url(s *sess, track int) string {
-	return rtsp.Place{Host: c.host, Group: s.place.Group, Title: s.place.Title, Track: track, Query: s.place.Query}.URL()
+func (c *boxConn) url(sess *frontSession, track int) string {
+	return rtsp.Place{Host: c.address, Group: sess.place.Group, Title: sess.place.Title, Track: track, Query: sess.place.Query}.URL()
 }
 
 // Setup implements session.Actions.
-func (k carrier) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
-	f := k.f
-	s := f.sess[id]
-	if s == nil {
+func (a frontActions) Setup(id choice.SessID, attempt int, box choice.ServerID, rung int) {
+	f := a.f
+	sess := f.sessions[id]
+	if sess == nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(f.context)
-	s.try, s.cancel = try, cancel
+	ctx, cancel := context.WithCancel(f.ctx)
+	sess.attempt, sess.cancelDial = attempt, cancel
 	f.connect(ctx, box, func(c *boxConn) {
 		cancel()
-		if s.try != try || f.sess[id] != s { // withdrawn meanwhile
+		if sess.attempt != attempt || f.sessions[id] != sess { // canceled in the meantime
 			if c != nil {
-				c.idle()
+				c.release()
 			}
 			return
 		}
 		if c == nil {
-			f.count.setups.WithLabelValues("no connection").Inc()
-			f.table.BoxFailed(id, try)
+			f.metrics.setups.WithLabelValues("no connection").Inc()
+			f.table.BoxFailed(id, attempt)
 			return
 		}
-		c.sess, c.try, c.rung = s, try, rung
-		c.stream.Store(s.stream)
-		f.atBox[id] = c
-		t := s.tracks[0]
-		m := rtsp.Request(rtsp.Setup, c.url(s, t.n)).With("Rung", strconv.Itoa(rung)).
-			With("Transport", rtsp.Transport{Low: t.box, High: t.box + 1}.String())
-		c.send(m, func(m *rtsp.Message) { c.setupAnswered(s, try, m) })
-		f.table.SetupSent(id, try)
+		c.session, c.attempt, c.rung = sess, attempt, rung
+		c.stream.Store(sess.stream)
+		f.connOf[id] = c
+		t := sess.tracks[0]
+		m := rtsp.Request(rtsp.Setup, c.url(sess, t.number)).With("Rung", strconv.Itoa(rung)).
+			With("Transport", rtsp.Transport{Low: t.boxChannel, High: t.boxChannel + 1}.String())
+		c.send(m, func(m *rtsp.Message) { c.handleSetupAnswer(sess, attempt, m) })
+		f.table.SetupSent(id, attempt)
 	})
 }
 
-func (c *boxConn) setupAnswered(s *sess, try int, m *rtsp.Message) {
+func (c *boxConn) handleSetupAnswer(sess *frontSession, attempt int, m *rtsp.Message) {
 	f := c.f
 	status := 0
 	if m != nil {
@@ -289,294 +291,295 @@
 	}
 	switch {
 	case m == nil:
-		f.count.setups.WithLabelValues("broken").Inc()
-		return // boxClosed tells it
-	case c.withdrawn:
+		f.metrics.setups.WithLabelValues("broken").Inc()
+		return // handleBoxClosed reports the failure
+	case c.canceled:
 		if m.Status/100 == 2 && m.Session() != "" {
-			f.tearLate(c.box, c.url(s, -1), m.Session())
+			f.tearDownOrphan(c.box, c.url(sess, -1), m.Session())
 		}
 		c.close()
 		return
 	case m.Status/100 == 2 && m.Session() == "":
-		m.Status = rtsp.InternalError // a session without a name can't be played
+		m.Status = rtsp.InternalError // a session without an id can't be played
 	}
-	f.count.setups.WithLabelValues(strconv.Itoa(m.Status)).Inc()
+	f.metrics.setups.WithLabelValues(strconv.Itoa(m.Status)).Inc()
 	if m.Status/100 == 2 {
-		c.session = m.Session()
+		c.boxSession = m.Session()
 	} else {
-		delete(f.atBox, s.id)
-		c.leave(pool.Reusable(status, false))
+		delete(f.connOf, sess.id)
+		c.releaseOrClose(pool.Reusable(status, false))
 	}
-	f.table.BoxAnswered(s.id, try, m.Status, report(m))
+	f.table.BoxAnswered(sess.id, attempt, m.Status, parseLoadReport(m))
 }
 
-// CancelSetup implements session.Actions. The sending side is closed, which tells the box; the receiving side stays to
-// hear of a session that is set up all the same, which is then torn down.
-func (k carrier) CancelSetup(id choice.SessID, try int) {
-	f := k.f
-	if s := f.sess[id]; s != nil && s.try == try {
-		if s.try = 0; s.cancel != nil {
-			s.cancel()
+// CancelSetup implements session.Actions. It closes the sending side, which notifies the box. The receiving side stays
+// open, so that a session that the box sets up regardless is noticed and torn down.
+func (a frontActions) CancelSetup(id choice.SessID, attempt int) {
+	f := a.f
+	if sess := f.sessions[id]; sess != nil && sess.attempt == attempt {
+		if sess.attempt = 0; sess.cancelDial != nil {
+			sess.cancelDial()
 		}
 	}
-	c := f.atBox[id]
-	if c == nil || c.try != try {
+	c := f.connOf[id]
+	if c == nil || c.attempt != attempt {
 		return
 	}
-	f.count.setups.WithLabelValues("withdrawn").Inc()
-	delete(f.atBox, id)
-	c.sess, c.withdrawn = nil, true
+	f.metrics.setups.WithLabelValues("withdrawn").Inc()
+	delete(f.connOf, id)
+	c.session, c.canceled = nil, true
 	c.stream.Store(nil)
-	if f.late++; f.late > limits.MaxLateAnswers {
+	if f.lateAnswers++; f.lateAnswers > limits.MaxLateAnswers {
 		c.close()
 		return
 	}
 	c.out.Finish()
 }
 
-// tearLate tears down a session that a box set up after its SETUP was withdrawn: once, over another connection.
-func (f *Front) tearLate(box choice.ServerID, url, name string) {
-	f.connect(f.context, box, func(c *boxConn) {
+// tearDownOrphan tears down a session that a box set up after its SETUP was canceled. It tries once, over another
+// connection.
+func (f *Front) tearDownOrphan(box choice.ServerID, url, name string) {
+	f.connect(f.ctx, box, func(c *boxConn) {
 		if c == nil {
-			f.count.orphans.WithLabelValues("left").Inc()
+			f.metrics.orphans.WithLabelValues("left").Inc()
 			return
 		}
 		timer := time.AfterFunc(2*time.Second, func() { f.post(c.close) })
 		c.send(rtsp.Request(rtsp.TearDown, url).With("Session", name), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
-				f.count.orphans.WithLabelValues("left").Inc()
+				f.metrics.orphans.WithLabelValues("left").Inc()
 				return
 			}
-			f.count.orphans.WithLabelValues("torn down").Inc()
-			c.leave(pool.Reusable(m.Status, true))
+			f.metrics.orphans.WithLabelValues("torn down").Inc()
+			c.releaseOrClose(pool.Reusable(m.Status, true))
 		})
 	})
 }
 
 // SendOp implements session.Actions.
-func (k carrier) SendOp(id choice.SessID, try int, op session.Op, arg int) {
-	f := k.f
-	c := f.atBox[id]
-	if c == nil || c.try != try {
-		f.after = append(f.after, func() { f.table.BoxFailed(id, try) })
+func (a frontActions) SendOp(id choice.SessID, attempt int, op session.Op, arg int) {
+	f := a.f
+	c := f.connOf[id]
+	if c == nil || c.attempt != attempt {
+		f.deferred = append(f.deferred, func() { f.table.BoxFailed(id, attempt) })
 		return
 	}
-	s := c.sess
+	sess := c.session
 	var m *rtsp.Message
 	switch op {
 	case session.Play:
-		m = rtsp.Request(rtsp.Play, c.url(s, -1))
-		if ask := s.asks[arg]; ask != nil {
-			if r := ask.req.Header.Get("Range"); r != "" {
+		m = rtsp.Request(rtsp.Play, c.url(sess, -1))
+		if pr := sess.pendingOps[arg]; pr != nil {
+			if r := pr.req.Header.Get("Range"); r != "" {
 				m.With("Range", r)
 			}
 		}
 	case session.Pause:
-		m = rtsp.Request(rtsp.Pause, c.url(s, -1))
+		m = rtsp.Request(rtsp.Pause, c.url(sess, -1))
 	case session.Join:
-		t := s.joining(arg)
-		m = rtsp.Request(rtsp.Setup, c.url(s, t.n)).With("Transport", rtsp.Transport{Low: t.box, High: t.box + 1}.String())
+		t := sess.pendingTrack(arg)
+		m = rtsp.Request(rtsp.Setup, c.url(sess, t.number)).With("Transport", rtsp.Transport{Low: t.boxChannel, High: t.boxChannel + 1}.String())
 	case session.KeepAlive:
-		m = rtsp.Request(rtsp.GetParameter, c.url(s, -1))
+		m = rtsp.Request(rtsp.GetParameter, c.url(sess, -1))
 	case session.SetRung:
-		f.count.rungs.Inc()
+		f.metrics.rungChanges.Inc()
 		c.rung = arg
-		m = rtsp.Request(rtsp.SetParameter, c.url(s, -1)).With("Content-Type", "text/parameters")
+		m = rtsp.Request(rtsp.SetParameter, c.url(sess, -1)).With("Content-Type", "text/parameters")
 		m.Body = fmt.Appendf(nil, "rung: %d\r\n", arg)
 	case session.TearDown:
-		m = rtsp.Request(rtsp.TearDown, c.url(s, -1))
+		m = rtsp.Request(rtsp.TearDown, c.url(sess, -1))
 		c.stream.Store(nil)
 	}
-	c.send(m.With("Session", c.session), func(m *rtsp.Message) {
+	c.send(m.With("Session", c.boxSession), func(m *rtsp.Message) {
 		if m == nil {
-			return // boxClosed tells it
+			return // handleBoxClosed reports the failure
 		}
 		switch op {
 		case session.Play:
-			s.answer = m
+			sess.playAnswer = m
 		case session.TearDown:
-			delete(f.atBox, id)
-			c.leave(pool.Reusable(m.Status, true))
+			delete(f.connOf, id)
+			c.releaseOrClose(pool.Reusable(m.Status, true))
 		}
-		f.table.OpAnswered(id, try, op, arg, m.Status, report(m))
+		f.table.OpAnswered(id, attempt, op, arg, m.Status, parseLoadReport(m))
 	})
 }
 
-// joining is the track that a pending request adds.
-func (s *sess) joining(n int) track {
-	ask := s.asks[n]
-	if ask != nil {
-		if p, err := rtsp.ParsePlace(ask.req.URL); err == nil {
-			for _, t := range s.tracks {
-				if t.n == max(p.Track, 0) {
+// pendingTrack returns the track that a pending SETUP adds.
+func (sess *frontSession) pendingTrack(n int) track {
+	pr := sess.pendingOps[n]
+	if pr != nil {
+		if p, err := rtsp.ParsePlace(pr.req.URL); err == nil {
+			for _, t := range sess.tracks {
+				if t.number == max(p.Track, 0) {
 					return t
 				}
 			}
 		}
 	}
-	return s.tracks[len(s.tracks)-1]
+	return sess.tracks[len(sess.tracks)-1]
 }
 
 // CloseConn implements session.Actions.
-func (k carrier) CloseConn(id choice.SessID, try int) {
-	if c := k.f.atBox[id]; c != nil && c.try == try {
-		delete(k.f.atBox, id)
-		c.sess = nil
+func (a frontActions) CloseConn(id choice.SessID, attempt int) {
+	if c := a.f.connOf[id]; c != nil && c.attempt == attempt {
+		delete(a.f.connOf, id)
+		c.session = nil
 		c.stream.Store(nil)
 		c.close()
 	}
 }
 
-// Probe implements session.Actions: GET_PARAMETER without a body, which any server of RFC 2326 answers.
-func (k carrier) Probe(box choice.ServerID) {
-	f := k.f
-	over := false
-	end := func(status int, o choice.Outcome, r choice.LoadReport) {
-		if !over {
-			over = true
-			f.count.probes.WithLabelValues(outcomeName(status, o)).Inc()
-			f.table.Probed(box, status, o, r)
+// Probe implements session.Actions. It sends GET_PARAMETER without a body, which any RFC 2326 server answers.
+func (a frontActions) Probe(box choice.ServerID) {
+	f := a.f
+	finished := false
+	finish := func(status int, outcome choice.Outcome, rep choice.LoadReport) {
+		if !finished {
+			finished = true
+			f.metrics.probes.WithLabelValues(outcomeName(status, outcome)).Inc()
+			f.table.Probed(box, status, outcome, rep)
 		}
 	}
-	none := choice.LoadReport{Link: -1, Uplink: -1}
-	f.connect(f.context, box, func(c *boxConn) {
+	noReport := choice.LoadReport{Link: -1, Uplink: -1}
+	f.connect(f.ctx, box, func(c *boxConn) {
 		if c == nil {
-			end(0, choice.NoConnection, none)
+			finish(0, choice.NoConnection, noReport)
 			return
 		}
 		timer := time.AfterFunc(time.Duration(f.terms().Bounds.ProbeTimeout*1e9), func() {
 			f.post(func() {
-				end(0, choice.TimedOut, none)
+				finish(0, choice.TimedOut, noReport)
 				c.close()
 			})
 		})
-		c.send(rtsp.Request(rtsp.GetParameter, "rtsp://"+c.host+"/"), func(m *rtsp.Message) {
+		c.send(rtsp.Request(rtsp.GetParameter, "rtsp://"+c.address+"/"), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
-				end(0, choice.Reset, none)
+				finish(0, choice.Reset, noReport)
 				return
 			}
-			if !over {
-				end(m.Status, 0, report(m))
-				c.idle()
+			if !finished {
+				finish(m.Status, 0, parseLoadReport(m))
+				c.release()
 			}
 		})
 	})
 }
 
-func outcomeName(status int, o choice.Outcome) string {
+func outcomeName(status int, outcome choice.Outcome) string {
 	switch {
 	case status != 0:
 		return strconv.Itoa(status)
-	case o == choice.NoConnection:
+	case outcome == choice.NoConnection:
 		return "no connection"
-	case o == choice.TimedOut:
+	case outcome == choice.TimedOut:
 		return "timed out"
 	}
 	return "broken"
 }
 
 // Answer implements session.Actions.
-func (k carrier) Answer(id choice.SessID, v session.FinalAnswer, comeBack float64) {
-	f := k.f
-	x := f.sess[id]
-	if x == nil {
+func (a frontActions) Answer(id choice.SessID, answer session.FinalAnswer, retryAfter float64) {
+	f := a.f
+	sess := f.sessions[id]
+	if sess == nil {
 		return
 	}
-	name := f.terms().Groups[x.group].Name
-	f.count.answers.WithLabelValues(name, v.String()).Inc()
-	f.count.answerIn.WithLabelValues(name).Observe(f.now() - x.asked)
-	slot := x.first
-	x.first = nil
-	if v != session.Served {
-		f.forget(x)
-		r := rtsp.Response(slot.req, rtsp.GatewayTimeout)
-		if v == session.Busy {
-			// Retry-After is in whole seconds; 0 says that any time will do.
-			r = rtsp.Response(slot.req, rtsp.ServiceUnavailable).With("Retry-After", strconv.Itoa(int(comeBack+0.999)))
+	name := f.terms().Groups[sess.group].Name
+	f.metrics.answers.WithLabelValues(name, answer.String()).Inc()
+	f.metrics.answerSeconds.WithLabelValues(name).Observe(f.now() - sess.requestedAt)
+	setup := sess.firstSetup
+	sess.firstSetup = nil
+	if answer != session.Served {
+		f.removeSession(sess)
+		r := rtsp.Response(setup.req, rtsp.GatewayTimeout)
+		if answer == session.Busy {
+			// Retry-After is in whole seconds, rounded up; 0 allows an immediate retry.
+			r = rtsp.Response(setup.req, rtsp.ServiceUnavailable).With("Retry-After", strconv.Itoa(int(retryAfter+0.999)))
 		}
-		x.viewer.respond(slot, r)
+		sess.viewer.respond(setup, r)
 		return
 	}
-	t := x.tracks[0]
-	x.viewer.respond(slot, rtsp.Response(slot.req, rtsp.OK).With("Session", f.sessionField(x)).
-		With("Transport", rtsp.Transport{Low: t.low, High: t.high}.String()))
+	t := sess.tracks[0]
+	sess.viewer.respond(setup, rtsp.Response(setup.req, rtsp.OK).With("Session", f.sessionHeader(sess)).
+		With("Transport", rtsp.Transport{Low: t.rtpChannel, High: t.rtcpChannel}.String()))
 }
 
 // Reply implements session.Actions.
-func (k carrier) Reply(id choice.SessID, n int, r session.Result) {
-	x := k.f.sess[id]
-	if x == nil || x.asks[n] == nil {
+func (a frontActions) Reply(id choice.SessID, op int, result session.Result) {
+	sess := a.f.sessions[id]
+	if sess == nil || sess.pendingOps[op] == nil {
 		return
 	}
-	s := x.asks[n]
-	delete(x.asks, n)
+	pr := sess.pendingOps[op]
+	delete(sess.pendingOps, op)
 	status := map[session.Result]int{session.NoSession: rtsp.SessionNotFound, session.WrongState: rtsp.NotValidInThisState,
 		session.BoxRefused: rtsp.InternalError, session.BoxUnavailable: rtsp.GatewayTimeout, session.TooManyRequests: rtsp.ServiceUnavailable}
-	if r != session.Done {
-		if s.req.Method == rtsp.Setup {
-			p, _ := rtsp.ParsePlace(s.req.URL)
-			x.tracks = slices.DeleteFunc(x.tracks, func(o track) bool { return o.n == max(p.Track, 0) })
+	if result != session.Done {
+		if pr.req.Method == rtsp.Setup {
+			p, _ := rtsp.ParsePlace(pr.req.URL)
+			sess.tracks = slices.DeleteFunc(sess.tracks, func(o track) bool { return o.number == max(p.Track, 0) })
 		}
-		x.viewer.status(s, status[r])
+		sess.viewer.respondStatus(pr, status[result])
 		return
 	}
-	switch s.req.Method {
+	switch pr.req.Method {
 	case rtsp.Setup:
-		p, _ := rtsp.ParsePlace(s.req.URL)
-		for _, t := range x.tracks {
-			if t.n == max(p.Track, 0) {
-				x.stream.Add(t.box, &relay.Track{RTP: t.low, RTCP: t.high, Clock: media[t.n].clock})
-				x.viewer.respond(s, rtsp.Response(s.req, rtsp.OK).With("Session", k.f.sessionField(x)).
-					With("Transport", rtsp.Transport{Low: t.low, High: t.high}.String()))
+		p, _ := rtsp.ParsePlace(pr.req.URL)
+		for _, t := range sess.tracks {
+			if t.number == max(p.Track, 0) {
+				sess.stream.Add(t.boxChannel, &relay.Track{RTP: t.rtpChannel, RTCP: t.rtcpChannel, Clock: mediaTracks[t.number].clockRate})
+				sess.viewer.respond(pr, rtsp.Response(pr.req, rtsp.OK).With("Session", a.f.sessionHeader(sess)).
+					With("Transport", rtsp.Transport{Low: t.rtpChannel, High: t.rtcpChannel}.String()))
 			}
 		}
 	case rtsp.Play:
-		x.viewer.respond(s, x.played(s))
-		x.stream.Open()
-		x.plays = true
+		sess.viewer.respond(pr, sess.playResponse(pr))
+		sess.stream.Open()
+		sess.playing = true
 	case rtsp.Pause:
-		x.plays = false
-		k.f.ear.Forget(id)
+		sess.playing = false
+		a.f.meter.Forget(id)
 		fallthrough
 	default:
-		x.viewer.respond(s, rtsp.Response(s.req, rtsp.OK).With("Session", string(x.id)))
+		sess.viewer.respond(pr, rtsp.Response(pr.req, rtsp.OK).With("Session", string(sess.id)))
 	}
 }
 
 // End implements session.Actions.
-func (k carrier) End(id choice.SessID, why session.EndReason) {
-	f := k.f
-	x := f.sess[id]
-	if x == nil {
+func (a frontActions) End(id choice.SessID, reason session.EndReason) {
+	f := a.f
+	sess := f.sessions[id]
+	if sess == nil {
 		return
 	}
-	f.count.ends.WithLabelValues(why.String()).Inc()
-	f.log.Info("session over", zap.String("session", string(id)), zap.Stringer("why", why))
-	if why != session.ByViewer && x.stream != nil {
-		x.stream.Bye()
+	f.metrics.ends.WithLabelValues(reason.String()).Inc()
+	f.log.Info("session ended", zap.String("session", string(id)), zap.Stringer("why", reason))
+	if reason != session.ByViewer && sess.stream != nil {
+		sess.stream.Bye()
 	}
-	f.forget(x)
-	if x.viewer == nil {
+	f.removeSession(sess)
+	if sess.viewer == nil {
 		return
 	}
-	for _, s := range x.asks { // none is left but by a fault; the connection must not stand still for it
-		x.viewer.status(s, rtsp.SessionNotFound)
+	for _, pr := range sess.pendingOps { // only a bug leaves any; they must not block the connection's later responses
+		sess.viewer.respondStatus(pr, rtsp.SessionNotFound)
 	}
-	if why != session.ByViewer && len(x.viewer.sess) == 0 && len(x.viewer.slots) == 0 {
-		x.viewer.finish()
+	if reason != session.ByViewer && len(sess.viewer.sessions) == 0 && len(sess.viewer.pending) == 0 {
+		sess.viewer.finish()
 	}
 }
 
-// nowhere takes the orders of a front that was killed.
-type nowhere struct{}
+// discardActions ignores all actions, for a front that was killed.
+type discardActions struct{}
 
-func (nowhere) Setup(choice.SessID, int, choice.ServerID, int)     {}
-func (nowhere) CancelSetup(choice.SessID, int)                     {}
-func (nowhere) SendOp(choice.SessID, int, session.Op, int)         {}
-func (nowhere) CloseConn(choice.SessID, int)                       {}
-func (nowhere) Probe(choice.ServerID)                              {}
-func (nowhere) Answer(choice.SessID, session.FinalAnswer, float64) {}
-func (nowhere) Reply(choice.SessID, int, session.Result)           {}
-func (nowhere) End(choice.SessID, session.EndReason)               {}
+func (discardActions) Setup(choice.SessID, int, choice.ServerID, int)     {}
+func (discardActions) CancelSetup(choice.SessID, int)                     {}
+func (discardActions) SendOp(choice.SessID, int, session.Op, int)         {}
+func (discardActions) CloseConn(choice.SessID, int)                       {}
+func (discardActions) Probe(choice.ServerID)                              {}
+func (discardActions) Answer(choice.SessID, session.FinalAnswer, float64) {}
+func (discardActions) Reply(choice.SessID, int, session.Result)           {}
+func (discardActions) End(choice.SessID, session.EndReason)               {}
--- a/internal/front/describe.go
+++ b/internal/front/describe.go
@@ -13,155 +13,156 @@
 	"rainhaven/internal/rtsp"
 )
 
-// media are the tracks of a title: video and sound, as boxes hold them.
-var media = [...]struct {
-	kind  string
-	clock uint32
+// mediaTracks lists the tracks of a title in the order boxes describe them: video, then audio.
+var mediaTracks = [...]struct {
+	kind      string
+	clockRate uint32
 }{
 	{"video", 90000},
 	{"audio", 48000},
 }
 
-// describe answers DESCRIBE from the cache, or has a holder asked. Requests that wait hold their connections' slots, so
-// there are as many as those at most.
-func (v *viewer) describe(s *slot) {
+// handleDescribe answers DESCRIBE from the cache or fetches the description from a holder. Waiting requests count toward
+// their connection's limit of pipelined requests, which bounds them.
+func (v *viewer) handleDescribe(pr *pendingRequest) {
 	f := v.f
-	p, err := rtsp.ParsePlace(s.req.URL)
+	p, err := rtsp.ParsePlace(pr.req.URL)
 	title, known := f.terms().Titles[p.Title]
 	if err != nil || f.terms().GroupIndex(p.Group) < 0 || !known {
-		v.status(s, rtsp.NotFound)
+		v.respondStatus(pr, rtsp.NotFound)
 		return
 	}
-	f.wait[p.Title] = append(f.wait[p.Title], waiter{v, s, p})
-	step, box, body := f.described.Request(f.now(), p.Title, title.StartCell, title.Span)
-	f.carryDescription(p.Title, step, box, body)
+	f.pendingDescribes[p.Title] = append(f.pendingDescribes[p.Title], pendingDescribe{v, pr, p})
+	action, box, body := f.descriptions.Request(f.now(), p.Title, title.StartCell, title.Span)
+	f.runDescribeAction(p.Title, action, box, body)
 }
 
-// waiter is a viewer's DESCRIBE that has no answer yet.
-type waiter struct {
-	v *viewer
-	s *slot
-	p rtsp.Place
+// pendingDescribe is an unanswered DESCRIBE of a viewer.
+type pendingDescribe struct {
+	viewer  *viewer
+	request *pendingRequest
+	place   rtsp.Place
 }
 
-// carryDescription carries out a step for a title.
-func (f *Front) carryDescription(title string, step describe.Action, box choice.ServerID, body []byte) {
-	switch step {
+// runDescribeAction carries out an action of the description cache for a title.
+func (f *Front) runDescribeAction(title string, action describe.Action, box choice.ServerID, body []byte) {
+	switch action {
 	case describe.Fetch:
-		f.askDescription(title, box)
+		f.fetchDescription(title, box)
 	case describe.Answer, describe.Fail:
-		list := f.wait[title]
-		delete(f.wait, title)
+		list := f.pendingDescribes[title]
+		delete(f.pendingDescribes, title)
 		for _, w := range list {
-			w.answer(body)
+			w.respond(body)
 		}
 	}
 }
 
-func (w waiter) answer(body []byte) {
+func (w pendingDescribe) respond(body []byte) {
 	if body == nil {
-		w.v.status(w.s, rtsp.GatewayTimeout)
+		w.viewer.respondStatus(w.request, rtsp.GatewayTimeout)
 		return
 	}
-	w.p.Track = -1
-	r := rtsp.Response(w.s.req, rtsp.OK).With("Content-Type", "application/sdp").With("Content-Base", w.p.URL()+"/")
+	w.place.Track = -1
+	r := rtsp.Response(w.request.req, rtsp.OK).With("Content-Type", "application/sdp").With("Content-Base", w.place.URL()+"/")
 	r.Body = append([]byte(nil), body...)
-	w.v.respond(w.s, r)
+	w.viewer.respond(w.request, r)
 }
 
-// askDescription asks a holder and hears it out for its time.
-func (f *Front) askDescription(title string, box choice.ServerID) {
+// fetchDescription requests a description from a holder, with a timeout of describe.FetchTimeout.
+func (f *Front) fetchDescription(title string, box choice.ServerID) {
 	t := f.terms().Titles[title]
-	over := false
-	got := func(body []byte, outcome string) {
-		if over {
+	finished := false
+	finish := func(body []byte, outcome string) {
+		if finished {
 			return
 		}
-		over = true
-		f.count.descriptions.WithLabelValues(outcome).Inc()
-		step, next, b := f.described.HandleReply(f.now(), title, box, body, t.StartCell, t.Span)
-		f.carryDescription(title, step, next, b)
+		finished = true
+		f.metrics.descriptions.WithLabelValues(outcome).Inc()
+		action, next, b := f.descriptions.HandleReply(f.now(), title, box, body, t.StartCell, t.Span)
+		f.runDescribeAction(title, action, next, b)
 	}
-	f.connect(f.context, box, func(c *boxConn) {
+	f.connect(f.ctx, box, func(c *boxConn) {
 		if c == nil {
-			got(nil, "no connection")
+			finish(nil, "no connection")
 			return
 		}
 		timer := time.AfterFunc(time.Duration(describe.FetchTimeout*1e9), func() {
 			f.post(func() {
-				if !over {
-					got(nil, "timed out")
+				if !finished {
+					finish(nil, "timed out")
 					c.close()
 				}
 			})
 		})
-		url := rtsp.Place{Host: c.host, Group: f.terms().Groups[0].Name, Title: title, Track: -1}.URL()
+		url := rtsp.Place{Host: c.address, Group: f.terms().Groups[0].Name, Title: title, Track: -1}.URL()
 		c.send(rtsp.Request(rtsp.Describe, url).With("Accept", "application/sdp"), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
-				got(nil, "broken")
+				finish(nil, "broken")
 				return
 			}
-			if over {
+			if finished {
 				return
 			}
-			c.idle()
-			body, err := description(m.Body)
+			c.release()
+			body, err := rewriteDescription(m.Body)
 			switch {
 			case m.Status != rtsp.OK:
-				got(nil, fmt.Sprint(m.Status))
+				finish(nil, fmt.Sprint(m.Status))
 			case err != nil:
-				f.log.Info("a box's description can't be used")
-				got(nil, "unusable")
+				f.log.Info("unusable description from a box")
+				finish(nil, "unusable")
 			default:
-				got(body, "taken")
+				finish(body, "taken")
 			}
 		})
 	})
 }
 
-// mostSDP bounds a description; those of two tracks take under 1 kB.
-const mostSDP = 16 << 10
+// maxDescriptionBytes bounds a description; one of two tracks takes less than 1 kB.
+const maxDescriptionBytes = 16 << 10
 
-// description makes a box's description the front's: one video track and at most one of sound, in that order, with the
-// clocks that the relay counts by; where each is found is told relative to Content-Base, and of the box nothing stays.
-func description(body []byte) ([]byte, error) {
-	if len(body) == 0 || len(body) > mostSDP {
-		return nil, fmt.Errorf("a description of %d bytes", len(body))
+// rewriteDescription turns a box's description into the front's: one video track and at most one audio track, in that
+// order, with the clock rates that the relay uses. Control URLs are relative to Content-Base, and nothing identifies the box.
+func rewriteDescription(body []byte) ([]byte, error) {
+	if len(body) == 0 || len(body) > maxDescriptionBytes {
+		return nil, fmt.Errorf("description has %d bytes", len(body))
 	}
 	var in sdp.SessionDescription
 	if err := in.Unmarshal(body); err != nil {
 		return nil, err
 	}
-	if n := len(in.MediaDescriptions); n == 0 || n > len(media) {
-		return nil, fmt.Errorf("%d tracks", n)
+	if n := len(in.MediaDescriptions); n == 0 || n > len(mediaTracks) {
+		return nil, fmt.Errorf("description has %d tracks", n)
 	}
 	out := sdp.SessionDescription{
 		Origin:                sdp.Origin{Username: "-", SessionID: in.Origin.SessionID, SessionVersion: in.Origin.SessionVersion, NetworkType: "IN", AddressType: "IP4", UnicastAddress: "0.0.0.0"},
 		SessionName:           "-",
 		ConnectionInformation: &sdp.ConnectionInformation{NetworkType: "IN", AddressType: "IP4", Address: &sdp.Address{Address: "0.0.0.0"}},
 		TimeDescriptions:      []sdp.TimeDescription{{}},
-		Attributes:            append(kept(in.Attributes, "range"), sdp.NewAttribute("control", "*")),
+		Attributes:            append(selectAttributes(in.Attributes, "range"), sdp.NewAttribute("control", "*")),
 	}
 	for i, m := range in.MediaDescriptions {
-		if m.MediaName.Media != media[i].kind || len(m.MediaName.Formats) == 0 {
-			return nil, fmt.Errorf("track %d is %.20q", i, m.MediaName.Media)
+		if m.MediaName.Media != mediaTracks[i].kind || len(m.MediaName.Formats) == 0 {
+			return nil, fmt.Errorf("track %d: media type %.20q is unexpected or has no formats", i, m.MediaName.Media)
 		}
-		clock := false
+		clockMatches := false
 		for _, a := range m.Attributes {
-			clock = clock || a.Key == "rtpmap" && strings.Contains(a.Value, fmt.Sprintf("/%d", media[i].clock))
+			clockMatches = clockMatches || a.Key == "rtpmap" && strings.Contains(a.Value, fmt.Sprintf("/%d", mediaTracks[i].clockRate))
 		}
-		if !clock {
-			return nil, errors.New("a track whose clock is not the one served")
+		if !clockMatches {
+			return nil, errors.New("clock rate of a track is not supported")
 		}
 		out.MediaDescriptions = append(out.MediaDescriptions, &sdp.MediaDescription{
 			MediaName:  sdp.MediaName{Media: m.MediaName.Media, Protos: []string{"RTP", "AVP"}, Formats: m.MediaName.Formats},
-			Attributes: append(kept(m.Attributes, "rtpmap", "fmtp", "framerate", "lang"), sdp.NewAttribute("control", fmt.Sprintf("track%d", i)))})
+			Attributes: append(selectAttributes(m.Attributes, "rtpmap", "fmtp", "framerate", "lang"), sdp.NewAttribute("control", fmt.Sprintf("track%d", i)))})
 	}
 	return out.Marshal()
 }
 
-func kept(list []sdp.Attribute, keys ...string) (out []sdp.Attribute) {
+// selectAttributes returns the attributes with the given keys, without those whose value would break the line format.
+func selectAttributes(list []sdp.Attribute, keys ...string) (out []sdp.Attribute) {
 	for _, a := range list {
 		for _, k := range keys {
 			if a.Key == k && !strings.ContainsAny(a.Value, "\r\n") {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,27 +1,27 @@
-// Package front is one running front: it takes RTSP requests of viewers, tells choice/session what happens and carries
-// out what that orders. One loop owns the table of sessions; connections, timers and box lists send it events, orders
-// leave it as plain calls that never block. Media does not pass the loop (package relay).
+// Package front implements a running front. It accepts RTSP requests from viewers, passes events to choice/session and
+// carries out the actions that package requests. One event loop owns the session table: connections, timers and box
+// lists send it events, and actions are plain calls that never block. Media bypasses the loop (package relay).
 //
-// What reaches the module, by event (RFC 2326 on the wire; docs/program.md has the same table with its tests):
+// Events and the choice.Front methods that they lead to (docs/program.md maps the events to their tests):
 //
-//	viewer's first SETUP              Ask
-//	viewer's connection gone          Left, or Ended final Served once the box has answered TEARDOWN
-//	box answers SETUP 2xx             Playing, then Load with the figures of its Load-Report
-//	box answers SETUP 453, 503        Ended Full: it never ran
-//	box answers SETUP otherwise       Ended ServerError: it may have run
-//	no connection to the box          Ended NoConnection: it never ran
-//	the list drops the box meanwhile  Ended Unsent where the SETUP had not left
-//	connection breaks, SETUP out      Ended Reset: it may have run
-//	wait over                         Ended TimedOut, and the SETUP is withdrawn
-//	connection breaks, session set up Ended Reset, final
-//	TEARDOWN answered                 Ended Served, final
-//	box list                          Directory
-//	share of media time in a second   Short, by choice/delivery
-//	load note in RTCP                 Load, one a box by choice/delivery
-//	probe answered or not             Probed
-//	rung refused by the box           InForce
-//	session handed over               Handed, InForce
-//	timer                             Due
+//	first SETUP of a viewer                       RequestSession
+//	viewer disconnects                            RequestClosed, or SetupEnded(Served, final) once the box has answered TEARDOWN
+//	box answers SETUP with 2xx                    SetupDone, then LoadNote with the values of its Load-Report
+//	box answers SETUP with 453 or 503             SetupEnded(Full): it never ran
+//	box answers SETUP with another status         SetupEnded(ServerError): it may have run
+//	no connection to the box                      SetupEnded(NoConnection): it never ran
+//	box removed from the list before SETUP left   SetupEnded(Unsent)
+//	connection breaks while SETUP is pending      SetupEnded(Reset): it may have run
+//	SETUP times out                               SetupEnded(TimedOut), and the SETUP is canceled
+//	connection breaks in an established session   SetupEnded(Reset, final)
+//	TEARDOWN answered                             SetupEnded(Served, final)
+//	new box list                                  UpdateDirectory
+//	share of media time delivered in a second     ShortDelivery, as choice/delivery decides
+//	load note in RTCP                             LoadNote, one per box as choice/delivery decides
+//	probe answered, failed or timed out           ProbeEnded
+//	rung change refused by the box                SetCurrentRung
+//	session handed over                           AddHandedOver, SetCurrentRung
+//	timer                                         HandleTimer
 package front
 
 import (
@@ -54,68 +54,68 @@
 	"rainhaven/internal/settings"
 )
 
-// Options are what a front is handed beside its terms. The zero value is a front in service.
+// Options holds what a front needs besides its settings. The zero value is ready to use.
 type Options struct {
 	Log         *zap.Logger
 	Registry    prometheus.Registerer
 	Dial        func(ctx context.Context, address string) (net.Conn, error)
-	Snapshot    *choice.Snapshot                      // what an earlier front had learned, as far as it is believed
-	Handover    []HandoverSession                     // sessions that an earlier front gave up
-	WrapActions func(session.Actions) session.Actions // for days that must fail: orders go through it
+	Snapshot    *choice.Snapshot                      // saved state of an earlier front, as far as it is still valid
+	Handover    []HandoverSession                     // sessions handed over by an earlier front
+	WrapActions func(session.Actions) session.Actions // wraps the actions, to inject faults in simulations
 }
 
-// Front is one front. Make it with New, run it with Serve.
+// Front accepts viewers and relays their sessions from boxes. Create it with New and run it with Serve.
 type Front struct {
-	current atomic.Pointer[settings.Terms] // read by anyone, changed by the loop alone
-	log     *zap.Logger
-	count   *counts
-	dial    func(ctx context.Context, address string) (net.Conn, error)
-	began   time.Time
-	epoch   float64 // seconds since 1970 at began
-	events  chan func()
-	done    chan struct{} // closed when the loop has ended
-	quit    chan struct{} // closed to end the loop
-	quitOne sync.Once
-	work    sync.WaitGroup // every goroutine that belongs to the front
-	context context.Context
-	cancel  context.CancelFunc
-	serving atomic.Bool
-	mu      sync.Mutex     // of what follows
-	takes   []net.Listener // as many as are served
-	halted  bool           // none takes viewers for now
-	closing atomic.Bool
-	open    atomic.Int64 // viewers' connections
+	current     atomic.Pointer[settings.Terms] // read by any goroutine, replaced by the loop only
+	log         *zap.Logger
+	metrics     *metrics
+	dial        func(ctx context.Context, address string) (net.Conn, error)
+	startedAt   time.Time
+	startedUnix float64 // startedAt in seconds since 1970
+	events      chan func()
+	done        chan struct{} // closed when the loop has returned
+	quit        chan struct{} // closed to stop the loop
+	quitOnce    sync.Once
+	wg          sync.WaitGroup // all goroutines of the front
+	ctx         context.Context
+	cancel      context.CancelFunc
+	serving     atomic.Bool
+	mu          sync.Mutex     // guards listeners and frozen
+	listeners   []net.Listener // listeners in use by Serve and ServeTLS
+	frozen      bool           // set by Freeze; Serve then returns without an error
+	closing     atomic.Bool
+	openConns   atomic.Int64 // open viewer connections
 
 	// Owned by the loop.
-	table     *session.Table
-	gate      *auth.Authenticator // nil where no users are named
-	key       []byte              // of the gate's
-	users     string              // a print of those named
-	ear       *delivery.Meter
-	keeper    *pool.Pool
-	address   map[choice.ServerID]string // of boxes listed; a box that left is kept while sessions are there
-	viewers   map[*viewer]struct{}       // emptied as connections close
-	sess      map[choice.SessID]*sess    // emptied as sessions end
-	atBox     map[choice.SessID]*boxConn // sessions' connections to their boxes; emptied as those are given back
-	conns     map[pool.ConnID]*boxConn   // emptied as connections close
-	described *describe.Cache
-	wait      map[string][]waiter // DESCRIBEs without answer, by title; emptied as a holder answers or none does
-	late      int                 // withdrawn SETUPs whose answer is waited for
-	serial    uint64
-	after     []func()        // what an order brings about at once; emptied by the loop
-	last      choice.Snapshot // once the loop has ended
-	drained   func()          // called once when the last session is over after Drain
+	table            *session.Table
+	authenticator    *auth.Authenticator // nil if no users are configured
+	authKey          []byte              // key of the authenticator's nonces and of usersDigest
+	usersDigest      string              // keyed digest of the configured users
+	meter            *delivery.Meter
+	pool             *pool.Pool
+	addresses        map[choice.ServerID]string      // addresses of listed boxes
+	viewers          map[*viewer]struct{}            // removed when the connection closes
+	sessions         map[choice.SessID]*frontSession // removed when the session ends
+	connOf           map[choice.SessID]*boxConn      // connection of each session to its box; removed on release
+	boxConns         map[pool.ConnID]*boxConn        // removed when the connection closes
+	descriptions     *describe.Cache
+	pendingDescribes map[string][]pendingDescribe // unanswered DESCRIBE requests by title; removed when answered
+	lateAnswers      int                          // canceled SETUPs whose answer is still awaited
+	lastConnID       uint64
+	deferred         []func()        // callbacks queued by actions; run by settle
+	finalSnapshot    choice.Snapshot // set when the loop ends
+	onDrained        func()          // called once, when the last session has ended after Drain
 }
 
-// mostEvents may wait for the loop before those who bring more wait themselves.
-const mostEvents = 1024
+// maxQueuedEvents is the capacity of the event queue; senders block when it is full.
+const maxQueuedEvents = 1024
 
-// New makes a front. It fails only where its metrics can't be registered.
+// New creates a front. It fails if its metrics can't be registered or the system's random source can't be read.
 func New(terms settings.Terms, o Options) (*Front, error) {
-	f := &Front{log: o.Log, dial: o.Dial, began: time.Now(), events: make(chan func(), mostEvents),
-		done: make(chan struct{}), quit: make(chan struct{}), address: map[choice.ServerID]string{},
-		viewers: map[*viewer]struct{}{}, sess: map[choice.SessID]*sess{}, conns: map[pool.ConnID]*boxConn{},
-		atBox: map[choice.SessID]*boxConn{}}
+	f := &Front{log: o.Log, dial: o.Dial, startedAt: time.Now(), events: make(chan func(), maxQueuedEvents),
+		done: make(chan struct{}), quit: make(chan struct{}), addresses: map[choice.ServerID]string{},
+		viewers: map[*viewer]struct{}{}, sessions: map[choice.SessID]*frontSession{}, boxConns: map[pool.ConnID]*boxConn{},
+		connOf: map[choice.SessID]*boxConn{}}
 	if f.log == nil {
 		f.log = zap.NewNop()
 	}
@@ -124,10 +124,10 @@
 		var d net.Dialer
 		f.dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	f.epoch = float64(f.began.UnixNano()) / 1e9
-	f.context, f.cancel = context.WithCancel(context.Background())
+	f.startedUnix = float64(f.startedAt.UnixNano()) / 1e9
+	f.ctx, f.cancel = context.WithCancel(context.Background())
 	var err error
-	if f.count, err = newCounts(o.Registry); err != nil {
+	if f.metrics, err = newMetrics(o.Registry); err != nil {
 		return nil, err
 	}
 	if terms.Figures.Seed == 0 {
@@ -137,36 +137,36 @@
 		}
 		terms.Figures.Seed = binary.LittleEndian.Uint64(b[:])
 	}
-	f.key = make([]byte, 32)
-	if _, err := rand.Read(f.key); err != nil {
+	f.authKey = make([]byte, 32)
+	if _, err := rand.Read(f.authKey); err != nil {
 		return nil, err
 	}
-	f.gate, f.users = auth.New(terms.Realm, terms.Users, f.key), usersPrint(&terms, f.key)
-	terms.Users = nil // the gate has what it needs of them
+	f.authenticator, f.usersDigest = auth.New(terms.Realm, terms.Users, f.authKey), digestUsers(&terms, f.authKey)
+	terms.Users = nil // not kept in memory: the authenticator has its own copy
 	f.current.Store(&terms)
-	var orders session.Actions = carrier{f}
+	var actions session.Actions = frontActions{f}
 	if o.WrapActions != nil {
-		orders = o.WrapActions(orders)
+		actions = o.WrapActions(actions)
 	}
-	f.table = session.New(f.now(), terms.Figures, f.bounds(), orders)
-	f.ear = delivery.New(terms.Figures.NoteInterval)
-	f.described, f.wait = describe.New(terms.Figures.Cells), map[string][]waiter{}
-	f.keeper = pool.New(terms.Bounds.BoxConnections)
-	f.boxes(true, terms.Boxes)
+	f.table = session.New(f.now(), terms.Figures, f.sessionLimits(), actions)
+	f.meter = delivery.New(terms.Figures.NoteInterval)
+	f.descriptions, f.pendingDescribes = describe.New(terms.Figures.Cells), map[string][]pendingDescribe{}
+	f.pool = pool.New(terms.Bounds.BoxConnections)
+	f.updateBoxes(true, terms.Boxes)
 	if o.Snapshot != nil {
 		f.table.Restore(*o.Snapshot)
 	}
 	for _, h := range o.Handover {
 		f.adopt(h)
 	}
-	f.work.Add(1)
+	f.wg.Add(1)
 	go f.loop()
 	return f, nil
 }
 
 func (f *Front) terms() *settings.Terms { return f.current.Load() }
 
-func (f *Front) bounds() session.Limits {
+func (f *Front) sessionLimits() session.Limits {
 	t := f.terms()
 	b := session.Limits{MaxSessions: t.Bounds.Sessions, ViewerIdleTimeout: t.Bounds.ViewerIdle, KeepAliveInterval: t.Bounds.KeepAlive}
 	for _, g := range t.Groups {
@@ -175,11 +175,11 @@
 	return b
 }
 
-// now is the front's clock in seconds since 1970: set once and monotonic from then on, so that a step of the
-// machine's clock moves no wait. Fronts need it alike to within a slot of a cold box (choice.Front).
-func (f *Front) now() float64 { return f.epoch + time.Since(f.began).Seconds() }
+// now returns the front's clock in seconds since 1970. It is read once at start and monotonic from then on, so that a
+// step of the system clock affects no timeout. The clocks of fronts must agree to within a slot of a cold box (choice.Front).
+func (f *Front) now() float64 { return f.startedUnix + time.Since(f.startedAt).Seconds() }
 
-// post hands the loop an event. It waits while too many wait, and drops the event once the loop has ended.
+// post queues an event for the loop. It blocks while the queue is full and drops the event once the loop has ended.
 func (f *Front) post(event func()) {
 	select {
 	case f.events <- event:
@@ -187,11 +187,11 @@
 	}
 }
 
-// call runs something in the loop and waits for its end; false where the loop has ended.
-func (f *Front) call(do func()) bool {
+// call runs fn in the loop and waits for it to return. It returns false if the loop has ended.
+func (f *Front) call(fn func()) bool {
 	ran := make(chan struct{})
 	f.post(func() {
-		do()
+		fn()
 		close(ran)
 	})
 	select {
@@ -202,258 +202,261 @@
 	}
 }
 
-// batch is how many events the loop takes before it settles.
-const batch = 64
+// maxBatch bounds the number of further events that the loop handles before it calls settle.
+const maxBatch = 64
 
-// tick is the pace at which shares are measured and idle connections looked at.
-const tick = 250 * time.Millisecond
+// tickInterval is the interval at which delivery is measured and expired idle connections are closed.
+const tickInterval = 250 * time.Millisecond
 
 func (f *Front) loop() {
-	defer f.work.Done()
+	defer f.wg.Done()
 	defer close(f.done)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	due := 0.0
+	timerAt := 0.0
 	for {
 		select {
 		case e := <-f.events:
 			f.table.SetTime(f.now())
 			e()
-		more:
-			for range batch {
+		collect:
+			for range maxBatch {
 				select {
 				case e := <-f.events:
 					e()
 				default:
-					break more
+					break collect
 				}
 			}
 		case <-timer.C:
-			due = 0
+			timerAt = 0
 			f.table.SetTime(f.now())
 		case <-ticker.C:
 			f.table.SetTime(f.now())
-			f.listen()
+			f.measureDelivery()
 		case <-f.quit:
 			f.table.SetTime(f.now())
 			f.table.EndAll()
 			f.settle()
-			f.last = f.table.Snapshot()
-			f.shut()
+			f.finalSnapshot = f.table.Snapshot()
+			f.closeConns()
 			return
 		}
-		if n := f.table.NextTimer(); n > 0 && n <= f.now() {
+		if next := f.table.NextTimer(); next > 0 && next <= f.now() {
 			f.table.RunTimers()
 		}
 		f.settle()
-		if f.drained != nil && f.table.Len() == 0 {
-			f.drained()
-			f.drained = nil
+		if f.onDrained != nil && f.table.Len() == 0 {
+			f.onDrained()
+			f.onDrained = nil
 		}
-		if n := f.table.NextTimer(); n != due {
-			due = n
+		if next := f.table.NextTimer(); next != timerAt {
+			timerAt = next
 			wait := time.Hour
-			if n > 0 {
-				wait = max(time.Duration((n-f.now())*1e9), 0)
+			if next > 0 {
+				wait = max(time.Duration((next-f.now())*1e9), 0)
 			}
 			timer.Reset(wait)
 		}
 	}
 }
 
-// settle carries out what is wanted until nothing more comes of it.
+// settle runs the table's actions and the callbacks they queue until none is left.
 func (f *Front) settle() {
 	start := time.Now()
 	f.table.Settle()
-	for len(f.after) > 0 {
-		list := f.after
-		f.after = nil
-		for _, do := range list {
-			do()
+	for len(f.deferred) > 0 {
+		batch := f.deferred
+		f.deferred = nil
+		for _, run := range batch {
+			run()
 		}
 		f.table.Settle()
 	}
-	f.count.settle.Observe(time.Since(start).Seconds())
+	f.metrics.settleSeconds.Observe(time.Since(start).Seconds())
 }
 
-// listen measures what sessions get and tells what is due.
-func (f *Front) listen() {
+// measureDelivery samples the media progress of playing sessions, reports short boxes and closes expired idle
+// connections. Sessions limited by a slow viewer are left out, as they say nothing about their box.
+func (f *Front) measureDelivery() {
 	now := f.now()
-	for id, c := range f.atBox {
-		if c.sess.plays && c.sess.stream != nil {
-			if limits.ViewerLimited(time.Since(f.began).Seconds(), float64(c.sess.stream.Out().Limited.Load())/1e9) {
-				f.ear.Forget(id)
-			} else if at, media, ok := c.sess.stream.Progress(); ok {
-				f.ear.Progress(id, c.box, now, f.epoch+at.Seconds(), media)
+	for id, c := range f.connOf {
+		if c.session.playing && c.session.stream != nil {
+			if limits.ViewerLimited(time.Since(f.startedAt).Seconds(), float64(c.session.stream.Out().Limited.Load())/1e9) {
+				f.meter.Forget(id)
+			} else if at, media, ok := c.session.stream.Progress(); ok {
+				f.meter.Progress(id, c.box, now, f.startedUnix+at.Seconds(), media)
 			}
 		}
 	}
-	for _, t := range f.ear.Tick(now) {
-		f.count.shorts.Inc()
+	for _, t := range f.meter.Tick(now) {
+		f.metrics.shareReports.Inc()
 		f.table.ShortDelivery(t.Box, t.Share)
 	}
-	for _, c := range f.keeper.Expired(now) {
-		if b := f.conns[c]; b != nil {
+	for _, c := range f.pool.Expired(now) {
+		if b := f.boxConns[c]; b != nil {
 			b.close()
 		}
 	}
-	f.count.sessions.Set(float64(len(f.sess)))
+	f.metrics.sessions.Set(float64(len(f.sessions)))
 }
 
-// UpdateBoxes takes the list of boxes, whole or changed entries only.
+// UpdateBoxes updates the list of boxes: the complete list if whole is set, else only changed entries.
 func (f *Front) UpdateBoxes(whole bool, list []settings.Box) {
 	list = slices.Clone(list)
-	f.post(func() { f.boxes(whole, list) })
+	f.post(func() { f.updateBoxes(whole, list) })
 }
 
-func (f *Front) boxes(whole bool, list []settings.Box) {
-	f.table.UpdateDirectory(whole, f.listed(whole, list))
+func (f *Front) updateBoxes(whole bool, list []settings.Box) {
+	f.table.UpdateDirectory(whole, f.storeBoxes(whole, list))
 }
 
-// listed takes a list for the front's own part and gives the table's.
-func (f *Front) listed(whole bool, list []settings.Box) []choice.Listing {
+// storeBoxes updates the front's own box data and returns the listings for the table.
+func (f *Front) storeBoxes(whole bool, list []settings.Box) []choice.Listing {
 	if whole {
-		clear(f.address)
+		clear(f.addresses)
 	}
 	listings := make([]choice.Listing, len(list))
 	for i, b := range list {
 		listings[i] = b.Listing
-		if f.address[b.ID] = b.Address; b.State == choice.Gone {
-			delete(f.address, b.ID)
+		if f.addresses[b.ID] = b.Address; b.State == choice.Gone {
+			delete(f.addresses, b.ID)
 		}
 	}
-	f.described.UpdateBoxes(whole, listings)
+	f.descriptions.UpdateBoxes(whole, listings)
 	return listings
 }
 
-// Serve takes viewers from a listener until it fails or the front is closed; then it returns nil. Several listeners
-// may be served at once.
+// Serve accepts viewers from a listener until Accept fails for good or the front is frozen or closed; in the latter two
+// cases it returns nil. Several listeners may be served at once.
 func (f *Front) Serve(l net.Listener) error {
 	return f.serve(l, func(c net.Conn) net.Conn { return c })
 }
 
-// ServeTLS is Serve for viewers that come over TLS.
+// ServeTLS is like Serve, for viewers that connect over TLS.
 func (f *Front) ServeTLS(l net.Listener, with *tls.Config) error {
 	return f.serve(l, func(c net.Conn) net.Conn { return tls.Server(c, with) })
 }
 
-func (f *Front) serve(l net.Listener, over func(net.Conn) net.Conn) error {
-	f.work.Add(1)
-	defer f.work.Done()
-	if f.context.Err() != nil {
+func (f *Front) serve(l net.Listener, wrap func(net.Conn) net.Conn) error {
+	f.wg.Add(1)
+	defer f.wg.Done()
+	if f.ctx.Err() != nil {
 		l.Close()
 		return nil
 	}
 	f.mu.Lock()
-	f.takes, f.halted = append(f.takes, l), false
+	f.listeners, f.frozen = append(f.listeners, l), false
 	f.mu.Unlock()
 	f.serving.Store(true)
-	stop := context.AfterFunc(f.context, func() { l.Close() })
+	stop := context.AfterFunc(f.ctx, func() { l.Close() })
 	defer stop()
 	pause := 5 * time.Millisecond
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			if f.context.Err() != nil {
+			if f.ctx.Err() != nil {
 				return nil
 			}
 			if errors.Is(err, net.ErrClosed) {
 				f.mu.Lock()
-				halted := f.halted
+				halted := f.frozen
 				f.mu.Unlock()
 				if halted {
 					return nil
 				}
 				return err
 			}
-			// Out of descriptors, or a connection that was gone before it was taken: others still come.
-			f.log.Warn("a connection could not be taken", zap.Error(err))
+			// Out of file descriptors, or the connection was aborted before it was accepted: retry with a backoff.
+			f.log.Warn("accepting a connection failed", zap.Error(err))
 			select {
 			case <-time.After(pause):
-			case <-f.context.Done():
+			case <-f.ctx.Done():
 				return nil
 			}
 			pause = min(2*pause, time.Second)
 			continue
 		}
 		pause = 5 * time.Millisecond
-		if n := f.open.Add(1); f.terms().Bounds.Connections > 0 && n > int64(f.terms().Bounds.Connections) {
-			f.open.Add(-1)
-			f.count.turnedAway.Inc()
+		if n := f.openConns.Add(1); f.terms().Bounds.Connections > 0 && n > int64(f.terms().Bounds.Connections) {
+			f.openConns.Add(-1)
+			f.metrics.rejectedConns.Inc()
 			c.Close()
 			continue
 		}
-		f.take(over(c))
+		f.startViewer(wrap(c))
 	}
 }
 
-// Drain has new requests busy-replied, sends viewers elsewhere where the terms say so, and returns when the last session is over or the context is done.
+// Drain busy-replies new requests, redirects viewers if the settings name another front, and returns when the last
+// session has ended or the context is done.
 func (f *Front) Drain(ctx context.Context) {
-	over := make(chan struct{})
+	drained := make(chan struct{})
 	f.post(func() {
 		f.table.StopAccepting()
-		f.redirect()
-		f.drained = func() { close(over) }
+		f.redirectViewers()
+		f.onDrained = func() { close(drained) }
 	})
 	select {
-	case <-over:
+	case <-drained:
 	case <-ctx.Done():
 	case <-f.done:
 	}
 }
 
-// redirect asks each viewer with a session to go on at another front (RFC 2326, section 10.10). Those that don't know the
-// request play on until the drain's end.
-func (f *Front) redirect() {
+// redirectViewers sends each viewer with a session a REDIRECT to another front (RFC 2326, section 10.10). Viewers that
+// don't support the method continue until the drain ends.
+func (f *Front) redirectViewers() {
 	if f.terms().Redirect == "" {
 		return
 	}
 	for v := range f.viewers {
-		for _, id := range slices.Sorted(maps.Keys(v.sess)) {
-			x := v.sess[id]
-			to := rtsp.Place{Host: f.terms().Redirect, Group: x.place.Group, Title: x.place.Title, Track: -1, Query: x.place.Query}
-			v.asked++
-			m := rtsp.Request(rtsp.Redirect, v.url(x)).With("CSeq", strconv.Itoa(v.asked)).With("Session", string(id)).With("Location", to.URL())
-			v.out.Message(m.Append(nil))
-			f.count.redirects.Inc()
+		for _, id := range slices.Sorted(maps.Keys(v.sessions)) {
+			sess := v.sessions[id]
+			target := rtsp.Place{Host: f.terms().Redirect, Group: sess.place.Group, Title: sess.place.Title, Track: -1, Query: sess.place.Query}
+			v.lastCSeq++
+			req := rtsp.Request(rtsp.Redirect, v.presentationURL(sess)).With("CSeq", strconv.Itoa(v.lastCSeq)).With("Session", string(id)).With("Location", target.URL())
+			v.out.Message(req.Append(nil))
+			f.metrics.redirects.Inc()
 		}
 	}
 }
 
-// Close ends the front: each request gets its answer, sessions are torn down, connections closed.
+// Close stops the front: pending requests are answered, sessions torn down and connections closed.
 func (f *Front) Close() {
 	f.closing.Store(true)
-	f.quitOne.Do(func() { close(f.quit) })
+	f.quitOnce.Do(func() { close(f.quit) })
 	<-f.done
 	f.cancel()
-	f.work.Wait()
+	f.wg.Wait()
 }
 
-// Kill ends the front as a killed process ends: connections break, nothing is answered.
+// Kill stops the front the way a killed process stops: connections break and nothing is answered.
 func (f *Front) Kill() {
 	f.call(func() {
 		for v := range f.viewers {
 			v.conn.Close()
 		}
-		for _, b := range f.conns {
+		for _, b := range f.boxConns {
 			b.conn.Close()
 		}
-		clear(f.sess)
+		clear(f.sessions)
 		clear(f.viewers)
-		f.table = session.New(f.now(), f.terms().Figures, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, nowhere{})
+		f.table = session.New(f.now(), f.terms().Figures, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, discardActions{})
 	})
 	f.Close()
 }
 
-// shut closes what is left. Answers already queued get a moment to be written.
-func (f *Front) shut() {
+// closeConns closes the remaining connections once their queued messages are written. Connections of canceled SETUPs are
+// closed at once.
+func (f *Front) closeConns() {
 	for v := range f.viewers {
 		v.finish()
 	}
-	for _, b := range f.conns {
-		if b.withdrawn {
+	for _, b := range f.boxConns {
+		if b.canceled {
 			b.close()
 		} else {
 			b.out.Finish()
@@ -461,74 +464,76 @@
 	}
 }
 
-// Sessions is how many sessions the front holds; 0 once it has ended.
+// Sessions returns the number of sessions the front holds; 0 once it has ended.
 func (f *Front) Sessions() (n int) {
 	f.call(func() { n = f.table.Len() })
 	return n
 }
 
-// Snapshot is what the front has learned; ok is false where it has ended.
+// Snapshot returns the state the front has learned; ok is false if it has ended.
 func (f *Front) Snapshot() (m choice.Snapshot, ok bool) {
 	ok = f.call(func() { m = f.table.Snapshot() })
 	return m, ok
 }
 
-// FinalSnapshot is what a front had learned when it was closed. Nothing but ends of sessions went to any box after it.
+// FinalSnapshot waits for the front to end and returns the state it had learned by then. Boxes were sent nothing but
+// ends of sessions after it was taken.
 func (f *Front) FinalSnapshot() choice.Snapshot {
 	<-f.done
-	return f.last
+	return f.finalSnapshot
 }
 
-// Freeze closes the listeners and has no SETUP ordered any more; sessions go on. It gives what the front has learned, for
-// the process that takes its place on sockets of its own. ok is false where the front has ended.
+// Freeze closes the listeners and sends no further SETUP; sessions continue. It returns the state the front has learned,
+// for the process that replaces it and listens on sockets of its own. ok is false if the front has ended.
 func (f *Front) Freeze() (m choice.Snapshot, ok bool) {
 	f.mu.Lock()
-	f.halted = true
-	for _, l := range f.takes {
+	f.frozen = true
+	for _, l := range f.listeners {
 		l.Close()
 	}
-	f.takes = nil
+	f.listeners = nil
 	f.mu.Unlock()
 	ok = f.call(func() { m = f.table.Freeze() })
 	return m, ok
 }
 
-// Resume takes SETUPs again after Freeze. Listeners must be passed to Serve again.
+// Resume accepts SETUPs again after Freeze. Listeners must be passed to Serve again.
 func (f *Front) Resume() { f.post(func() { f.table.Resume() }) }
 
-// Restore takes a memory before the front is served.
+// Restore loads a snapshot. Call it before Serve.
 func (f *Front) Restore(m choice.Snapshot) { f.call(func() { f.table.Restore(m) }) }
 
-// HealthFacts gathers what choice/health judges of a front; its loop has so long to answer.
+// HealthFacts collects the facts that choice/health evaluates. LoopResponsive is false if the loop doesn't answer within
+// the given time.
 func (f *Front) HealthFacts(within time.Duration) (h health.Facts) {
 	t := f.terms()
 	h.MaxSessions, h.StateAge = t.Bounds.Sessions, -1
-	got := make(chan health.Facts, 1)
+	result := make(chan health.Facts, 1)
 	timer := time.NewTimer(within)
 	defer timer.Stop()
-	ask := func() {
-		a := h
-		a.LoopResponsive, a.Sessions = true, f.table.Len()
-		a.Boxes, a.Usable = f.table.BoxCounts()
-		got <- a
+	collect := func() {
+		facts := h
+		facts.LoopResponsive, facts.Sessions = true, f.table.Len()
+		facts.Boxes, facts.Usable = f.table.BoxCounts()
+		result <- facts
 	}
 	select {
-	case f.events <- ask:
+	case f.events <- collect:
 	case <-f.done:
 		return h
 	case <-timer.C:
 		return h
 	}
 	select {
-	case a := <-got:
-		return a
+	case facts := <-result:
+		return facts
 	case <-f.done:
 	case <-timer.C:
 	}
 	return h
 }
 
-// Ready tells whether the front takes viewers and its loop answers within the given time.
+// Ready reports whether the front accepts viewers and its loop answers within the given time.
 func (f *Front) Ready(within time.Duration) bool {
 	if !f.serving.Load() {
 		return false
@@ -552,10 +557,10 @@
 	return false
 }
 
-func newID() choice.SessID {
+func newSessionID() choice.SessID {
 	var b [12]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic(err) // the system's source of chance is gone
+		panic(err) // the system's random source can't be read
 	}
 	return choice.SessID(hex.EncodeToString(b[:]))
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -27,28 +27,28 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is one front before some boxes, all holding every title.
-type bench struct {
+// harness is a front with several simulated boxes, each holding every title.
+type harness struct {
 	*front.Front
-	t     testing.TB
-	boxes []*box.Box
-	site  *box.Site
-	terms settings.Terms
-	addr  string
-	wit   *witness.Witness
-	reg   *prometheus.Registry
-	now   func() float64
-	roots *keys.Roots // where boxes are reached over TLS
+	t       testing.TB
+	boxes   []*box.Box
+	site    *box.Site
+	terms   settings.Terms
+	addr    string
+	witness *witness.Witness
+	reg     *prometheus.Registry
+	now     func() float64
+	roots   *keys.Roots // set if boxes are reached over TLS
 }
 
-func newBench(t testing.TB, boxes int, change func(*settings.Terms, *box.Site)) *bench {
+func newHarness(t testing.TB, boxes int, adjust func(*settings.Terms, *box.Site)) *harness {
 	epoch := time.Now()
 	base := float64(epoch.UnixNano()) / 1e9
-	b := &bench{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
-	b.wit = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
+	b := &harness{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
+	b.witness = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
 		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
 	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
-		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.wit}
+		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.witness}
 	b.terms = settings.Terms{Name: "front-0", Figures: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
 		{Utility: 2, Scale: 1, StartTarget: 0.5, Floor: 1, Top: 3}, {Utility: 1, Scale: 1, StartTarget: 0.5, Top: 3, Paid: true}},
 		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinkCapacity: 20000 * float64(boxes), MeanUplinkCapacity: 20000 * float64(boxes),
@@ -58,8 +58,8 @@
 		Titles: map[string]settings.Title{"vents": {Span: boxes}},
 		Bounds: limits.Bounds{Connections: 1000, Sessions: 1000, BoxConnections: 200, Queue: 1 << 18, ViewerIdle: 60,
 			KeepAlive: 20, ConnectTimeout: 0.25, ProbeTimeout: 0.25, WriteStall: 5}}
-	if change != nil {
-		change(&b.terms, b.site)
+	if adjust != nil {
+		adjust(&b.terms, b.site)
 	}
 	var err error
 	rack := box.NewRack(20000 * float64(boxes))
@@ -103,47 +103,47 @@
 
 var tokens atomic.Int64
 
-func (b *bench) want(group string) player.Want {
+func (b *harness) request(group string) player.Want {
 
 	return player.Want{Address: b.addr, Front: "front-0", Group: group, Title: "vents", Token: fmt.Sprint("v", tokens.Add(1)),
-		SetupTimeout: b.wit0(group), Watch: 0.3, Now: b.now, Witness: b.wit}
+		SetupTimeout: b.setupTimeout(group), Watch: 0.3, Now: b.now, Witness: b.witness}
 }
 
-func (b *bench) wit0(group string) float64 {
+func (b *harness) setupTimeout(group string) float64 {
 	return b.terms.Groups[b.terms.GroupIndex(group)].SetupTimeout
 }
 
-// rules waits until all sessions are over, at the front and at the boxes, and judges.
-func (b *bench) rules() witness.Verdict {
+// checkRules waits until all sessions have ended, at the front and at the boxes, and checks the witness's verdict.
+func (b *harness) checkRules() witness.Verdict {
 	b.t.Helper()
-	b.eventually("all sessions are over", func() bool {
+	b.eventually("all sessions have ended", func() bool {
 		n := b.Sessions()
 		for _, x := range b.boxes {
 			n += x.Sessions()
 		}
 		return n == 0
 	})
-	v := b.wit.Judge(b.now())
+	v := b.witness.Judge(b.now())
 	if v.Broken() > 0 {
 		b.t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
 	return v
 }
 
-// eventually polls for something that happens without an event that a test could wait on.
-func (b *bench) eventually(what string, is func() bool) {
+// eventually polls for a condition that has no event to wait for.
+func (b *harness) eventually(description string, condition func() bool) {
 	b.t.Helper()
 	end := time.Now().Add(15 * time.Second)
-	for !is() {
+	for !condition() {
 		if time.Now().After(end) {
-			b.t.Fatalf("not within 15 s: %s", what)
+			b.t.Fatalf("not reached within 15 s: %s", description)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// once closes a channel at a viewer's first live word.
-func once(c chan struct{}) func(player.Seen) {
+// closeOnce returns a Live callback that closes a channel at its first call.
+func closeOnce(c chan struct{}) func(player.Seen) {
 	return func(player.Seen) {
 		select {
 		case <-c:
@@ -154,68 +154,68 @@
 }
 
 func TestOneSessionFromViewerToBoxAndBack(t *testing.T) {
-	b := newBench(t, 3, nil)
-	w := b.want("clips")
+	b := newHarness(t, 3, nil)
+	w := b.request("clips")
 	w.Describe, w.Tracks, w.Watch = true, 2, 0.5
 	seen, err := player.Watch(context.Background(), w)
 	if err != nil || seen.Status != 200 || seen.Frames < 20 || seen.Lost+seen.Doubled+seen.Jumps > 0 || !seen.Ended {
 		t.Errorf("%+v %v", seen, err)
 	}
-	if v := b.rules(); v.Taken != 1 || v.Answered != 1 {
+	if v := b.checkRules(); v.Taken != 1 || v.Answered != 1 {
 		t.Errorf("%v", v)
 	}
 }
 
-// The table of outcomes in the package comment, one by one: what boxes do to SETUPs, and the answer that comes of it.
+// Checks the outcomes of a SETUP listed in the package comment: what boxes do with it and the viewer's final answer.
 func TestOutcomes(t *testing.T) {
-	all := func(b *bench, do func(*box.Box)) {
+	all := func(b *harness, do func(*box.Box)) {
 		for _, x := range b.boxes {
 			do(x)
 		}
 	}
 	for name, c := range map[string]struct {
-		group  string
-		before func(b *bench)
-		status int
-		setups int64 // at boxes, at least
-		most   int64
+		group     string
+		arrange   func(b *harness)
+		status    int
+		minSetups int64 // SETUPs received by boxes
+		maxSetups int64
 	}{
-		"served":                   {"clips", func(*bench) {}, 200, 1, 1},
-		"all full":                 {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
-		"paid, all full":           {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
-		"errors, then served":      {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Errors(1) }) }, 503, 3, 3},
-		"paid, error":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Errors(1) }) }, 504, 1, 1},
-		"all hang":                 {"clips", func(b *bench) { all(b, (*box.Box).Hang) }, 503, 3, 3},
-		"paid, hang":               {"exam", func(b *bench) { all(b, (*box.Box).Hang) }, 504, 1, 1},
-		"all break":                {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 503, 3, 3},
-		"paid, break":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 504, 1, 1},
-		"no connection":            {"clips", func(b *bench) { all(b, (*box.Box).Kill) }, 503, 0, 0},
-		"paid, no connection":      {"exam", func(b *bench) { all(b, (*box.Box).Kill) }, 503, 0, 0},
-		"two refuse, third served": {"clips", func(b *bench) { b.boxes[0].Refuse(true); b.boxes[2].Refuse(true) }, 200, 1, 3},
-		"first refuses, second hangs": {"clips", func(b *bench) {
+		"served":                   {"clips", func(*harness) {}, 200, 1, 1},
+		"all full":                 {"clips", func(b *harness) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
+		"paid, all full":           {"exam", func(b *harness) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
+		"errors, then served":      {"clips", func(b *harness) { all(b, func(x *box.Box) { x.Errors(1) }) }, 503, 3, 3},
+		"paid, error":              {"exam", func(b *harness) { all(b, func(x *box.Box) { x.Errors(1) }) }, 504, 1, 1},
+		"all hang":                 {"clips", func(b *harness) { all(b, (*box.Box).Hang) }, 503, 3, 3},
+		"paid, hang":               {"exam", func(b *harness) { all(b, (*box.Box).Hang) }, 504, 1, 1},
+		"all break":                {"clips", func(b *harness) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 503, 3, 3},
+		"paid, break":              {"exam", func(b *harness) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 504, 1, 1},
+		"no connection":            {"clips", func(b *harness) { all(b, (*box.Box).Kill) }, 503, 0, 0},
+		"paid, no connection":      {"exam", func(b *harness) { all(b, (*box.Box).Kill) }, 503, 0, 0},
+		"two refuse, third served": {"clips", func(b *harness) { b.boxes[0].Refuse(true); b.boxes[2].Refuse(true) }, 200, 1, 3},
+		"first refuses, second hangs": {"clips", func(b *harness) {
 			b.boxes[0].Refuse(true)
 			b.boxes[1].Hang()
 		}, 200, 1, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 3, nil)
-			c.before(b)
-			seen, err := player.Watch(context.Background(), b.want(c.group))
+			b := newHarness(t, 3, nil)
+			c.arrange(b)
+			seen, err := player.Watch(context.Background(), b.request(c.group))
 			if seen.Status != c.status {
 				t.Errorf("status %d (%v), want %d", seen.Status, err, c.status)
 			}
 			if seen.Status == 503 && seen.RetryAfter == 0 {
-				t.Error("a busy reply without advice")
+				t.Error("busy reply without Retry-After")
 			}
 			n := int64(0)
 			for _, x := range b.boxes {
 				n += x.Count().Setups
 				x.Unhang()
 			}
-			if n < c.setups || n > c.most {
-				t.Errorf("%d SETUPs at boxes, want %d to %d", n, c.setups, c.most)
+			if n < c.minSetups || n > c.maxSetups {
+				t.Errorf("%d SETUPs at boxes, want %d to %d", n, c.minSetups, c.maxSetups)
 			}
-			if v := b.rules(); v.Taken != 1 {
+			if v := b.checkRules(); v.Taken != 1 {
 				t.Errorf("%v", v)
 			}
 		})
@@ -223,21 +223,21 @@
 }
 
 func TestLateAnswerIsTornDownAtTheBox(t *testing.T) {
-	b := newBench(t, 2, nil)
+	b := newHarness(t, 2, nil)
 	b.boxes[0].HoldAnswers()
 	b.boxes[1].HoldAnswers()
-	seen, err := player.Watch(context.Background(), b.want("clips"))
+	seen, err := player.Watch(context.Background(), b.request("clips"))
 	if seen.Status != 503 {
 		t.Fatalf("%+v %v", seen, err)
 	}
 	for _, x := range b.boxes {
-		x.Unhang() // both now set up what was withdrawn
+		x.Unhang() // both boxes now answer the canceled SETUPs
 	}
-	b.rules()
-	b.eventually("two orphans torn down", func() bool { return metric(b, "rainhaven_orphans_total", "torn down") == 2 })
+	b.checkRules()
+	b.eventually("two orphaned sessions are torn down", func() bool { return metric(b, "rainhaven_orphans_total", "torn down") == 2 })
 }
 
-func metric(b *bench, name, label string) float64 {
+func metric(b *harness, name, label string) float64 {
 	list, err := b.reg.Gather()
 	if err != nil {
 		b.t.Fatal(err)
@@ -258,25 +258,25 @@
 		after float64
 	}{"halfway through set-up": {true, 0.05}, "while it plays": {false, 0.3}} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 2, nil)
+			b := newHarness(t, 2, nil)
 			if c.hold {
 				b.boxes[0].HoldAnswers()
 				b.boxes[1].HoldAnswers()
 			}
-			w := b.want("clips")
+			w := b.request("clips")
 			w.Watch, w.LeaveAfter = 0, c.after
 			player.Watch(context.Background(), w)
-			b.eventually("the front has let go", func() bool { return b.Sessions() == 0 })
+			b.eventually("the front has no sessions", func() bool { return b.Sessions() == 0 })
 			for _, x := range b.boxes {
 				x.Unhang()
 			}
-			b.rules()
+			b.checkRules()
 		})
 	}
 }
 
-// dial speaks to the front by hand.
-func (b *bench) dial() *rtsp.Conn {
+// dial opens a plain RTSP connection to the front.
+func (b *harness) dial() *rtsp.Conn {
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
 		b.t.Fatal(err)
@@ -286,99 +286,99 @@
 	return rtsp.NewConn(c, rtsp.Bounds{})
 }
 
-func (b *bench) setup(cseq, query string) *rtsp.Message {
+func (b *harness) setup(cseq, query string) *rtsp.Message {
 	return rtsp.Request(rtsp.Setup, "rtsp://"+b.addr+"/clips/vents"+query).With("CSeq", cseq).
 		With("Transport", "RTP/AVP/TCP;unicast")
 }
 
-// A box that refuses a TEARDOWN goes on sending: the next viewer must not get it.
-func TestNextViewerGetsNothingOfTheLast(t *testing.T) {
-	b := newBench(t, 1, nil)
+// A box that refuses a TEARDOWN keeps sending media, which must not reach the next viewer.
+func TestNoMediaOfPreviousSession(t *testing.T) {
+	b := newHarness(t, 1, nil)
 	b.boxes[0].KeepSessions(1)
 	for range 2 {
-		w := b.want("clips")
+		w := b.request("clips")
 		w.Watch = 0.6
 		seen, err := player.Watch(context.Background(), w)
-		if err != nil || seen.Jumps+seen.Lost+seen.Doubled+seen.Rungs > 0 || seen.Frames > 40 { // 30 are its own
+		if err != nil || seen.Jumps+seen.Lost+seen.Doubled+seen.Rungs > 0 || seen.Frames > 40 { // 30 belong to this session
 			t.Fatalf("%+v %v", seen, err)
 		}
 	}
-	b.rules()
+	b.checkRules()
 }
 
 func TestAfterTheAnswerAndBeforePlay(t *testing.T) {
-	b := newBench(t, 2, nil)
+	b := newHarness(t, 2, nil)
 	c := b.dial()
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
 	if err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
-	for _, x := range b.boxes { // the box closes between SETUP and PLAY
+	for _, x := range b.boxes { // the box closes its connections between SETUP and PLAY
 		if x.Sessions() > 0 {
 			x.ResetAll()
 		}
 	}
-	b.eventually("the front knows", func() bool { return b.Sessions() == 0 })
+	b.eventually("the front has ended the session", func() bool { return b.Sessions() == 0 })
 	r, err = c.RoundTrip(rtsp.Request(rtsp.Play, "rtsp://"+b.addr+"/clips/vents").With("CSeq", "2").With("Session", r.Session()), 5*time.Second, nil)
 	if err == nil && r.Status != rtsp.SessionNotFound {
-		t.Errorf("PLAY on a session whose box is gone: %d", r.Status)
+		t.Errorf("PLAY after the box closed the connection: status %d", r.Status)
 	}
 	d := b.dial()
 	if r, err := d.RoundTrip(b.setup("1", ""), 5*time.Second, nil); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	d.Close() // the viewer leaves after 200 and before PLAY
-	b.rules()
+	b.checkRules()
 }
 
-func TestListDropsABoxWithSessionsOnIt(t *testing.T) {
-	b := newBench(t, 2, nil)
+func TestBoxWithSessionsRemovedFromList(t *testing.T) {
+	b := newHarness(t, 2, nil)
 	type end struct {
 		seen player.Seen
 		err  error
 	}
 	ends, playing := make(chan end, 1), make(chan struct{})
-	w := b.want("clips")
-	w.Watch, w.Live = 2.2, once(playing)
+	w := b.request("clips")
+	w.Watch, w.Live = 2.2, closeOnce(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		ends <- end{seen, err}
 	}()
 	<-playing
-	on := 0
+	holder := 0
 	for i, x := range b.boxes {
 		if x.Sessions() > 0 {
-			on = i
+			holder = i
 		}
 	}
-	b.wit.Told("front-0", on+1, false, b.now())
-	b.UpdateBoxes(true, b.terms.Boxes[1-on:2-on])
+	b.witness.Told("front-0", holder+1, false, b.now())
+	b.UpdateBoxes(true, b.terms.Boxes[1-holder:2-holder])
 	for range 10 {
-		if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil {
+		if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil {
 			t.Fatal(seen, err)
 		}
 	}
-	if n := b.boxes[on].Count().Setups; n != 1 {
-		t.Errorf("%d SETUPs at a box that left the list", n)
+	if n := b.boxes[holder].Count().Setups; n != 1 {
+		t.Errorf("%d SETUPs at a box that was removed from the list", n)
 	}
 	if e := <-ends; e.err != nil || e.seen.Lost+e.seen.Jumps > 0 {
-		t.Errorf("the session there: %+v %v", e.seen, e.err)
+		t.Errorf("session at the removed box: %+v %v", e.seen, e.err)
 	}
-	b.rules()
+	b.checkRules()
 }
 
-// A short link has playing sessions stepped down without a frame lost or doubled, and a box that refuses the step leaves
-// them as they were.
+// Sessions on a link that is too slow are moved to a lower rung without lost or doubled frames. If the box refuses the
+// change, they stay at their rung.
 func TestShortBoxStepsItsSessionsDown(t *testing.T) {
-	for _, deaf := range []bool{false, true} {
-		t.Run(fmt.Sprint("refused ", deaf), func(t *testing.T) {
-			b := newBench(t, 1, nil)
-			b.boxes[0].DeafToRungs(deaf)
-			b.boxes[0].Slow(5) // 4,000 of 20,000 kB a second, for four sessions that ask 8,000
+	for _, refuse := range []bool{false, true} {
+		t.Run(fmt.Sprint("refused ", refuse), func(t *testing.T) {
+			b := newHarness(t, 1, nil)
+			b.boxes[0].DeafToRungs(refuse)
+			b.boxes[0].Slow(5) // 4,000 of 20,000 kB/s, for four sessions with a demand of 8,000 kB/s
 			ends := make(chan player.Seen, 4)
 			for range 4 {
 				go func() {
-					w := b.want("clips")
+					w := b.request("clips")
 					w.Watch = 4
 					seen, err := player.Watch(context.Background(), w)
 					if err != nil {
@@ -391,42 +391,42 @@
 			for range 4 {
 				s := <-ends
 				if rungs += s.Rungs; s.Lost+s.Doubled+s.Jumps > 0 {
-					t.Errorf("a change of rung broke the stream: %+v", s)
+					t.Errorf("rung change broke the stream: %+v", s)
 				}
 			}
-			if asked := metric(b, "rainhaven_rung_changes_total", ""); asked == 0 || (rungs == 0) != deaf {
-				t.Errorf("%v changes asked, %d seen", asked, rungs)
+			if requested := metric(b, "rainhaven_rung_changes_total", ""); requested == 0 || (rungs == 0) != refuse {
+				t.Errorf("%v rung changes requested, %d seen", requested, rungs)
 			}
-			b.rules()
+			b.checkRules()
 		})
 	}
 }
 
-func TestHungBoxBreaksWithAPlainEnd(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Bounds.KeepAlive = 0 })
-	w := b.want("clips")
+func TestKilledBoxEndsSession(t *testing.T) {
+	b := newHarness(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Bounds.KeepAlive = 0 })
+	w := b.request("clips")
 	w.Watch = 0
-	hang := make(chan struct{})
-	w.Live = once(hang)
+	playing := make(chan struct{})
+	w.Live = closeOnce(playing)
 	done := make(chan error, 1)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
 	}()
-	<-hang
+	<-playing
 	b.boxes[0].Kill()
-	if err := <-done; err != nil && !strings.Contains(err.Error(), "broke") { // BYE, or the end of the connection
+	if err := <-done; err != nil && !strings.Contains(err.Error(), "broke") { // either an RTCP BYE or a closed connection
 		t.Error(err)
 	}
-	b.rules()
+	b.checkRules()
 }
 
 func TestDrainAndClose(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	playing, done := make(chan struct{}), make(chan error, 1)
-	w := b.want("clips")
+	w := b.request("clips")
 	w.Watch = 1.6
-	w.Live = once(playing)
+	w.Live = closeOnce(playing)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
@@ -437,21 +437,21 @@
 		b.Drain(context.Background())
 		close(drained)
 	}()
-	b.eventually("new ones are busy-replied", func() bool {
-		seen, err := player.Watch(context.Background(), b.want("clips"))
+	b.eventually("new requests are busy-replied", func() bool {
+		seen, err := player.Watch(context.Background(), b.request("clips"))
 		return seen.Status == 503 && errors.Is(err, player.ErrNotServed)
 	})
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	<-drained
-	b.rules()
+	b.checkRules()
 }
 
-// A front hands its playing sessions to the next one: the box is not asked for a new one, the viewer goes on over a new
-// connection, and the module knows of it.
+// A front hands over its playing sessions to the next one: boxes get no new SETUP and the viewer continues over a new
+// connection. A forged session that the box doesn't know ends.
 func TestHandedOver(t *testing.T) {
-	b := newBench(t, 2, nil)
+	b := newHarness(t, 2, nil)
 	url := "rtsp://" + b.addr + "/clips/vents"
 	c := b.dial()
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -468,9 +468,9 @@
 	}
 	forged := list[0]
 	forged.ID, forged.BoxSession = "forged", "no such session"
-	sent := make(chan struct{}) // the viewer is quicker than the way to the box
+	requestSent := make(chan struct{}) // delays the connection to the box until the viewer has sent its PLAY
 	next, err := front.New(b.terms, front.Options{Handover: append(list, forged), Dial: func(ctx context.Context, address string) (net.Conn, error) {
-		<-sent
+		<-requestSent
 		return net.Dial("tcp", address)
 	}})
 	if err != nil {
@@ -485,13 +485,13 @@
 	b.addr = l.Addr().String()
 	d := b.dial()
 	frames := 0
-	look := func(m *rtsp.Message, f rtsp.Frame) {
+	countFrame := func(m *rtsp.Message, f rtsp.Frame) {
 		if m == nil {
 			frames++
 		}
 	}
 	d.Write(rtsp.Request(rtsp.Play, url).With("CSeq", "1").With("Session", id).Append(nil))
-	close(sent)
+	close(requestSent)
 	if r, _, err = d.Next(); err != nil || r == nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
@@ -501,26 +501,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		look(m, f)
+		countFrame(m, f)
 	}
 	if n := b.boxes[0].Count().Setups + b.boxes[1].Count().Setups; n != 1 {
-		t.Errorf("%d SETUPs", n)
+		t.Errorf("%d SETUPs at the boxes, want 1", n)
 	}
-	if r, err = d.RoundTrip(rtsp.Request(rtsp.TearDown, url).With("CSeq", "2").With("Session", id), 5*time.Second, look); err != nil || r.Status != 200 {
+	if r, err = d.RoundTrip(rtsp.Request(rtsp.TearDown, url).With("CSeq", "2").With("Session", id), 5*time.Second, countFrame); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
-	b.eventually("the next front holds nothing", func() bool { return next.Sessions() == 0 })
-	b.eventually("nor do the boxes", func() bool { return b.boxes[0].Sessions()+b.boxes[1].Sessions() == 0 })
+	b.eventually("the next front has no sessions", func() bool { return next.Sessions() == 0 })
+	b.eventually("the boxes have no sessions", func() bool { return b.boxes[0].Sessions()+b.boxes[1].Sessions() == 0 })
 }
 
-// Viewers are sent to another front while one drains, and the drain ends at once.
+// A draining front redirects its viewers to another front, and the drain ends as soon as they have left.
 func TestDrainSendsViewersElsewhere(t *testing.T) {
-	other := newBench(t, 1, nil)
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Redirect = other.addr })
+	other := newHarness(t, 1, nil)
+	b := newHarness(t, 1, func(terms *settings.Terms, _ *box.Site) { terms.Redirect = other.addr })
 	playing, done := make(chan struct{}), make(chan player.Seen, 1)
-	w := b.want("clips")
+	w := b.request("clips")
 	w.Watch = 0
-	w.Live = once(playing)
+	w.Live = closeOnce(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		if err != nil {
@@ -534,28 +534,28 @@
 	if seen.SentTo != other.addr || seen.Lost+seen.Jumps > 0 {
 		t.Fatalf("%+v", seen)
 	}
-	w = other.want("clips")
+	w = other.request("clips")
 	w.Address = seen.SentTo
 	if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
-		t.Errorf("at the other front: %+v %v", seen, err)
+		t.Errorf("session at the other front: %+v %v", seen, err)
 	}
-	b.rules()
-	other.rules()
+	b.checkRules()
+	other.checkRules()
 }
 
-func TestCloseAnswersWhatIsOpen(t *testing.T) {
-	b := newBench(t, 1, nil)
+func TestCloseAnswersPendingRequests(t *testing.T) {
+	b := newHarness(t, 1, nil)
 	b.boxes[0].HoldAnswers()
 	done := make(chan player.Seen, 1)
 	go func() {
-		seen, _ := player.Watch(context.Background(), b.want("clips"))
+		seen, _ := player.Watch(context.Background(), b.request("clips"))
 		done <- seen
 	}()
-	b.eventually("a SETUP is out", func() bool { return b.boxes[0].Count().Setups == 1 })
+	b.eventually("a SETUP is pending", func() bool { return b.boxes[0].Count().Setups == 1 })
 	b.Close()
 	if seen := <-done; seen.Status != 504 {
 		t.Errorf("%+v", seen)
 	}
 	b.boxes[0].Unhang()
-	b.rules()
+	b.checkRules()
 }
--- a/internal/front/handover.go
+++ b/internal/front/handover.go
@@ -11,8 +11,8 @@
 	"rainhaven/internal/rtsp"
 )
 
-// HandoverSession is a session that plays at a box and goes from one front to the next. Its viewer claims it by the id that it
-// knows, with a request over a new connection.
+// HandoverSession describes a playing session that one front hands over to the next. Its viewer claims it over a new
+// connection with a request that names the session id.
 type HandoverSession struct {
 	ID         choice.SessID
 	Group      string
@@ -21,37 +21,38 @@
 	BestRung   int
 	Rung       int
 	Box        choice.ServerID
-	BoxSession string // the box's name for it
+	BoxSession string // session id at the box
 	Tracks     []HandoverTrack
 }
 
-// HandoverTrack is one of its tracks: the viewer's channels and the box's first one.
+// HandoverTrack is one track of a handed over session: the viewer's interleaved channels and the first one at the box.
 type HandoverTrack struct {
 	Number                              int
 	RTPChannel, RTCPChannel, BoxChannel byte
 }
 
-// HandOver ends the front and gives up its playing sessions, which stay at their boxes; others are ended as by Close.
+// HandOver closes the front and returns its playing sessions, which stay established at their boxes. Other sessions end
+// as with Close.
 func (f *Front) HandOver() (list []HandoverSession) {
 	f.call(func() {
-		for _, id := range slices.Sorted(maps.Keys(f.atBox)) {
-			c := f.atBox[id]
-			x := c.sess
-			if !x.plays || c.session == "" {
+		for _, id := range slices.Sorted(maps.Keys(f.connOf)) {
+			c := f.connOf[id]
+			sess := c.session
+			if !sess.playing || c.boxSession == "" {
 				continue
 			}
-			h := HandoverSession{ID: id, Group: f.terms().Groups[x.group].Name, Title: x.place.Title, Query: x.place.Query, BestRung: x.best,
-				Rung: c.rung, Box: c.box, BoxSession: c.session}
-			for _, t := range x.tracks {
-				h.Tracks = append(h.Tracks, HandoverTrack{t.n, t.low, t.high, t.box})
+			h := HandoverSession{ID: id, Group: f.terms().Groups[sess.group].Name, Title: sess.place.Title, Query: sess.place.Query, BestRung: sess.bestRung,
+				Rung: c.rung, Box: c.box, BoxSession: c.boxSession}
+			for _, t := range sess.tracks {
+				h.Tracks = append(h.Tracks, HandoverTrack{t.number, t.rtpChannel, t.rtcpChannel, t.boxChannel})
 			}
 			list = append(list, h)
-			delete(f.atBox, id)
-			c.sess = nil
+			delete(f.connOf, id)
+			c.session = nil
 			c.close()
-			f.forget(x)
-			if x.viewer != nil {
-				x.viewer.finish()
+			f.removeSession(sess)
+			if sess.viewer != nil {
+				sess.viewer.finish()
 			}
 		}
 	})
@@ -59,61 +60,61 @@
 	return list
 }
 
-// adopt takes over a session before the loop runs. The box is asked whether it knows it; what it does not know ends.
+// adopt takes over a session before the loop starts. A GET_PARAMETER checks that the box still knows it; else it ends.
 func (f *Front) adopt(h HandoverSession) {
 	g := f.terms().GroupIndex(h.Group)
 	title, known := f.terms().Titles[h.Title]
-	if g < 0 || !known || len(h.Tracks) == 0 || f.sess[h.ID] != nil {
+	if g < 0 || !known || len(h.Tracks) == 0 || f.sessions[h.ID] != nil {
 		return
 	}
-	x := &sess{id: h.ID, group: g, best: h.BestRung, place: rtsp.Place{Group: h.Group, Title: h.Title, Track: -1, Query: h.Query},
-		try: 1, asks: map[int]*slot{}, adopting: true}
+	sess := &frontSession{id: h.ID, group: g, bestRung: h.BestRung, place: rtsp.Place{Group: h.Group, Title: h.Title, Track: -1, Query: h.Query},
+		attempt: 1, pendingOps: map[int]*pendingRequest{}, adopting: true}
 	for _, t := range h.Tracks {
-		x.tracks = append(x.tracks, track{t.Number, t.RTPChannel, t.RTCPChannel, t.BoxChannel})
+		sess.tracks = append(sess.tracks, track{t.Number, t.RTPChannel, t.RTCPChannel, t.BoxChannel})
 	}
-	f.sess[x.id] = x
-	f.table.Adopt(x.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
+	f.sessions[sess.id] = sess
+	f.table.Adopt(sess.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
 		Length: title.Length}, h.Box, h.Rung)
-	f.connect(f.context, h.Box, func(c *boxConn) {
-		list := x.early
-		x.adopting, x.early = false, nil
+	f.connect(f.ctx, h.Box, func(c *boxConn) {
+		earlyOps := sess.earlyOps
+		sess.adopting, sess.earlyOps = false, nil
 		defer func() {
-			for _, e := range list {
-				f.table.RequestOp(x.id, e.op, e.n)
+			for _, e := range earlyOps {
+				f.table.RequestOp(sess.id, e.op, e.number)
 			}
 		}()
 		if c == nil {
-			f.table.BoxFailed(x.id, 1)
+			f.table.BoxFailed(sess.id, 1)
 			return
 		}
-		c.sess, c.try, c.session, c.rung = x, 1, h.BoxSession, h.Rung
-		c.stream.Store(x.stream)
-		f.atBox[x.id] = c
-		c.send(rtsp.Request(rtsp.GetParameter, c.url(x, -1)).With("Session", h.BoxSession), func(m *rtsp.Message) {
+		c.session, c.attempt, c.boxSession, c.rung = sess, 1, h.BoxSession, h.Rung
+		c.stream.Store(sess.stream)
+		f.connOf[sess.id] = c
+		c.send(rtsp.Request(rtsp.GetParameter, c.url(sess, -1)).With("Session", h.BoxSession), func(m *rtsp.Message) {
 			if m != nil {
-				f.table.OpAnswered(x.id, 1, session.KeepAlive, 0, m.Status, report(m))
+				f.table.OpAnswered(sess.id, 1, session.KeepAlive, 0, m.Status, parseLoadReport(m))
 			}
 		})
 	})
 	time.AfterFunc(time.Duration(limits.ClaimTimeout*1e9), func() {
 		f.post(func() {
-			if f.sess[x.id] == x && x.viewer == nil {
-				f.table.ViewerGone(x.id)
+			if f.sessions[sess.id] == sess && sess.viewer == nil {
+				f.table.ViewerGone(sess.id)
 			}
 		})
 	})
 }
 
-// claim gives a session that was handed over to the viewer that names it.
-func (v *viewer) claim(x *sess) {
-	for _, t := range x.tracks {
-		if v.used(t.low) || v.used(t.high) {
+// claim attaches a handed over session to the viewer that named it, unless its channels are in use on the connection.
+func (v *viewer) claim(sess *frontSession) {
+	for _, t := range sess.tracks {
+		if v.channelInUse(t.rtpChannel) || v.channelInUse(t.rtcpChannel) {
 			return
 		}
 	}
-	x.place.Host = v.conn.LocalAddr().String()
-	x.attach(v)
-	if c := v.f.atBox[x.id]; c != nil {
-		c.stream.Store(x.stream)
+	sess.place.Host = v.conn.LocalAddr().String()
+	sess.attach(v)
+	if c := v.f.connOf[sess.id]; c != nil {
+		c.stream.Store(sess.stream)
 	}
 }
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -7,37 +7,37 @@
 	"rainhaven/choice"
 )
 
-// SessionInfo is one session, for people.
+// SessionInfo describes one session in the control interface's list.
 type SessionInfo struct {
 	ID      string  `json:"id"`
 	Group   string  `json:"group"`
 	Title   string  `json:"title"`
-	Box     uint32  `json:"box"` // 0 before it has one
+	Box     uint32  `json:"box"` // 0 while it has none
 	Rung    int     `json:"rung"`
 	Playing bool    `json:"playing"`
-	Seconds float64 `json:"seconds"` // since it was asked for
+	Seconds float64 `json:"seconds"` // since the request
 }
 
-// ListSessions gives sessions by their ids, so many at most.
-func (f *Front) ListSessions(most int) (list []SessionInfo) {
+// ListSessions returns up to limit sessions, ordered by id.
+func (f *Front) ListSessions(limit int) (list []SessionInfo) {
 	f.call(func() {
 		t := f.terms()
-		for _, id := range slices.Sorted(maps.Keys(f.sess)) {
-			if len(list) >= most {
+		for _, id := range slices.Sorted(maps.Keys(f.sessions)) {
+			if len(list) >= limit {
 				return
 			}
-			x := f.sess[id]
-			l := SessionInfo{ID: string(id), Group: t.Groups[x.group].Name, Title: x.place.Title, Playing: x.plays, Seconds: f.now() - x.asked}
-			if c := f.atBox[id]; c != nil {
-				l.Box, l.Rung = uint32(c.box), c.rung
+			sess := f.sessions[id]
+			info := SessionInfo{ID: string(id), Group: t.Groups[sess.group].Name, Title: sess.place.Title, Playing: sess.playing, Seconds: f.now() - sess.requestedAt}
+			if c := f.connOf[id]; c != nil {
+				info.Box, info.Rung = uint32(c.box), c.rung
 			}
-			list = append(list, l)
+			list = append(list, info)
 		}
 	})
 	return list
 }
 
-// Explain puts into words why a session got its box and rung, or was turned away; empty where nothing is kept of it.
+// Explain returns lines of text on why a session got its box and rung or was refused; none if no record of it is kept.
 func (f *Front) Explain(session string) (lines []string) {
 	f.call(func() { lines = f.table.Explain(choice.SessID(session)) })
 	return lines
--- a/internal/front/migrate_test.go
+++ b/internal/front/migrate_test.go
@@ -12,7 +12,7 @@
 	"rainhaven/internal/settings"
 )
 
-const oldPlace = `
+const oldSettings = `
 front(name = "front-0", listen = "127.0.0.1:8554", seed = 3)
 kind(name = "plain", places = 100)
 ladder(rates = [250, 500, 1000, 2000])
@@ -25,7 +25,7 @@
 title(name = "vents")
 `
 
-const newPlace = `
+const layoutScript = `
 everywhere()
 group(name = "clips", live = True, floor = 0)
 fleet(shared_adds = 0.3)
@@ -33,11 +33,12 @@
 reports(come = "probes", notes_every = 0, full_at = 1)
 `
 
-// A front on migrated settings keeps the rules before three boxes that send no load notes: one hangs, one fails once.
+// A front with migrated settings keeps the rules with three boxes that send no load notes, of which one hangs and one
+// fails once.
 func TestFrontOnMigratedSettings(t *testing.T) {
 	dir := t.TempDir()
 	old, layout, out := filepath.Join(dir, "old.star"), filepath.Join(dir, "layout.star"), filepath.Join(dir, "new.star")
-	for file, text := range map[string]string{old: oldPlace, layout: newPlace} {
+	for file, text := range map[string]string{old: oldSettings, layout: layoutScript} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -53,18 +54,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, 3, func(x *settings.Terms, site *box.Site) {
+	b := newHarness(t, 3, func(x *settings.Terms, site *box.Site) {
 		site.NoteEvery = 0
 		bounds := x.Bounds
 		*x = terms
-		x.Boxes, x.Bounds = nil, bounds // newBench has its own
+		x.Boxes, x.Bounds = nil, bounds // newHarness sets its own
 	})
 	b.boxes[0].Hang()
 	b.boxes[1].Errors(1)
 	var all sync.WaitGroup
 	var served [12]bool
 	for i := range served {
-		w := b.want("clips")
+		w := b.request("clips")
 		w.Watch = 0.2
 		all.Go(func() {
 			seen, err := player.Watch(context.Background(), w)
@@ -79,10 +80,10 @@
 		}
 	}
 	if n < 6 {
-		t.Errorf("%d of %d were served by the one sound box of three", n, len(served))
+		t.Errorf("%d of %d sessions served by the one healthy box of three", n, len(served))
 	}
 	b.boxes[0].Unhang()
-	if v := b.rules(); v.Taken != len(served) || v.Answered != v.Taken {
+	if v := b.checkRules(); v.Taken != len(served) || v.Answered != v.Taken {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestPipelinedInOneWrite(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	var all []byte
@@ -36,18 +36,18 @@
 			continue
 		}
 		if m.CSeq() != want || m.Status != 200 {
-			t.Fatalf("answer %d: CSeq %d, %d %s", want, m.CSeq(), m.Status, m.Reason)
+			t.Fatalf("response %d: CSeq %d, %d %s", want, m.CSeq(), m.Status, m.Reason)
 		}
 		want++
 	}
-	b.rules()
+	b.checkRules()
 	if n := b.boxes[0].Count().Setups; n != 1 {
-		t.Errorf("%d SETUPs for a session", n)
+		t.Errorf("%d SETUPs for one session", n)
 	}
 }
 
 func TestPauseAndSeek(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -57,7 +57,7 @@
 	id, cseq := r.Session(), 1
 	var last uint16
 	var jumps, frames int
-	look := func(m *rtsp.Message, f rtsp.Frame) {
+	countFrame := func(m *rtsp.Message, f rtsp.Frame) {
 		if m == nil && f.Channel == 0 {
 			p := f.Payload()
 			if seq := uint16(p[2])<<8 | uint16(p[3]); frames > 0 && seq != last+1 {
@@ -75,49 +75,50 @@
 		if rng != "" {
 			m.With("Range", rng)
 		}
-		r, err := c.RoundTrip(m, 5*time.Second, look)
+		r, err := c.RoundTrip(m, 5*time.Second, countFrame)
 		if err != nil || r.Status != want {
 			t.Fatalf("%s %s: %v %v", method, rng, r, err)
 		}
 		return r
 	}
-	some := func() {
+	readFrames := func() {
 		for n := frames + 10; frames < n; {
 			m, f, err := c.Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			look(m, f)
+			countFrame(m, f)
 		}
 	}
 	do(rtsp.Pause, "", rtsp.NotValidInThisState)
 	do(rtsp.Play, "npt=0-", 200)
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	some()
+	readFrames()
 	do(rtsp.Pause, "", 200)
 	do(rtsp.Play, "smpte=1-", rtsp.InvalidRange)
 	do(rtsp.Play, "npt=100-", 200)
-	some()
+	readFrames()
 	do(rtsp.GetParameter, "", 200)
 	do(rtsp.TearDown, "", 200)
 	do(rtsp.Play, "", rtsp.SessionNotFound)
 	cseq++
 	m := rtsp.Request(rtsp.Options, "*").With("CSeq", fmt.Sprint(cseq)).With("Connection", "close")
-	if r, err := c.RoundTrip(m, 5*time.Second, look); err != nil || r.Header.Get("Connection") != "close" {
+	if r, err := c.RoundTrip(m, 5*time.Second, countFrame); err != nil || r.Header.Get("Connection") != "close" {
 		t.Errorf("%v %v", r, err)
 	}
 	if _, _, err := c.Next(); err == nil {
-		t.Error("the connection goes on after Connection: close")
+		t.Error("connection stays open after Connection: close")
 	}
 	if jumps > 0 {
-		t.Errorf("%d leaps in %d frames", jumps, frames)
+		t.Errorf("%d sequence jumps in %d frames", jumps, frames)
 	}
-	b.rules()
+	b.checkRules()
 }
 
-// Whatever frames are under way at a seek, RTP-Info names the first one after it by the numbers that the viewer gets.
+// RTP-Info in the response to a seek names the first frame after it by the sequence number and timestamp that the viewer
+// receives, even with earlier frames still in flight.
 func TestSeekNamesItsFirstFrame(t *testing.T) {
-	b := newBench(t, 1, func(_ *settings.Terms, site *box.Site) { site.FPS = 1000 })
+	b := newHarness(t, 1, func(_ *settings.Terms, site *box.Site) { site.FPS = 1000 })
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -144,20 +145,20 @@
 		for want := len(got) + n%4 + 1; len(got) < want || got[list[0].Seq] == 0; {
 			m, f, err := c.Next()
 			if err != nil {
-				t.Fatalf("seek %d: frame %d never came: %v", n, list[0].Seq, err)
+				t.Fatalf("seek %d: frame %d not received: %v", n, list[0].Seq, err)
 			}
 			look(m, f)
 		}
 		if ts := got[list[0].Seq]; ts != list[0].RTPTime {
-			t.Errorf("seek %d: frame %d has %d, told %d", n, list[0].Seq, ts, list[0].RTPTime)
+			t.Errorf("seek %d: frame %d has timestamp %d, RTP-Info has %d", n, list[0].Seq, ts, list[0].RTPTime)
 		}
 	}
 	c.Close()
-	b.rules()
+	b.checkRules()
 }
 
 func TestWhatAFrontTurnsDown(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	tcp := "RTP/AVP/TCP;unicast;interleaved=0-1"
 	base := "rtsp://" + b.addr
 	for name, c := range map[string]struct {
@@ -189,32 +190,32 @@
 			}
 		})
 	}
-	// A frame on a channel that was never set up, and half a request, disturb nobody.
+	// A frame on an unknown channel and an incomplete request don't affect other viewers.
 	c := b.dial()
 	c.Write(append(rtsp.AppendFrame(nil, 9, []byte("stray")), "SETUP rtsp"...))
 	c.Close()
-	if _, err := player.Watch(context.Background(), b.want("clips")); err != nil {
+	if _, err := player.Watch(context.Background(), b.request("clips")); err != nil {
 		t.Error(err)
 	}
-	b.rules()
+	b.checkRules()
 }
 
 func TestDescriptionsComeFromHolders(t *testing.T) {
 	for name, c := range map[string]struct {
-		do     func(b *bench)
+		do     func(b *harness)
 		status int
 	}{
-		"both well":               {func(*bench) {}, 200},
-		"one lies":                {func(b *bench) { b.boxes[0].Lie(true) }, 200},
-		"one hangs":               {func(b *bench) { b.boxes[1].HoldAnswers() }, 200},
-		"one is down":             {func(b *bench) { b.boxes[0].Kill() }, 200},
-		"one lies, another hangs": {func(b *bench) { b.boxes[0].Lie(true); b.boxes[1].HoldAnswers() }, 504},
+		"both well":               {func(*harness) {}, 200},
+		"one lies":                {func(b *harness) { b.boxes[0].Lie(true) }, 200},
+		"one hangs":               {func(b *harness) { b.boxes[1].HoldAnswers() }, 200},
+		"one is down":             {func(b *harness) { b.boxes[0].Kill() }, 200},
+		"one lies, another hangs": {func(b *harness) { b.boxes[0].Lie(true); b.boxes[1].HoldAnswers() }, 504},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 2, nil)
+			b := newHarness(t, 2, nil)
 			c.do(b)
 			var all []*rtsp.Conn
-			for range 4 { // who ask together are answered from one question
+			for range 4 { // concurrent requests share one fetch
 				x := b.dial()
 				x.Write(rtsp.Request(rtsp.Describe, "rtsp://"+b.addr+"/clips/vents").With("CSeq", "1").Append(nil))
 				all = append(all, x)
@@ -226,19 +227,19 @@
 				}
 			}
 			if n := metric(b, "rainhaven_descriptions_total", "taken"); c.status == 200 && n != 1 {
-				t.Errorf("%v descriptions taken for four viewers", n)
+				t.Errorf("%v descriptions fetched for four viewers, want 1", n)
 			}
 			for _, x := range b.boxes {
 				x.Unhang()
 			}
-			b.rules()
+			b.checkRules()
 		})
 	}
 }
 
-// Receiver reports reach the box; a flood of frames reaches nobody, and others start meanwhile.
+// Receiver reports reach the box. A flood of frames is dropped and doesn't delay other viewers.
 func TestViewersFrames(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -251,13 +252,13 @@
 	}
 	rr := []byte{0x80, 201, 0, 1, 0, 0, 0, 9}
 	c.Write(rtsp.AppendFrame(nil, 1, rr))
-	b.eventually("the report is at the box", func() bool { return b.boxes[0].Count().Reports == 1 })
+	b.eventually("the report has reached the box", func() bool { return b.boxes[0].Count().Reports == 1 })
 	var flood []byte
 	for range 20000 {
 		flood = rtsp.AppendFrame(flood, 1, rr)
 	}
 	go c.Write(flood)
-	if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil || seen.AnswerIn > 1 {
+	if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil || seen.AnswerIn > 1 {
 		t.Errorf("%+v %v", seen, err)
 	}
 	b.eventually("the flood is counted", func() bool { return metric(b, "rainhaven_stray_total", "") > 15000 })
@@ -265,38 +266,38 @@
 		t.Errorf("%d frames reached the box", n)
 	}
 	c.Close()
-	b.rules()
+	b.checkRules()
 }
 
 func TestOnlyUsersEnter(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Terms, _ *box.Site) {
+	b := newHarness(t, 1, func(terms *settings.Terms, _ *box.Site) {
 		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
-		w := b.want("clips")
+		w := b.request("clips")
 		w.User, w.Algorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%s: %+v %v", alg, seen, err)
 		}
 	}
-	w := b.want("clips")
+	w := b.request("clips")
 	w.User = &auth.User{Name: "lena", Password: "guess"}
 	if seen, _ := player.Watch(context.Background(), w); seen.Status != 401 {
-		t.Errorf("a wrong password: %+v", seen)
+		t.Errorf("wrong password: %+v", seen)
 	}
 	c := b.dial()
-	for n := 1; ; n++ { // a guesser's connection is ended
+	for n := 1; ; n++ { // repeated wrong credentials close the connection
 		m := b.setup(fmt.Sprint(n), "").With("Authorization", `Digest username="lena", realm="r", nonce="x"`)
 		r, err := c.RoundTrip(m, 5*time.Second, nil)
 		if err != nil {
 			break
 		}
 		if r.Status != 401 || n > 20 {
-			t.Fatalf("guess %d: %d", n, r.Status)
+			t.Fatalf("attempt %d: status %d", n, r.Status)
 		}
 	}
 	if n := b.boxes[0].Count().Setups; n != 2 {
 		t.Errorf("%d SETUPs at the box", n)
 	}
-	b.rules()
+	b.checkRules()
 }
--- a/internal/front/reload.go
+++ b/internal/front/reload.go
@@ -19,67 +19,69 @@
 // ErrClosed is that of a front that has ended.
 var ErrClosed = errors.New("the front has ended")
 
-// Reload has new terms take hold in service, all of them or none; the plan says which and why. Sessions go on.
+// Reload applies new settings without a restart, either all of them or none. The plan lists the changes and the reasons
+// for a rejection. Sessions continue.
 func (f *Front) Reload(t settings.Terms) (plan reload.Plan, err error) {
-	if !f.call(func() { plan = f.renew(t) }) {
+	if !f.call(func() { plan = f.reload(t) }) {
 		return plan, ErrClosed
 	}
 	return plan, nil
 }
 
-func (f *Front) renew(t settings.Terms) reload.Plan {
+func (f *Front) reload(t settings.Terms) reload.Plan {
 	old := f.terms()
-	terms := reload.Change{Sections: changed(old, &t)}
-	terms.Sections = append(terms.Sections, f.usersChanged(&t)...)
+	change := reload.Change{Sections: changedSections(old, &t)}
+	change.Sections = append(change.Sections, f.changedUserSections(&t)...)
 	for _, g := range old.Groups {
-		terms.OldGroups = append(terms.OldGroups, g.Name)
+		change.OldGroups = append(change.OldGroups, g.Name)
 	}
 	for _, g := range t.Groups {
-		terms.NewGroups = append(terms.NewGroups, g.Name)
+		change.NewGroups = append(change.NewGroups, g.Name)
 	}
-	p := reload.NewPlan(terms)
+	p := reload.NewPlan(change)
 	if len(p.Rejections) > 0 {
 		return p
 	}
 	if p.Has(reload.UpdateUsers) {
-		f.gate, f.users = auth.New(t.Realm, t.Users, f.key), usersPrint(&t, f.key)
+		f.authenticator, f.usersDigest = auth.New(t.Realm, t.Users, f.authKey), digestUsers(&t, f.authKey)
 	}
-	t.Users = nil // the gate has what it needs of them
+	t.Users = nil // not kept in memory: the authenticator has its own copy
 	t.Figures.Seed = old.Figures.Seed
 	f.current.Store(&t)
 	if p.Has(reload.UpdateLimits) {
-		f.keeper.SetMaxPerBox(t.Bounds.BoxConnections)
+		f.pool.SetMaxPerBox(t.Bounds.BoxConnections)
 	}
 	if p.Has(reload.ResetReporting) {
-		f.ear = delivery.New(t.Figures.NoteInterval)
+		f.meter = delivery.New(t.Figures.NoteInterval)
 	}
-	f.described.SetCells(t.Figures.Cells)
+	f.descriptions.SetCells(t.Figures.Cells)
 	switch {
 	case p.Has(reload.RebuildChoice):
-		for _, x := range f.sess {
-			x.group = p.NewGroupIndex[x.group]
+		for _, sess := range f.sessions {
+			sess.group = p.NewGroupIndex[sess.group]
 		}
-		list := f.listed(true, t.Boxes)
-		f.table.Reload(session.Config{Figures: t.Figures, Limits: f.bounds(), GroupMap: p.NewGroupIndex}, list, p.DiscardStale)
+		list := f.storeBoxes(true, t.Boxes)
+		f.table.Reload(session.Config{Figures: t.Figures, Limits: f.sessionLimits(), GroupMap: p.NewGroupIndex}, list, p.DiscardStale)
 	default:
 		if p.Has(reload.UpdateLimits) {
-			f.table.SetLimits(f.bounds())
+			f.table.SetLimits(f.sessionLimits())
 		}
 		if p.Has(reload.UpdateBoxes) {
-			f.boxes(true, t.Boxes)
+			f.updateBoxes(true, t.Boxes)
 		}
 	}
-	f.count.renewals.Inc()
+	f.metrics.reloads.Inc()
 	f.log.Info("new settings taken", zap.Any("changed", p.Changed))
 	return p
 }
 
-// changed names the parts in which terms differ, by the names of choice/reload; users are compared apart.
-func changed(a, b *settings.Terms) (list []reload.Section) {
+// changedSections returns the sections that differ between two settings, by their names in choice/reload. Users are
+// compared by changedUserSections.
+func changedSections(a, b *settings.Terms) (list []reload.Section) {
 	x, y := &a.Figures, &b.Figures
 	for _, c := range []struct {
-		part   reload.Section
-		of, to any
+		section       reload.Section
+		before, after any
 	}{
 		{"front(name)", a.Name, b.Name},
 		{"front(listen, tls_listen, admin)", [3]string{a.Listen, a.TLS.Listen, a.Admin}, [3]string{b.Listen, b.TLS.Listen, b.Admin}},
@@ -105,15 +107,15 @@
 		{"box", a.Boxes, b.Boxes},
 		{"limits", a.Bounds, b.Bounds},
 	} {
-		if !reflect.DeepEqual(c.of, c.to) {
-			list = append(list, c.part)
+		if !reflect.DeepEqual(c.before, c.after) {
+			list = append(list, c.section)
 		}
 	}
 	return list
 }
 
-// usersPrint tells one set of users and their realm from another, without keeping passwords.
-func usersPrint(t *settings.Terms, key []byte) string {
+// digestUsers returns a keyed digest of the realm and users, so that changes are found without keeping passwords.
+func digestUsers(t *settings.Terms, key []byte) string {
 	h := hmac.New(sha256.New, key)
 	fmt.Fprintf(h, "%q", t.Realm)
 	for _, u := range t.Users {
@@ -122,8 +124,8 @@
 	return string(h.Sum(nil))
 }
 
-func (f *Front) usersChanged(t *settings.Terms) []reload.Section {
-	if usersPrint(t, f.key) == f.users {
+func (f *Front) changedUserSections(t *settings.Terms) []reload.Section {
+	if digestUsers(t, f.authKey) == f.usersDigest {
 		return nil
 	}
 	return []reload.Section{"front(realm) and user"}
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -12,20 +12,20 @@
 	"rainhaven/internal/settings"
 )
 
-// New terms under a crowd: every answer comes, what plays goes on without a gap under the new bounds, what waits at a box
-// gets its answer, and what can't change is refused whole.
-func TestNewTermsInService(t *testing.T) {
-	b := newBench(t, 3, func(terms *settings.Terms, _ *box.Site) { terms.Figures.Probes = true })
+// Reloads settings under load: every request is answered, playing sessions continue without a gap under the new limits,
+// SETUPs pending at boxes are answered, and a change that needs a restart is rejected as a whole.
+func TestReloadUnderLoad(t *testing.T) {
+	b := newHarness(t, 3, func(terms *settings.Terms, _ *box.Site) { terms.Figures.Probes = true })
 	ends := make(chan player.Seen, 40)
 	playing := make(chan struct{}, 40)
 	for i := range 20 {
 		go func() {
-			w := b.want([]string{"clips", "exam"}[i%2])
+			w := b.request([]string{"clips", "exam"}[i%2])
 			w.Watch = 2.5
-			told := false
+			started := false
 			w.Live = func(player.Seen) {
-				if !told {
-					told = true
+				if !started {
+					started = true
 					playing <- struct{}{}
 				}
 			}
@@ -39,20 +39,20 @@
 	for range 20 {
 		<-playing
 	}
-	for _, x := range b.boxes { // these are out at boxes while the terms change
+	for _, x := range b.boxes { // keeps SETUPs pending at the boxes during the reload
 		x.HoldAnswers()
 	}
-	late := make(chan int, 6)
+	lateStatuses := make(chan int, 6)
 	for i := range 6 {
 		go func() {
-			seen, _ := player.Watch(context.Background(), b.want([]string{"clips", "exam"}[i%2]))
-			late <- seen.Status
+			seen, _ := player.Watch(context.Background(), b.request([]string{"clips", "exam"}[i%2]))
+			lateStatuses <- seen.Status
 		}()
 	}
-	b.eventually("all are taken", func() bool { return b.Sessions() == 26 })
+	b.eventually("all requests are accepted", func() bool { return b.Sessions() == 26 })
 	terms := b.terms
 	terms.Figures.Groups = slices.Clone(terms.Figures.Groups)
-	terms.Figures.Groups[0].Top = 1 // what plays higher comes down
+	terms.Figures.Groups[0].Top = 1 // sessions above it are moved down
 	slices.Reverse(terms.Figures.Groups)
 	terms.Groups = slices.Clone(terms.Groups)
 	slices.Reverse(terms.Groups)
@@ -61,17 +61,17 @@
 	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
-	wrong := terms
-	wrong.Listen, wrong.Bounds.Sessions = "127.0.0.1:1", 1
-	if plan, err := b.Reload(wrong); err != nil || len(plan.Rejections) != 1 {
-		t.Errorf("another port: %+v %v", plan, err)
+	rejected := terms
+	rejected.Listen, rejected.Bounds.Sessions = "127.0.0.1:1", 1
+	if plan, err := b.Reload(rejected); err != nil || len(plan.Rejections) != 1 {
+		t.Errorf("change of the listen address: %+v %v", plan, err)
 	}
 	for _, x := range b.boxes {
 		x.Unhang()
 	}
 	for range 6 {
-		if s := <-late; s != 200 {
-			t.Errorf("a SETUP out at the change: %d", s)
+		if s := <-lateStatuses; s != 200 {
+			t.Errorf("SETUP pending during the reload: status %d", s)
 		}
 	}
 	rungs := 0
@@ -82,16 +82,16 @@
 		}
 	}
 	if rungs < 10 {
-		t.Errorf("%d changes of rung in ten sessions that play too high", rungs)
+		t.Errorf("%d rung changes in ten sessions above the new top rung", rungs)
 	}
-	if v := b.rules(); v.Taken != 26 {
+	if v := b.checkRules(); v.Taken != 26 {
 		t.Errorf("%v", v)
 	}
 }
 
-// The list, titles and users change without a new module.
-func TestListsInService(t *testing.T) {
-	b := newBench(t, 2, nil)
+// Changes of boxes and titles don't rebuild the choice module, and a closed front returns ErrClosed.
+func TestReloadBoxesAndTitles(t *testing.T) {
+	b := newHarness(t, 2, nil)
 	terms := b.terms
 	terms.Boxes = slices.Clone(terms.Boxes[:1])
 	terms.Titles = map[string]settings.Title{"vents": {Span: 2}, "fans": {Span: 2}}
@@ -99,20 +99,20 @@
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
-	b.wit.Told("front-0", 2, false, b.now())
+	b.witness.Told("front-0", 2, false, b.now())
 	for range 6 {
-		w := b.want("clips")
+		w := b.request("clips")
 		w.Title, w.Watch = "fans", 0.1
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%+v %v", seen, err)
 		}
 	}
 	if n := b.boxes[1].Count().Setups; n != 0 {
-		t.Errorf("%d SETUPs at a box that left", n)
+		t.Errorf("%d SETUPs at a removed box", n)
 	}
-	b.rules()
+	b.checkRules()
 	b.Close()
 	if _, err := b.Reload(b.terms); err != front.ErrClosed {
-		t.Errorf("a front that has ended: %v", err)
+		t.Errorf("reload of a closed front: %v", err)
 	}
 }
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -27,14 +27,14 @@
 	"rainhaven/internal/settings"
 )
 
-// pair makes a self-signed certificate with its serial number, and its key.
-func pair(t *testing.T, serial int64, until time.Time) (cert, key []byte) {
+// selfSigned creates a self-signed certificate with the given serial number, and its key, in PEM.
+func selfSigned(t *testing.T, serial int64, notAfter time.Time) (cert, key []byte) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &x509.Certificate{SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "front"}, NotBefore: time.Now().Add(-72 * time.Hour),
-		NotAfter: until, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: true, BasicConstraintsValid: true}
+		NotAfter: notAfter, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: true, BasicConstraintsValid: true}
 	der, err := x509.CreateCertificate(rand.Reader, c, c, &k.PublicKey, k)
 	if err != nil {
 		t.Fatal(err)
@@ -46,9 +46,10 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: kd})
 }
 
-// Keys change while a session plays over TLS: it goes on; new connections get the new certificate, and only a good one.
+// The key pair is replaced while a session plays over TLS. The session continues, new connections get the new certificate,
+// and an invalid pair is rejected.
 func TestKeysChangeInService(t *testing.T) {
-	b := newBench(t, 1, nil)
+	b := newHarness(t, 1, nil)
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	write := func(cert, key []byte) {
@@ -58,12 +59,12 @@
 			}
 		}
 	}
-	later := time.Now().Add(1000 * time.Hour)
-	cert1, key1 := pair(t, 1, later)
-	cert2, key2 := pair(t, 2, later)
-	old, oldKey := pair(t, 3, time.Now().Add(-time.Hour))
+	validUntil := time.Now().Add(1000 * time.Hour)
+	cert1, key1 := selfSigned(t, 1, validUntil)
+	cert2, key2 := selfSigned(t, 2, validUntil)
+	expired, expiredKey := selfSigned(t, 3, time.Now().Add(-time.Hour))
 	if _, err := keys.OpenKeyPair(certFile, keyFile, zap.NewNop()); err == nil {
-		t.Fatal("files that are not there were taken")
+		t.Fatal("missing files were accepted")
 	}
 	write(cert1, key1)
 	files, err := keys.OpenKeyPair(certFile, keyFile, zap.NewNop())
@@ -88,50 +89,51 @@
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(cert1)
 	playing, done := make(chan struct{}), make(chan error, 1)
-	w := b.want("clips")
+	w := b.request("clips")
 	w.Address, w.TLS, w.Watch = addr, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}, 1.6
-	w.Live = once(playing)
+	w.Live = closeOnce(playing)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
 	}()
 	<-playing
-	for name, x := range map[string][2][]byte{"half written": {cert2[:len(cert2)/2], key2}, "not a pair": {cert2, key1}, "expired": {old, oldKey}} {
+	for name, x := range map[string][2][]byte{"half written": {cert2[:len(cert2)/2], key2}, "not a pair": {cert2, key1}, "expired": {expired, expiredKey}} {
 		write(x[0], x[1])
-		if took, say := files.Reload(time.Now()); took || say == "" || serial() != 1 {
-			t.Errorf("%s: taken %v, said %q, serial %d", name, took, say, serial())
+		if reloaded, problem := files.Reload(time.Now()); reloaded || problem == "" || serial() != 1 {
+			t.Errorf("%s: reloaded %v, problem %q, serial %d", name, reloaded, problem, serial())
 		}
 	}
 	write(cert2, key2)
-	if took, say := files.Reload(time.Now()); !took || serial() != 2 {
-		t.Errorf("a good pair: taken %v, said %q, serial %d", took, say, serial())
+	if reloaded, problem := files.Reload(time.Now()); !reloaded || serial() != 2 {
+		t.Errorf("valid pair: reloaded %v, problem %q, serial %d", reloaded, problem, serial())
 	}
 	if err := <-done; err != nil {
-		t.Errorf("the session that played: %v", err)
+		t.Errorf("playing session: %v", err)
 	}
-	// Neither a client that never finishes its handshake nor one that speaks no TLS holds up others.
-	for _, say := range []string{"", "OPTIONS * RTSP/1.0\r\n\r\n"} {
+	// Clients that never finish the handshake or don't use TLS must not block others.
+	for _, input := range []string{"", "OPTIONS * RTSP/1.0\r\n\r\n"} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Write([]byte(say))
+		c.Write([]byte(input))
 	}
 	if serial() != 2 {
-		t.Error("held up")
+		t.Error("new connections are blocked")
 	}
-	b.rules()
+	b.checkRules()
 	b.Close()
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
 }
 
-// Boxes are reached over TLS; one that is not trusted gets nothing, and counts as out of reach until it is.
+// Boxes are reached over TLS. A box with an untrusted certificate gets no requests and counts as unreachable until its
+// certificate is trusted.
 func TestBoxesOverTLS(t *testing.T) {
-	cert1, key1 := pair(t, 1, time.Now().Add(1000*time.Hour))
-	cert2, key2 := pair(t, 2, time.Now().Add(1000*time.Hour))
+	cert1, key1 := selfSigned(t, 1, time.Now().Add(1000*time.Hour))
+	cert2, key2 := selfSigned(t, 2, time.Now().Add(1000*time.Hour))
 	file := filepath.Join(t.TempDir(), "roots.pem")
 	write := func(b []byte) {
 		if err := os.WriteFile(file, b, 0o600); err != nil {
@@ -139,22 +141,22 @@
 		}
 	}
 	write(cert1)
-	var using atomic.Pointer[tls.Certificate]
-	use := func(cert, key []byte) {
+	var current atomic.Pointer[tls.Certificate]
+	setCertificate := func(cert, key []byte) {
 		c, err := tls.X509KeyPair(cert, key)
 		if err != nil {
 			t.Fatal(err)
 		}
-		using.Store(&c)
+		current.Store(&c)
 	}
-	use(cert1, key1)
-	b := newBench(t, 1, func(terms *settings.Terms, site *box.Site) {
+	setCertificate(cert1, key1)
+	b := newHarness(t, 1, func(terms *settings.Terms, site *box.Site) {
 		terms.BoxTLS, terms.Figures.Probes = settings.Trust{Roots: file}, true
-		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return using.Load(), nil }}
+		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return current.Load(), nil }}
 	})
 	playing, done := make(chan struct{}), make(chan error, 1)
-	w := b.want("clips")
-	w.Watch, w.Live = 1.6, once(playing)
+	w := b.request("clips")
+	w.Watch, w.Live = 1.6, closeOnce(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		if err == nil && seen.Frames < 20 {
@@ -167,26 +169,26 @@
 	case err := <-done:
 		t.Fatal(err)
 	}
-	use(cert2, key2)
+	setCertificate(cert2, key2)
 	for name, x := range map[string][]byte{"none": nil, "half written": append(slices.Clone(cert1), cert2[:len(cert2)/2]...)} {
 		write(x)
-		if took, say := b.roots.Reload(time.Now()); took || say == "" {
-			t.Errorf("%s: taken, said %q", name, say)
+		if reloaded, problem := b.roots.Reload(time.Now()); reloaded || problem == "" {
+			t.Errorf("%s: accepted, or no problem reported: %q", name, problem)
 		}
 	}
-	if seen, _ := player.Watch(context.Background(), b.want("exam")); seen.Status != 503 || b.boxes[0].Count().Setups != 1 {
-		t.Errorf("a box that is not trusted: %+v, %d SETUPs", seen, b.boxes[0].Count().Setups)
+	if seen, _ := player.Watch(context.Background(), b.request("exam")); seen.Status != 503 || b.boxes[0].Count().Setups != 1 {
+		t.Errorf("untrusted box: %+v, %d SETUPs", seen, b.boxes[0].Count().Setups)
 	}
 	write(append(slices.Clone(cert1), cert2...))
-	if took, say := b.roots.Reload(time.Now()); !took {
-		t.Errorf("old and new together: %q", say)
+	if reloaded, problem := b.roots.Reload(time.Now()); !reloaded {
+		t.Errorf("old and new roots together: %q", problem)
 	}
 	b.eventually("the box serves again", func() bool {
-		seen, _ := player.Watch(context.Background(), b.want("clips"))
+		seen, _ := player.Watch(context.Background(), b.request("clips"))
 		return seen.Status == 200
 	})
 	if err := <-done; err != nil {
-		t.Errorf("the session that played: %v", err)
+		t.Errorf("playing session: %v", err)
 	}
-	b.rules()
+	b.checkRules()
 }
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -24,68 +24,69 @@
 	"rainhaven/internal/rtsp"
 )
 
-// viewer is one connection of a viewer.
+// viewer is one viewer connection.
 type viewer struct {
-	f      *Front
-	conn   *rtsp.Conn
-	out    *relay.Out
-	ending atomic.Bool   // what is queued is the last
-	room   chan struct{} // one for each request without its response; the reader waits beyond
+	f         *Front
+	conn      *rtsp.Conn
+	out       *relay.Out
+	finishing atomic.Bool   // closes once the queue is written
+	inFlight  chan struct{} // one token per unanswered request; read blocks when full
 
 	// Owned by the loop.
-	slots  []*slot // requests in their order; emptied as responses are ready
-	sess   map[choice.SessID]*sess
-	serial int
-	num    uint64
-	wrong  int // credentials that were
-	asked  int // requests sent to it
-	closed bool
+	pending     []*pendingRequest // unanswered requests in order; removed when their responses are sent
+	sessions    map[choice.SessID]*frontSession
+	lastOp      int // number of the last request within a session
+	id          uint64
+	failedAuths int // requests with wrong credentials
+	lastCSeq    int // of the requests sent to the viewer
+	closed      bool
 }
 
-// slot keeps a response's place among a connection's.
-type slot struct {
-	req *rtsp.Message
-	msg *rtsp.Message
+// pendingRequest holds a request and its response, once known, so that responses leave in the order of the requests.
+type pendingRequest struct {
+	req  *rtsp.Message
+	resp *rtsp.Message
 }
 
-// sess is a session as it goes over this front's sockets.
-type sess struct {
-	id       choice.SessID
-	viewer   *viewer // nil while one that was handed over is not claimed
-	group    int
-	best     int // rung that it can use
-	place    rtsp.Place
-	tracks   []track
-	stream   *relay.Stream // nil as long
-	asked    float64       // when
-	first    *slot         // of the SETUP that asked for it
-	asks     map[int]*slot // later requests, by number
-	plays    bool
-	adopting bool          // handed over, and its box not reached yet
-	early    []early       // until then
-	answer   *rtsp.Message // what the box said to the last PLAY
-
-	try    int                // of the SETUP ordered last, 0 while none is wanted
-	cancel context.CancelFunc // of a connection that is being made
+// frontSession is the protocol state of a session: its viewer, tracks and pending requests.
+type frontSession struct {
+	id          choice.SessID
+	viewer      *viewer // nil for a handed over session until it is claimed
+	group       int
+	bestRung    int // highest rung the viewer's bandwidth allows
+	place       rtsp.Place
+	tracks      []track
+	stream      *relay.Stream           // nil as long as viewer is nil
+	requestedAt float64                 // on the front's clock
+	firstSetup  *pendingRequest         // the SETUP that requested it; nil once answered
+	pendingOps  map[int]*pendingRequest // unanswered later requests by number
+	playing     bool
+	adopting    bool          // handed over, connection to its box pending
+	earlyOps    []earlyOp     // requests received while adopting
+	playAnswer  *rtsp.Message // the box's answer to the last PLAY
+
+	attempt    int                // number of the last SETUP; 0 after it is canceled
+	cancelDial context.CancelFunc // cancels connecting to the box
 }
 
-// track is one track of a session: its number, the viewer's channels and the box's first one.
+// track is one track of a session: its number, the interleaved channels to the viewer and the first one at the box.
 type track struct {
-	n         int
-	low, high byte
-	box       byte
+	number                  int
+	rtpChannel, rtcpChannel byte
+	boxChannel              byte
 }
 
-// take begins a viewer's connection.
-func (f *Front) take(c net.Conn) {
+// startViewer starts the goroutines of a viewer connection.
+func (f *Front) startViewer(c net.Conn) {
 	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Bounds{}), out: relay.NewOut(f.terms().Bounds.Queue),
-		room: make(chan struct{}, limits.MaxPipelined), sess: map[choice.SessID]*sess{}}
-	f.work.Add(2)
+		inFlight: make(chan struct{}, limits.MaxPipelined), sessions: map[choice.SessID]*frontSession{}}
+	f.wg.Add(2)
 	go func() {
-		defer f.work.Done()
+		defer f.wg.Done()
 		err := v.out.Run(c, time.Duration(f.terms().Bounds.WriteStall*1e9))
 		if err == nil {
-			// Half closed first: input not read yet would turn the last answer into a reset.
+			// Close only the sending side first: a full close with unread input resets the connection, and the viewer may
+			// lose the last response.
 			if t, ok := c.(interface{ CloseWrite() error }); ok {
 				t.CloseWrite()
 				c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
@@ -95,59 +96,59 @@
 		c.Close()
 	}()
 	f.post(func() {
-		f.serial++
-		v.num = f.serial
+		f.lastConnID++
+		v.id = f.lastConnID
 		f.viewers[v] = struct{}{}
 	})
 	go func() {
-		defer f.work.Done()
-		defer f.open.Add(-1)
-		err := f.shake(c)
+		defer f.wg.Done()
+		defer f.openConns.Add(-1)
+		err := f.handshake(c)
 		if err == nil {
 			err = v.read()
 		}
 		c.Close()
 		v.out.Close()
-		f.post(func() { f.viewerClosed(v, err) })
+		f.post(func() { f.handleViewerClosed(v, err) })
 	}()
 }
 
-// shake has a TLS connection's handshake done within its time.
-func (f *Front) shake(c net.Conn) error {
+// handshake runs the TLS handshake of a TLS connection with a timeout.
+func (f *Front) handshake(c net.Conn) error {
 	t, ok := c.(*tls.Conn)
 	if !ok {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(f.context, time.Duration(limits.HandshakeTimeout*1e9))
+	ctx, cancel := context.WithTimeout(f.ctx, time.Duration(limits.HandshakeTimeout*1e9))
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
-		f.count.handshakes.Inc()
+		f.metrics.failedHandshakes.Inc()
 		return fmt.Errorf("TLS handshake: %w", err)
 	}
 	return nil
 }
 
-// read takes requests until the connection ends.
+// read handles requests and RTCP frames until the connection ends.
 func (v *viewer) read() error {
 	idle := time.Duration((v.f.terms().Bounds.ViewerIdle + 5) * 1e9)
-	var second time.Time
+	var windowStart time.Time
 	frames := 0
 	for {
 		v.conn.SetReadDeadline(time.Now().Add(idle))
-		if v.ending.Load() { // set before the writer's own, shorter deadline, which this one may have undone
+		if v.finishing.Load() { // the writer sets its shorter deadline after finishing; the line above may have overwritten it
 			v.conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		}
 		m, frame, err := v.conn.Next()
-		var bad *rtsp.MalformedError
-		if errors.As(err, &bad) {
-			v.f.count.malformed.Inc()
-			v.f.log.Info("malformed input of a viewer", zap.String("what", bad.What))
-			if bad.Status != 0 {
-				r := rtsp.Response(nil, bad.Status).With("Connection", "close")
-				if bad.CSeq != "" {
-					r.With("CSeq", bad.CSeq)
+		var malformed *rtsp.MalformedError
+		if errors.As(err, &malformed) {
+			v.f.metrics.malformed.Inc()
+			v.f.log.Info("malformed input from a viewer", zap.String("what", malformed.What))
+			if malformed.Status != 0 {
+				r := rtsp.Response(nil, malformed.Status).With("Connection", "close")
+				if malformed.CSeq != "" {
+					r.With("CSeq", malformed.CSeq)
 				}
-				v.f.post(func() { v.last(r) })
+				v.f.post(func() { v.finishWith(r) })
 				relay.Discard(v.conn.Conn, time.Second)
 			}
 			return err
@@ -156,81 +157,81 @@
 			return err
 		}
 		if m == nil {
-			if now := time.Now(); now.Sub(second) >= time.Second {
-				second, frames = now, 0
+			if now := time.Now(); now.Sub(windowStart) >= time.Second {
+				windowStart, frames = now, 0
 			}
 			if frames++; frames > limits.MaxViewerFramesPerSecond {
-				v.f.count.stray.Inc()
+				v.f.metrics.stray.Inc()
 				continue
 			}
-			p := append([]byte(nil), frame.Payload()...)
-			v.f.post(func() { v.report(frame.Channel, p) })
+			payload := append([]byte(nil), frame.Payload()...)
+			v.f.post(func() { v.handleRTCP(frame.Channel, payload) })
 			continue
 		}
 		if !m.IsRequest() {
-			continue // an answer to a request that this front never sends
+			continue // a response, such as to REDIRECT, needs no action
 		}
 		select {
-		case v.room <- struct{}{}:
+		case v.inFlight <- struct{}{}:
 		case <-v.f.done:
 			return net.ErrClosed
 		}
-		v.f.post(func() { v.request(m) })
+		v.f.post(func() { v.handleRequest(m) })
 	}
 }
 
-// finish ends the connection once what is queued is written.
+// finish closes the connection once its queue is written.
 func (v *viewer) finish() {
-	v.ending.Store(true)
+	v.finishing.Store(true)
 	v.out.Finish()
 }
 
-// report takes RTCP of the viewer's: a sign of life, and passed on to the box.
-func (v *viewer) report(channel byte, p []byte) {
-	for id, s := range v.sess {
-		to, lost, ok := s.stream.Back(channel, p)
+// handleRTCP counts RTCP from the viewer as a sign of life and forwards it to the box.
+func (v *viewer) handleRTCP(channel byte, payload []byte) {
+	for id, sess := range v.sessions {
+		to, lost, ok := sess.stream.Back(channel, payload)
 		if !ok {
 			continue
 		}
 		v.f.table.ViewerSeen(id)
 		if lost >= 0 {
-			v.f.count.lost.Observe(lost)
+			v.f.metrics.viewerLoss.Observe(lost)
 		}
-		if c := v.f.atBox[id]; c != nil && c.session != "" {
-			c.out.Message(rtsp.AppendFrame(nil, to, p))
+		if c := v.f.connOf[id]; c != nil && c.boxSession != "" {
+			c.out.Message(rtsp.AppendFrame(nil, to, payload))
 		}
 		return
 	}
-	v.f.count.stray.Inc()
+	v.f.metrics.stray.Inc()
 }
 
-// last answers and ends the connection.
-func (v *viewer) last(r *rtsp.Message) {
+// finishWith sends a last response and closes the connection.
+func (v *viewer) finishWith(r *rtsp.Message) {
 	if !v.closed {
 		v.out.Message(r.Append(nil))
 		v.finish()
 	}
 }
 
-func (f *Front) viewerClosed(v *viewer, err error) {
+func (f *Front) handleViewerClosed(v *viewer, err error) {
 	v.closed = true
 	delete(f.viewers, v)
-	for _, id := range slices.Sorted(maps.Keys(v.sess)) {
+	for _, id := range slices.Sorted(maps.Keys(v.sessions)) {
 		f.table.ViewerGone(id)
 	}
-	f.log.Debug("a viewer's connection is over", zap.Error(err))
+	f.log.Debug("viewer connection closed", zap.Error(err))
 }
 
-// respond fills a slot and writes what is ready, in the order of the requests.
-func (v *viewer) respond(s *slot, r *rtsp.Message) {
-	if strings.EqualFold(s.req.Header.Get("Connection"), "close") {
+// respond sets the response to a request and sends all responses that are next in the order of the requests.
+func (v *viewer) respond(pr *pendingRequest, r *rtsp.Message) {
+	if strings.EqualFold(pr.req.Header.Get("Connection"), "close") {
 		r.With("Connection", "close")
 	}
-	s.msg = r
-	for len(v.slots) > 0 && v.slots[0].msg != nil {
-		m := v.slots[0].msg
-		v.slots = v.slots[1:]
-		<-v.room
+	pr.resp = r
+	for len(v.pending) > 0 && v.pending[0].resp != nil {
+		m := v.pending[0].resp
+		v.pending = v.pending[1:]
+		<-v.inFlight
 		if v.closed {
 			continue
 		}
@@ -241,238 +242,240 @@
 	}
 }
 
-func (v *viewer) status(s *slot, status int) { v.respond(s, rtsp.Response(s.req, status)) }
+func (v *viewer) respondStatus(pr *pendingRequest, status int) {
+	v.respond(pr, rtsp.Response(pr.req, status))
+}
 
-const public = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, GET_PARAMETER, SET_PARAMETER, TEARDOWN"
+const supportedMethods = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, GET_PARAMETER, SET_PARAMETER, TEARDOWN"
 
-// request takes one request in the loop.
-func (v *viewer) request(m *rtsp.Message) {
-	s := &slot{req: m}
-	v.slots = append(v.slots, s)
-	v.f.count.requests.WithLabelValues(method(m.Method)).Inc()
+// handleRequest handles one request in the loop.
+func (v *viewer) handleRequest(m *rtsp.Message) {
+	pr := &pendingRequest{req: m}
+	v.pending = append(v.pending, pr)
+	v.f.metrics.requests.WithLabelValues(methodLabel(m.Method)).Inc()
 	switch {
 	case m.Major != 1:
-		v.status(s, rtsp.VersionNotSupported)
+		v.respondStatus(pr, rtsp.VersionNotSupported)
 		return
 	case m.CSeq() < 0:
-		v.status(s, rtsp.BadRequest)
+		v.respondStatus(pr, rtsp.BadRequest)
 		return
 	case m.Header.Get("Require") != "":
-		v.respond(s, rtsp.Response(m, rtsp.OptionNotSupported).With("Unsupported", m.Header.Get("Require")))
+		v.respond(pr, rtsp.Response(m, rtsp.OptionNotSupported).With("Unsupported", m.Header.Get("Require")))
 		return
 	}
-	if m.Method != rtsp.Options && !v.enters(s) {
+	if m.Method != rtsp.Options && !v.authorize(pr) {
 		return
 	}
 	switch m.Method {
 	case rtsp.Options:
-		v.alive(m)
-		v.respond(s, rtsp.Response(m, rtsp.OK).With("Public", public))
+		v.markSeen(m)
+		v.respond(pr, rtsp.Response(m, rtsp.OK).With("Public", supportedMethods))
 	case rtsp.Describe:
-		v.describe(s)
+		v.handleDescribe(pr)
 	case rtsp.Setup:
-		v.setup(s)
+		v.handleSetup(pr)
 	case rtsp.Play:
-		v.within(s, session.Play)
+		v.requestOp(pr, session.Play)
 	case rtsp.Pause:
-		v.within(s, session.Pause)
+		v.requestOp(pr, session.Pause)
 	case rtsp.TearDown:
-		v.within(s, session.TearDown)
+		v.requestOp(pr, session.TearDown)
 	case rtsp.GetParameter, rtsp.SetParameter:
 		if len(m.Body) > 0 {
-			v.alive(m)
-			v.status(s, rtsp.ParameterNotUnderstood)
+			v.markSeen(m)
+			v.respondStatus(pr, rtsp.ParameterNotUnderstood)
 		} else if m.Session() == "" {
-			v.status(s, rtsp.OK)
+			v.respondStatus(pr, rtsp.OK)
 		} else {
-			v.within(s, session.KeepAlive)
+			v.requestOp(pr, session.KeepAlive)
 		}
 	case rtsp.Announce, rtsp.Record, rtsp.Redirect:
-		v.respond(s, rtsp.Response(m, rtsp.MethodNotAllowed).With("Allow", public))
+		v.respond(pr, rtsp.Response(m, rtsp.MethodNotAllowed).With("Allow", supportedMethods))
 	default:
-		v.respond(s, rtsp.Response(m, rtsp.NotImplemented).With("Public", public))
+		v.respond(pr, rtsp.Response(m, rtsp.NotImplemented).With("Public", supportedMethods))
 	}
 }
 
-// enters tells whether a request's credentials are good; else it is answered.
-func (v *viewer) enters(s *slot) bool {
-	verdict := v.f.gate.Check(v.f.now(), v.num, s.req.Method, s.req.URL, s.req.Header.Get("Authorization"))
+// authorize reports whether a request's credentials are accepted. If not, it answers the request.
+func (v *viewer) authorize(pr *pendingRequest) bool {
+	verdict := v.f.authenticator.Check(v.f.now(), v.id, pr.req.Method, pr.req.URL, pr.req.Header.Get("Authorization"))
 	if verdict == auth.Accepted {
 		return true
 	}
-	r := rtsp.Response(s.req, rtsp.Unauthorized)
-	r.Header["Www-Authenticate"] = v.f.gate.Challenge(v.f.now(), v.num, verdict == auth.StaleNonce)
+	r := rtsp.Response(pr.req, rtsp.Unauthorized)
+	r.Header["Www-Authenticate"] = v.f.authenticator.Challenge(v.f.now(), v.id, verdict == auth.StaleNonce)
 	if verdict == auth.Rejected {
-		v.f.count.unauthorized.Inc()
+		v.f.metrics.unauthorized.Inc()
 		v.f.log.Info("wrong credentials", zap.Stringer("viewer", v.conn.RemoteAddr()))
-		if v.wrong++; auth.TooManyFailures(v.wrong) {
+		if v.failedAuths++; auth.TooManyFailures(v.failedAuths) {
 			r.With("Connection", "close")
 		}
 	}
-	v.respond(s, r)
+	v.respond(pr, r)
 	return false
 }
 
-// url is a session's presentation as its viewer named it.
-func (v *viewer) url(x *sess) string {
-	p := x.place
+// presentationURL returns the URL of a session's presentation as the viewer requested it.
+func (v *viewer) presentationURL(sess *frontSession) string {
+	p := sess.place
 	p.Track = -1
 	return p.URL()
 }
 
-// method keeps a metric's labels to those that are known.
-func method(m string) string {
-	if strings.Contains(public, m) && len(m) > 3 && !strings.Contains(m, ",") {
+// methodLabel maps unknown methods to "other", which bounds the values of the metric's label.
+func methodLabel(m string) string {
+	if strings.Contains(supportedMethods, m) && len(m) > 3 && !strings.Contains(m, ",") {
 		return m
 	}
 	return "other"
 }
 
-func (v *viewer) alive(m *rtsp.Message) {
-	if id := choice.SessID(m.Session()); v.sess[id] != nil {
+func (v *viewer) markSeen(m *rtsp.Message) {
+	if id := choice.SessID(m.Session()); v.sessions[id] != nil {
 		v.f.table.ViewerSeen(id)
 	}
 }
 
-// find gives the session that a request names: by its id, or, where a viewer pipelines before it was told one, the
-// only session of its connection.
-func (v *viewer) find(m *rtsp.Message) *sess {
+// findSession returns the session that a request names. A request without a session id, as pipelined before the response
+// to SETUP is known, belongs to the connection's only session.
+func (v *viewer) findSession(m *rtsp.Message) *frontSession {
 	if id := choice.SessID(m.Session()); id != "" {
-		if x := v.f.sess[id]; x != nil && x.viewer == nil {
-			v.claim(x)
+		if sess := v.f.sessions[id]; sess != nil && sess.viewer == nil {
+			v.claim(sess)
 		}
-		return v.sess[id]
+		return v.sessions[id]
 	}
-	if len(v.sess) == 1 {
-		for _, s := range v.sess {
-			return s
+	if len(v.sessions) == 1 {
+		for _, sess := range v.sessions {
+			return sess
 		}
 	}
 	return nil
 }
 
-// within takes a request within a session.
-func (v *viewer) within(s *slot, op session.Op) {
-	x := v.find(s.req)
-	if x == nil {
-		v.status(s, rtsp.SessionNotFound)
+// requestOp handles a request within a session.
+func (v *viewer) requestOp(pr *pendingRequest, op session.Op) {
+	sess := v.findSession(pr.req)
+	if sess == nil {
+		v.respondStatus(pr, rtsp.SessionNotFound)
 		return
 	}
-	if r := s.req.Header.Get("Range"); op == session.Play && r != "" {
+	if r := pr.req.Header.Get("Range"); op == session.Play && r != "" {
 		if _, err := rtsp.ParseRange(r); err != nil {
-			v.status(s, rtsp.InvalidRange)
+			v.respondStatus(pr, rtsp.InvalidRange)
 			return
 		}
 	}
-	v.serial++
-	x.asks[v.serial] = s
-	if x.adopting {
-		x.early = append(x.early, early{op, v.serial})
+	v.lastOp++
+	sess.pendingOps[v.lastOp] = pr
+	if sess.adopting {
+		sess.earlyOps = append(sess.earlyOps, earlyOp{op, v.lastOp})
 		return
 	}
-	v.f.table.RequestOp(x.id, op, v.serial)
+	v.f.table.RequestOp(sess.id, op, v.lastOp)
 }
 
-// early is a request for a session that was handed over, before its box is reached. There are as many as a connection
-// may pipeline.
-type early struct {
-	op session.Op
-	n  int
+// earlyOp is a request for a handed over session that arrived before its box was connected. The pipelining limit of a
+// connection bounds their number.
+type earlyOp struct {
+	op     session.Op
+	number int
 }
 
-// setup takes a SETUP: a request for a session, or a further track of one.
-func (v *viewer) setup(s *slot) {
-	f, m := v.f, s.req
-	p, err := rtsp.ParsePlace(m.URL)
-	g := f.terms().GroupIndex(p.Group)
-	title, known := f.terms().Titles[p.Title]
-	if err != nil || g < 0 || !known {
-		v.status(s, rtsp.NotFound)
+// handleSetup handles a SETUP, which requests a session or adds a track to one.
+func (v *viewer) handleSetup(pr *pendingRequest) {
+	f, m := v.f, pr.req
+	place, err := rtsp.ParsePlace(m.URL)
+	group := f.terms().GroupIndex(place.Group)
+	title, known := f.terms().Titles[place.Title]
+	if err != nil || group < 0 || !known {
+		v.respondStatus(pr, rtsp.NotFound)
 		return
 	}
 	specs, err := rtsp.ParseTransport(m.Header.Get("Transport"))
-	tr, ok := rtsp.OverTCP(specs)
+	transport, ok := rtsp.OverTCP(specs)
 	if err != nil || !ok {
-		v.respond(s, rtsp.Response(m, rtsp.UnsupportedTransport).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
+		v.respond(pr, rtsp.Response(m, rtsp.UnsupportedTransport).With("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
 		return
 	}
-	n := max(p.Track, 0)
-	if n >= len(media) {
-		v.status(s, rtsp.NotFound)
+	number := max(place.Track, 0)
+	if number >= len(mediaTracks) {
+		v.respondStatus(pr, rtsp.NotFound)
 		return
 	}
-	t := track{n: n, low: tr.Low, high: tr.High}
-	if !tr.Interleaved {
-		if t.low, t.high, ok = v.free(); !ok {
-			v.status(s, rtsp.NotEnoughBandwidth)
+	t := track{number: number, rtpChannel: transport.Low, rtcpChannel: transport.High}
+	if !transport.Interleaved {
+		if t.rtpChannel, t.rtcpChannel, ok = v.freeChannels(); !ok {
+			v.respondStatus(pr, rtsp.NotEnoughBandwidth)
 			return
 		}
-	} else if v.used(t.low) || v.used(t.high) {
-		v.status(s, rtsp.UnsupportedTransport)
+	} else if v.channelInUse(t.rtpChannel) || v.channelInUse(t.rtcpChannel) {
+		v.respondStatus(pr, rtsp.UnsupportedTransport)
 		return
 	}
-	if x := v.joins(m, p); x != nil {
-		t.box = byte(2 * len(x.tracks))
-		v.serial++
-		x.asks[v.serial] = s
-		x.tracks = append(x.tracks, t)
-		f.table.RequestOp(x.id, session.Join, v.serial)
+	if joined := v.sessionToJoin(m, place); joined != nil {
+		t.boxChannel = byte(2 * len(joined.tracks))
+		v.lastOp++
+		joined.pendingOps[v.lastOp] = pr
+		joined.tracks = append(joined.tracks, t)
+		f.table.RequestOp(joined.id, session.Join, v.lastOp)
 		return
 	}
 	if m.Session() != "" {
-		v.status(s, rtsp.SessionNotFound)
+		v.respondStatus(pr, rtsp.SessionNotFound)
 		return
 	}
-	x := &sess{id: newID(), viewer: v, asked: f.now(), group: g, place: p, tracks: []track{t}, first: s, asks: map[int]*slot{}}
-	x.attach(v)
-	f.sess[x.id] = x
+	sess := &frontSession{id: newSessionID(), viewer: v, requestedAt: f.now(), group: group, place: place, tracks: []track{t}, firstSetup: pr, pendingOps: map[int]*pendingRequest{}}
+	sess.attach(v)
+	f.sessions[sess.id] = sess
 	bandwidth, _ := strconv.ParseFloat(strings.TrimSpace(m.Header.Get("Bandwidth")), 64)
 	if !(bandwidth >= 0) || math.IsInf(bandwidth, 0) {
 		bandwidth = 0
 	}
-	x.best = session.BestRung(f.terms().Groups[g].Rates, bandwidth)
-	f.count.taken.WithLabelValues(f.terms().Groups[g].Name).Inc()
-	f.table.Open(x.id, session.Request{Group: g, Title: p.Title, StartCell: title.StartCell, Span: title.Span,
-		BestRung: x.best, Length: title.Length})
+	sess.bestRung = session.BestRung(f.terms().Groups[group].Rates, bandwidth)
+	f.metrics.sessionRequests.WithLabelValues(f.terms().Groups[group].Name).Inc()
+	f.table.Open(sess.id, session.Request{Group: group, Title: place.Title, StartCell: title.StartCell, Span: title.Span,
+		BestRung: sess.bestRung, Length: title.Length})
 }
 
-// attach gives a session its viewer, and the way of its media.
-func (x *sess) attach(v *viewer) {
+// attach connects a session to its viewer and creates the stream that relays its media.
+func (sess *frontSession) attach(v *viewer) {
 	f := v.f
-	x.viewer, v.sess[x.id] = v, x
-	x.stream = relay.NewStream(v.out, func(link, uplink float64) { f.post(func() { f.note(x, link, uplink) }) })
-	for _, t := range x.tracks {
-		x.stream.Add(t.box, &relay.Track{RTP: t.low, RTCP: t.high, Clock: media[t.n].clock})
+	sess.viewer, v.sessions[sess.id] = v, sess
+	sess.stream = relay.NewStream(v.out, func(link, uplink float64) { f.post(func() { f.handleLoadNote(sess, link, uplink) }) })
+	for _, t := range sess.tracks {
+		sess.stream.Add(t.boxChannel, &relay.Track{RTP: t.rtpChannel, RTCP: t.rtcpChannel, Clock: mediaTracks[t.number].clockRate})
 	}
 }
 
-// joins finds the session that a SETUP adds a track to: the one it names, or one of the same presentation whose first
-// SETUP was pipelined just before.
-func (v *viewer) joins(m *rtsp.Message, p rtsp.Place) *sess {
+// sessionToJoin returns the session that a SETUP adds a track to: the one it names, or one of the same presentation whose
+// first SETUP is still pending, as with pipelined SETUPs.
+func (v *viewer) sessionToJoin(m *rtsp.Message, p rtsp.Place) *frontSession {
 	if id := m.Session(); id != "" {
-		return v.sess[choice.SessID(id)]
+		return v.sessions[choice.SessID(id)]
 	}
-	for _, x := range v.sess {
-		if x.first != nil && x.place.Group == p.Group && x.place.Title == p.Title && !x.has(max(p.Track, 0)) {
-			return x
+	for _, sess := range v.sessions {
+		if sess.firstSetup != nil && sess.place.Group == p.Group && sess.place.Title == p.Title && !sess.hasTrack(max(p.Track, 0)) {
+			return sess
 		}
 	}
 	return nil
 }
 
-func (x *sess) has(n int) bool {
-	for _, t := range x.tracks {
-		if t.n == n {
+func (sess *frontSession) hasTrack(n int) bool {
+	for _, t := range sess.tracks {
+		if t.number == n {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *viewer) used(channel byte) bool {
-	for _, x := range v.sess {
-		for _, t := range x.tracks {
-			if t.low == channel || t.high == channel {
+func (v *viewer) channelInUse(channel byte) bool {
+	for _, sess := range v.sessions {
+		for _, t := range sess.tracks {
+			if t.rtpChannel == channel || t.rtcpChannel == channel {
 				return true
 			}
 		}
@@ -480,60 +483,60 @@
 	return false
 }
 
-func (v *viewer) free() (low, high byte, ok bool) {
+func (v *viewer) freeChannels() (low, high byte, ok bool) {
 	for c := 0; c < 255; c += 2 {
-		if !v.used(byte(c)) && !v.used(byte(c+1)) {
+		if !v.channelInUse(byte(c)) && !v.channelInUse(byte(c+1)) {
 			return byte(c), byte(c + 1), true
 		}
 	}
 	return 0, 0, false
 }
 
-// forget drops a session whose end has been told.
-func (f *Front) forget(x *sess) {
-	delete(f.sess, x.id)
-	if x.viewer != nil {
-		delete(x.viewer.sess, x.id)
+// removeSession removes a session whose end has been reported.
+func (f *Front) removeSession(sess *frontSession) {
+	delete(f.sessions, sess.id)
+	if sess.viewer != nil {
+		delete(sess.viewer.sessions, sess.id)
 	}
-	f.ear.Forget(x.id)
-	x.plays = false
+	f.meter.Forget(sess.id)
+	sess.playing = false
 }
 
-// note passes a load note on, one a box.
-func (f *Front) note(x *sess, link, uplink float64) {
-	c := f.atBox[x.id]
-	if c == nil || !f.ear.AcceptNote(c.box, f.now(), link, uplink) {
+// handleLoadNote passes a load note on to the table, at most one per box and interval.
+func (f *Front) handleLoadNote(sess *frontSession, link, uplink float64) {
+	c := f.connOf[sess.id]
+	if c == nil || !f.meter.AcceptNote(c.box, f.now(), link, uplink) {
 		return
 	}
-	f.count.notes.Inc()
-	f.table.LoadNote(x.id, c.box, link, false)
+	f.metrics.loadNotes.Inc()
+	f.table.LoadNote(sess.id, c.box, link, false)
 	if uplink >= 0 {
-		f.table.LoadNote(x.id, c.box, uplink, true)
+		f.table.LoadNote(sess.id, c.box, uplink, true)
 	}
 }
 
-// played answers a PLAY: where the media goes on from, and its first frames after it.
-func (x *sess) played(s *slot) *rtsp.Message {
-	r := rtsp.Response(s.req, rtsp.OK).With("Session", string(x.id))
-	if x.answer != nil {
-		if v := x.answer.Header.Get("Range"); v != "" {
+// playResponse builds the response to PLAY, with the range and the RTP-Info of the first frames.
+func (sess *frontSession) playResponse(pr *pendingRequest) *rtsp.Message {
+	r := rtsp.Response(pr.req, rtsp.OK).With("Session", string(sess.id))
+	if sess.playAnswer != nil {
+		if v := sess.playAnswer.Header.Get("Range"); v != "" {
 			r.With("Range", v)
 		}
-		list, err := rtsp.ParseRTPInfo(x.answer.Header.Get("Rtp-Info"))
+		list, err := rtsp.ParseRTPInfo(sess.playAnswer.Header.Get("Rtp-Info"))
 		var out []rtsp.RTPInfo
 		for _, i := range list {
 			p, bad := rtsp.ParsePlace(i.URL)
 			if bad != nil {
 				continue
 			}
-			for _, t := range x.tracks {
-				if t.n != max(p.Track, 0) {
+			for _, t := range sess.tracks {
+				if t.number != max(p.Track, 0) {
 					continue
 				}
-				if seq, ts, ok := x.stream.Numbers(t.box, i.Seq, i.RTPTime); ok {
-					i.Seq, i.RTPTime = seq, ts // the stream goes on in the numbers that the viewer knows
+				if seq, ts, ok := sess.stream.Numbers(t.boxChannel, i.Seq, i.RTPTime); ok {
+					i.Seq, i.RTPTime = seq, ts // the viewer sees one continuous sequence
 				}
-				i.URL = rtsp.Place{Host: x.place.Host, Group: x.place.Group, Title: x.place.Title, Track: t.n, Query: x.place.Query}.URL()
+				i.URL = rtsp.Place{Host: sess.place.Host, Group: sess.place.Group, Title: sess.place.Title, Track: t.number, Query: sess.place.Query}.URL()
 				out = append(out, i)
 			}
 		}
@@ -544,6 +547,6 @@
 	return r
 }
 
-func (f *Front) sessionField(x *sess) string {
-	return rtsp.SessionField(string(x.id), time.Duration(f.terms().Bounds.ViewerIdle*1e9))
+func (f *Front) sessionHeader(sess *frontSession) string {
+	return rtsp.SessionField(string(sess.id), time.Duration(f.terms().Bounds.ViewerIdle*1e9))
 }
