--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -45,7 +45,7 @@
 				pw, _ := u.User.Password()
 				who = &auth.User{Name: u.User.Username(), Password: pw}
 			}
-			w := player.Want{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), Watch: watch.Seconds(),
+			w := player.Options{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), WatchSeconds: watch.Seconds(),
 				Bandwidth: bandwidth, Tracks: tracks, Describe: true}
 			if strings.HasPrefix(args[0], "rtsps:") {
 				w.TLS = &tls.Config{InsecureSkipVerify: insecure}
@@ -65,23 +65,23 @@
 					return failure{exitFailed, err}
 				}
 				defer f.Close()
-				w.Save = f
+				w.PayloadWriter = f
 			}
 			if !asJSON {
-				w.Live = func(s player.Seen) {
-					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", s.Rung, s.Share(), s.Frames, s.WorstGap*1000, s.Lost)
+				w.OnProgress = func(s player.Result) {
+					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", s.LastRung, s.DeliveredShare(), s.Frames, s.MaxFrameGap*1000, s.LostPackets)
 				}
 			}
 			seen, err := player.Watch(c.Context(), w)
 			if asJSON {
 				json.NewEncoder(c.OutOrStdout()).Encode(struct {
-					player.Seen
+					player.Result
 					DeliveredShare float64
 					Error          string `json:",omitempty"`
-				}{seen, seen.Share(), errText(err)})
+				}{seen, seen.DeliveredShare(), errText(err)})
 			} else {
 				fmt.Fprintf(c.OutOrStdout(), "answer %d after %.1f ms, first frame after %.1f ms, %d frames, share %.3f, worst gap %.0f ms, lost %d, doubled %d, rung changes %d\n",
-					seen.Status, seen.AnswerIn*1000, seen.FirstFrame*1000, seen.Frames, seen.Share(), seen.WorstGap*1000, seen.Lost, seen.Doubled, seen.Rungs)
+					seen.Status, seen.AnswerSeconds*1000, seen.FirstFrameSeconds*1000, seen.Frames, seen.DeliveredShare(), seen.MaxFrameGap*1000, seen.LostPackets, seen.RepeatedPackets, seen.RungChanges)
 			}
 			if err != nil {
 				return failure{exitFailed, err}
@@ -189,24 +189,24 @@
 			if reloads {
 				o.Builds = append(o.Builds, measure.Build{Name: "reloading", Program: self, Reloads: true})
 			}
-			if o.Setups < 1 || o.Reps < 1 || o.Seconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
+			if o.Setups < 1 || o.Reps < 1 || o.TransferSeconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
 				return fmt.Errorf("--sessions, --setups, --reps and --seconds must be above 0")
 			}
 			rows, err := measure.Run(c.Context(), o, nil)
 			if err != nil {
-				measure.Write(c.OutOrStdout(), rows) // what was measured until then stands
+				measure.WriteTable(c.OutOrStdout(), rows) // what was measured until then stands
 				return failure{exitFailed, err}
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(rows)
 			}
-			measure.Write(c.OutOrStdout(), rows)
+			measure.WriteTable(c.OutOrStdout(), rows)
 			return nil
 		}}
 	c.Flags().IntSliceVar(&o.Sessions, "sessions", []int{1, 100, 1000}, "playing sessions to measure under")
 	c.Flags().IntVar(&o.Setups, "setups", 1000, "set-ups timed, each way in turns")
 	c.Flags().IntVar(&o.Reps, "reps", 5, "transfers at full speed, each way in turns")
-	c.Flags().Float64Var(&o.Seconds, "seconds", 1, "length of a transfer")
+	c.Flags().Float64Var(&o.TransferSeconds, "seconds", 1, "length of a transfer")
 	c.Flags().StringVar(&against, "against", "", "another build of rainhaven, measured in turns with this one")
 	c.Flags().BoolVar(&reloads, "reloads", false, "measure a front that takes new settings each second, too")
 	c.Flags().BoolVar(&overTLS, "tls", false, "measure viewers over TLS too")
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -76,8 +76,8 @@
 			}
 			start := time.Now()
 			base := float64(start.UnixNano()) / 1e9
-			site := &box.Site{Ladder: rates, Places: places, Length: func(string) float64 { return 0 }, WarmUp: 10, ColdShare: 0.4,
-				FallFactor: 4, FallTime: 1.5, ReportEvery: 0.4, NoteEvery: 3, SetupTime: 0.02, FPS: fps, Thin: thin,
+			site := &box.Config{Ladder: rates, MaxSessions: places, TitleLength: func(string) float64 { return 0 }, WarmUp: 10, ColdShare: 0.4,
+				OverloadFactor: 4, OverloadTime: 1.5, ReportInterval: 0.4, NoteInterval: 3, SetupTime: 0.02, FPS: fps, PayloadScale: thin,
 				Now: func() float64 { return base + time.Since(start).Seconds() }}
 			b, err := box.Start(site, id, listen, link, box.NewRack(link), cold)
 			if err != nil {
@@ -152,8 +152,8 @@
 func try(ctx context.Context, c *cobra.Command, log *zap.Logger, listen string, viewers int) error {
 	start := time.Now()
 	base := float64(start.UnixNano()) / 1e9
-	site := &box.Site{Ladder: []float64{60, 125, 250, 500}, Places: 20, Length: func(string) float64 { return 0 }, ReportEvery: 0.4, NoteEvery: 3,
-		SetupTime: 0.02, Vary: 0.1, FPS: 25, Thin: 1, Now: func() float64 { return base + time.Since(start).Seconds() }}
+	site := &box.Config{Ladder: []float64{60, 125, 250, 500}, MaxSessions: 20, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.4, NoteInterval: 3,
+		SetupTime: 0.02, RateVariation: 0.1, FPS: 25, PayloadScale: 1, Now: func() float64 { return base + time.Since(start).Seconds() }}
 	var boxes []*box.Box
 	var list []settings.Box
 	racks := []*box.Rack{box.NewRack(7000), box.NewRack(7000), box.NewRack(7000)}
@@ -186,7 +186,7 @@
 		work.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				group := [2]string{"fault-clips", "grower-guides"}[(i+n)%2]
-				player.Watch(ctx, player.Want{Address: address, Group: group, Title: [2]string{"demo", "vents"}[n%2], Watch: float64(3 + (i*7+n*5)%9), Tracks: 1 + i%2})
+				player.Watch(ctx, player.Options{Address: address, Group: group, Title: [2]string{"demo", "vents"}[n%2], WatchSeconds: float64(3 + (i*7+n*5)%9), Tracks: 1 + i%2})
 				select {
 				case <-ctx.Done():
 				case <-time.After(300 * time.Millisecond):
@@ -206,8 +206,8 @@
 		line := fmt.Sprintf("%3.0f s  sessions %d  at boxes", time.Since(start).Seconds(), f.Sessions())
 		frames := int64(0)
 		for _, b := range boxes {
-			n := b.Count()
-			frames += n.Frames
+			n := b.Counts()
+			frames += n.Packets
 			line += fmt.Sprintf(" %d", n.Sessions)
 		}
 		line += fmt.Sprintf("  frames %d", frames)
--- a/cmd/rainhaven/trials.go
+++ b/cmd/rainhaven/trials.go
@@ -31,7 +31,7 @@
 		}
 		o.Trials = node.Trials{WallOffset: clockOffset, Sabotage: spoil}
 		if networkFaults != 0 {
-			o.Network = faults.New(networkFaults, faults.Usual)
+			o.Network = faults.New(networkFaults, faults.DefaultRates)
 		}
 		return nil
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -41,8 +41,8 @@
 
 func boxes(t *testing.T, n int) (list []*box.Box) {
 	began := time.Now()
-	site := &box.Site{Ladder: []float64{100, 200}, Places: 100, Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1,
-		FPS: 50, Thin: 0.1, Keep: 2, Now: func() float64 { return time.Since(began).Seconds() }}
+	site := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 100, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.1, NoteInterval: 1,
+		FPS: 50, PayloadScale: 0.1, DisconnectGrace: 2, Now: func() float64 { return time.Since(began).Seconds() }}
 	rack := box.NewRack(1e6)
 	for i := range n {
 		b, err := box.Start(site, i+1, "", 1e6, rack, false)
@@ -95,8 +95,8 @@
 	return p
 }
 
-func (p *process) watch(seconds float64) (player.Seen, error) {
-	return player.Watch(context.Background(), player.Want{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: seconds})
+func (p *process) watch(seconds float64) (player.Result, error) {
+	return player.Watch(context.Background(), player.Options{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, WatchSeconds: seconds})
 }
 
 func (p *process) health() (w health.Status) {
@@ -138,7 +138,7 @@
 	script(t, file, "", "", list)
 	p := run(t, file)
 	type end struct {
-		seen player.Seen
+		seen player.Result
 		err  error
 	}
 	done := make(chan end, 1)
@@ -158,7 +158,7 @@
 			return w.Ready && strings.Contains(strings.Join(w.Degraded, ""), c.say) && (c.say == "") == (len(w.Degraded) == 0)
 		})
 	}
-	w := player.Want{Address: p.listen, Group: "guides", Title: "vents", SetupTimeout: 4, Watch: 0.2}
+	w := player.Options{Address: p.listen, Group: "guides", Title: "vents", SetupTimeout: 4, WatchSeconds: 0.2}
 	for end := time.Now().Add(15 * time.Second); ; { // health may have been told before the reload began
 		if seen, _ := player.Watch(context.Background(), w); seen.Status == 200 {
 			break
@@ -167,7 +167,7 @@
 			t.Fatal("the new group is not served")
 		}
 	}
-	if e := <-done; e.err != nil || e.seen.Lost+e.seen.Doubled+e.seen.Jumps > 0 {
+	if e := <-done; e.err != nil || e.seen.LostPackets+e.seen.RepeatedPackets+e.seen.TimestampJumps > 0 {
 		t.Errorf("the session that played: %+v %v", e.seen, e.err)
 	}
 	p.signals <- syscall.SIGTERM
@@ -184,8 +184,8 @@
 		playing, done := make(chan struct{}), make(chan error, 1)
 		go func() {
 			told := false
-			_, err := player.Watch(context.Background(), player.Want{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: 3,
-				Live: func(player.Seen) {
+			_, err := player.Watch(context.Background(), player.Options{Address: p.listen, Group: "clips", Title: "vents", SetupTimeout: 3, WatchSeconds: 3,
+				OnProgress: func(player.Result) {
 					if !told {
 						told = true
 						close(playing)
@@ -262,11 +262,11 @@
 	for _, killed := range []bool{false, true} {
 		list := boxes(t, 3)
 		for _, b := range list {
-			b.Errors(1000)
+			b.FailSetups(1000)
 		}
 		setups := func() (n int64) {
 			for _, b := range list {
-				n += b.Count().Setups
+				n += b.Counts().Setups
 			}
 			return n
 		}
@@ -330,14 +330,14 @@
 	playing, done := make(chan struct{}), make(chan error, 1)
 	go func() {
 		told := false
-		seen, err := player.Watch(context.Background(), player.Want{Address: old.listen, Group: "clips", Title: "vents", SetupTimeout: 3, Watch: 5,
-			Live: func(player.Seen) {
+		seen, err := player.Watch(context.Background(), player.Options{Address: old.listen, Group: "clips", Title: "vents", SetupTimeout: 3, WatchSeconds: 5,
+			OnProgress: func(player.Result) {
 				if !told {
 					told = true
 					close(playing)
 				}
 			}})
-		if err == nil && seen.Lost+seen.Jumps > 0 {
+		if err == nil && seen.LostPackets+seen.TimestampJumps > 0 {
 			err = fmt.Errorf("%+v", seen)
 		}
 		done <- err
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -99,8 +99,8 @@
 	// The ration's window goes on over restarts here: no start of a front is told.
 	s.wit = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3}, "exam": {SetupTimeout: 3, Paid: true}},
 		Grace: 0.5, AnswerBy: 0.1, Places: 40, WarmUp: 8, ColdShare: 0.4, FallFactor: 4, FallTime: 1.5, Spare: 5, Share: 0.1, Window: 10})
-	lab := &box.Site{Ladder: []float64{100, 200}, Places: 40, Length: func(string) float64 { return 0 }, WarmUp: 8, ColdShare: 0.4, FallFactor: 4,
-		FallTime: 1.5, ReportEvery: 0.2, NoteEvery: 1, SetupTime: 0.01, FPS: 25, Thin: 0.05, Keep: 1, Now: s.now, Witness: s.wit}
+	lab := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 40, TitleLength: func(string) float64 { return 0 }, WarmUp: 8, ColdShare: 0.4, OverloadFactor: 4,
+		OverloadTime: 1.5, ReportInterval: 0.2, NoteInterval: 1, SetupTime: 0.01, FPS: 25, PayloadScale: 0.05, DisconnectGrace: 1, Now: s.now, Witness: s.wit}
 	rack := box.NewRack(8000 * float64(boxes))
 	for i := range boxes {
 		b, err := box.Start(lab, i+1, "", 8000, rack, i == boxes-1)
@@ -139,7 +139,7 @@
 title(name = "vents", span = %d)
 `, strings.Join(s.listen, `", "`), s.n, s.n, s.dir, top, 8000*len(s.boxes), 8000*len(s.boxes), len(s.boxes), len(s.boxes))
 	for i, b := range s.boxes {
-		t += fmt.Sprintf("box(id = %d, cell = %d, address = %q, born = %.3f)\n", i+1, i, b.Address, b.Born())
+		t += fmt.Sprintf("box(id = %d, cell = %d, address = %q, born = %.3f)\n", i+1, i, b.Address, b.StartedAt())
 	}
 	if err := os.WriteFile(s.script, []byte(t), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -234,8 +234,8 @@
 				continue
 			}
 			i := ready[r.IntN(len(ready))]
-			w := player.Want{Address: s.listen[i], Front: fmt.Sprint("f", i), Group: []string{"clips", "exam"}[n%2], Title: "vents",
-				Token: fmt.Sprint("v", n), SetupTimeout: 3, Watch: 0.5 + r.Float64(), Now: s.now, Witness: s.wit}
+			w := player.Options{Address: s.listen[i], Front: fmt.Sprint("f", i), Group: []string{"clips", "exam"}[n%2], Title: "vents",
+				Token: fmt.Sprint("v", n), SetupTimeout: 3, WatchSeconds: 0.5 + r.Float64(), Now: s.now, Witness: s.wit}
 			viewers.Go(func() {
 				seen, _ := player.Watch(context.Background(), w)
 				served <- seen.Status
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -32,7 +32,7 @@
 	*front.Front
 	t     testing.TB
 	boxes []*box.Box
-	site  *box.Site
+	site  *box.Config
 	terms settings.Config
 	addr  string
 	wit   *witness.Witness
@@ -41,14 +41,14 @@
 	roots *keys.Roots // where boxes are reached over TLS
 }
 
-func newBench(t testing.TB, boxes int, change func(*settings.Config, *box.Site)) *bench {
+func newBench(t testing.TB, boxes int, change func(*settings.Config, *box.Config)) *bench {
 	epoch := time.Now()
 	base := float64(epoch.UnixNano()) / 1e9
 	b := &bench{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
 	b.wit = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
 		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
-	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
-		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.wit}
+	b.site = &box.Config{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, MaxSessions: 100,
+		TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.1, NoteInterval: 1, FPS: 50, PayloadScale: 0.02, DisconnectGrace: 2, Now: b.now, Witness: b.wit}
 	b.terms = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
 		{Utility: 2, Scale: 1, StartTarget: 0.5, Floor: 1, Top: 3}, {Utility: 1, Scale: 1, StartTarget: 0.5, Top: 3, Paid: true}},
 		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinkCapacity: 20000 * float64(boxes), MeanUplinkCapacity: 20000 * float64(boxes),
@@ -103,10 +103,10 @@
 
 var tokens atomic.Int64
 
-func (b *bench) want(group string) player.Want {
+func (b *bench) want(group string) player.Options {
 
-	return player.Want{Address: b.addr, Front: "front-0", Group: group, Title: "vents", Token: fmt.Sprint("v", tokens.Add(1)),
-		SetupTimeout: b.wit0(group), Watch: 0.3, Now: b.now, Witness: b.wit}
+	return player.Options{Address: b.addr, Front: "front-0", Group: group, Title: "vents", Token: fmt.Sprint("v", tokens.Add(1)),
+		SetupTimeout: b.wit0(group), WatchSeconds: 0.3, Now: b.now, Witness: b.wit}
 }
 
 func (b *bench) wit0(group string) float64 {
@@ -143,8 +143,8 @@
 }
 
 // once closes a channel at a viewer's first live word.
-func once(c chan struct{}) func(player.Seen) {
-	return func(player.Seen) {
+func once(c chan struct{}) func(player.Result) {
+	return func(player.Result) {
 		select {
 		case <-c:
 		default:
@@ -156,9 +156,9 @@
 func TestOneSessionFromViewerToBoxAndBack(t *testing.T) {
 	b := newBench(t, 3, nil)
 	w := b.want("clips")
-	w.Describe, w.Tracks, w.Watch = true, 2, 0.5
+	w.Describe, w.Tracks, w.WatchSeconds = true, 2, 0.5
 	seen, err := player.Watch(context.Background(), w)
-	if err != nil || seen.Status != 200 || seen.Frames < 20 || seen.Lost+seen.Doubled+seen.Jumps > 0 || !seen.Ended {
+	if err != nil || seen.Status != 200 || seen.Frames < 20 || seen.LostPackets+seen.RepeatedPackets+seen.TimestampJumps > 0 || !seen.Ended {
 		t.Errorf("%+v %v", seen, err)
 	}
 	if v := b.rules(); v.Taken != 1 || v.Answered != 1 {
@@ -181,19 +181,19 @@
 		most   int64
 	}{
 		"served":                   {"clips", func(*bench) {}, 200, 1, 1},
-		"all full":                 {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
-		"paid, all full":           {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Refuse(true) }) }, 503, 3, 3},
-		"errors, then served":      {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Errors(1) }) }, 503, 3, 3},
-		"paid, error":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Errors(1) }) }, 504, 1, 1},
+		"all full":                 {"clips", func(b *bench) { all(b, func(x *box.Box) { x.RefuseSetups(true) }) }, 503, 3, 3},
+		"paid, all full":           {"exam", func(b *bench) { all(b, func(x *box.Box) { x.RefuseSetups(true) }) }, 503, 3, 3},
+		"errors, then served":      {"clips", func(b *bench) { all(b, func(x *box.Box) { x.FailSetups(1) }) }, 503, 3, 3},
+		"paid, error":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.FailSetups(1) }) }, 504, 1, 1},
 		"all hang":                 {"clips", func(b *bench) { all(b, (*box.Box).Hang) }, 503, 3, 3},
 		"paid, hang":               {"exam", func(b *bench) { all(b, (*box.Box).Hang) }, 504, 1, 1},
-		"all break":                {"clips", func(b *bench) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 503, 3, 3},
-		"paid, break":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.Breaks(1) }) }, 504, 1, 1},
+		"all break":                {"clips", func(b *bench) { all(b, func(x *box.Box) { x.DisconnectSetups(1) }) }, 503, 3, 3},
+		"paid, break":              {"exam", func(b *bench) { all(b, func(x *box.Box) { x.DisconnectSetups(1) }) }, 504, 1, 1},
 		"no connection":            {"clips", func(b *bench) { all(b, (*box.Box).Kill) }, 503, 0, 0},
 		"paid, no connection":      {"exam", func(b *bench) { all(b, (*box.Box).Kill) }, 503, 0, 0},
-		"two refuse, third served": {"clips", func(b *bench) { b.boxes[0].Refuse(true); b.boxes[2].Refuse(true) }, 200, 1, 3},
+		"two refuse, third served": {"clips", func(b *bench) { b.boxes[0].RefuseSetups(true); b.boxes[2].RefuseSetups(true) }, 200, 1, 3},
 		"first refuses, second hangs": {"clips", func(b *bench) {
-			b.boxes[0].Refuse(true)
+			b.boxes[0].RefuseSetups(true)
 			b.boxes[1].Hang()
 		}, 200, 1, 3},
 	} {
@@ -209,8 +209,8 @@
 			}
 			n := int64(0)
 			for _, x := range b.boxes {
-				n += x.Count().Setups
-				x.Unhang()
+				n += x.Counts().Setups
+				x.Resume()
 			}
 			if n < c.setups || n > c.most {
 				t.Errorf("%d SETUPs at boxes, want %d to %d", n, c.setups, c.most)
@@ -231,7 +231,7 @@
 		t.Fatalf("%+v %v", seen, err)
 	}
 	for _, x := range b.boxes {
-		x.Unhang() // both now set up what was withdrawn
+		x.Resume() // both now set up what was withdrawn
 	}
 	b.rules()
 	b.eventually("two orphans torn down", func() bool { return metric(b, "rainhaven_orphans_total", "torn down") == 2 })
@@ -264,11 +264,11 @@
 				b.boxes[1].HoldAnswers()
 			}
 			w := b.want("clips")
-			w.Watch, w.LeaveAfter = 0, c.after
+			w.WatchSeconds, w.DisconnectAfter = 0, c.after
 			player.Watch(context.Background(), w)
 			b.eventually("the front has let go", func() bool { return b.Sessions() == 0 })
 			for _, x := range b.boxes {
-				x.Unhang()
+				x.Resume()
 			}
 			b.rules()
 		})
@@ -294,12 +294,12 @@
 // A box that refuses a TEARDOWN goes on sending: the next viewer must not get it.
 func TestNextViewerGetsNothingOfTheLast(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.boxes[0].KeepSessions(1)
+	b.boxes[0].FailTeardowns(1)
 	for range 2 {
 		w := b.want("clips")
-		w.Watch = 0.6
+		w.WatchSeconds = 0.6
 		seen, err := player.Watch(context.Background(), w)
-		if err != nil || seen.Jumps+seen.Lost+seen.Doubled+seen.Rungs > 0 || seen.Frames > 40 { // 30 are its own
+		if err != nil || seen.TimestampJumps+seen.LostPackets+seen.RepeatedPackets+seen.RungChanges > 0 || seen.Frames > 40 { // 30 are its own
 			t.Fatalf("%+v %v", seen, err)
 		}
 	}
@@ -315,7 +315,7 @@
 	}
 	for _, x := range b.boxes { // the box closes between SETUP and PLAY
 		if x.Sessions() > 0 {
-			x.ResetAll()
+			x.ResetConnections()
 		}
 	}
 	b.eventually("the front knows", func() bool { return b.Sessions() == 0 })
@@ -334,12 +334,12 @@
 func TestListDropsABoxWithSessionsOnIt(t *testing.T) {
 	b := newBench(t, 2, nil)
 	type end struct {
-		seen player.Seen
+		seen player.Result
 		err  error
 	}
 	ends, playing := make(chan end, 1), make(chan struct{})
 	w := b.want("clips")
-	w.Watch, w.Live = 2.2, once(playing)
+	w.WatchSeconds, w.OnProgress = 2.2, once(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		ends <- end{seen, err}
@@ -358,10 +358,10 @@
 			t.Fatal(seen, err)
 		}
 	}
-	if n := b.boxes[on].Count().Setups; n != 1 {
+	if n := b.boxes[on].Counts().Setups; n != 1 {
 		t.Errorf("%d SETUPs at a box that left the list", n)
 	}
-	if e := <-ends; e.err != nil || e.seen.Lost+e.seen.Jumps > 0 {
+	if e := <-ends; e.err != nil || e.seen.LostPackets+e.seen.TimestampJumps > 0 {
 		t.Errorf("the session there: %+v %v", e.seen, e.err)
 	}
 	b.rules()
@@ -373,13 +373,13 @@
 	for _, deaf := range []bool{false, true} {
 		t.Run(fmt.Sprint("refused ", deaf), func(t *testing.T) {
 			b := newBench(t, 1, nil)
-			b.boxes[0].DeafToRungs(deaf)
-			b.boxes[0].Slow(5) // 4,000 of 20,000 kB a second, for four sessions that ask 8,000
-			ends := make(chan player.Seen, 4)
+			b.boxes[0].RejectRungChanges(deaf)
+			b.boxes[0].ReduceLink(5) // 4,000 of 20,000 kB a second, for four sessions that ask 8,000
+			ends := make(chan player.Result, 4)
 			for range 4 {
 				go func() {
 					w := b.want("clips")
-					w.Watch = 4
+					w.WatchSeconds = 4
 					seen, err := player.Watch(context.Background(), w)
 					if err != nil {
 						t.Error(err)
@@ -390,7 +390,7 @@
 			rungs := 0
 			for range 4 {
 				s := <-ends
-				if rungs += s.Rungs; s.Lost+s.Doubled+s.Jumps > 0 {
+				if rungs += s.RungChanges; s.LostPackets+s.RepeatedPackets+s.TimestampJumps > 0 {
 					t.Errorf("a change of rung broke the stream: %+v", s)
 				}
 			}
@@ -403,11 +403,11 @@
 }
 
 func TestHungBoxBreaksWithAPlainEnd(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Limits.KeepAlive = 0 })
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Config) { terms.Limits.KeepAlive = 0 })
 	w := b.want("clips")
-	w.Watch = 0
+	w.WatchSeconds = 0
 	hang := make(chan struct{})
-	w.Live = once(hang)
+	w.OnProgress = once(hang)
 	done := make(chan error, 1)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
@@ -425,8 +425,8 @@
 	b := newBench(t, 1, nil)
 	playing, done := make(chan struct{}), make(chan error, 1)
 	w := b.want("clips")
-	w.Watch = 1.6
-	w.Live = once(playing)
+	w.WatchSeconds = 1.6
+	w.OnProgress = once(playing)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
@@ -503,7 +503,7 @@
 		}
 		look(m, f)
 	}
-	if n := b.boxes[0].Count().Setups + b.boxes[1].Count().Setups; n != 1 {
+	if n := b.boxes[0].Counts().Setups + b.boxes[1].Counts().Setups; n != 1 {
 		t.Errorf("%d SETUPs", n)
 	}
 	if r, err = d.RoundTrip(rtsp.NewRequest(rtsp.TearDown, url).WithHeader("CSeq", "2").WithHeader("Session", id), 5*time.Second, look); err != nil || r.Status != 200 {
@@ -516,11 +516,11 @@
 // Viewers are sent to another front while one drains, and the drain ends at once.
 func TestDrainSendsViewersElsewhere(t *testing.T) {
 	other := newBench(t, 1, nil)
-	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Redirect = other.addr })
-	playing, done := make(chan struct{}), make(chan player.Seen, 1)
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Config) { terms.Redirect = other.addr })
+	playing, done := make(chan struct{}), make(chan player.Result, 1)
 	w := b.want("clips")
-	w.Watch = 0
-	w.Live = once(playing)
+	w.WatchSeconds = 0
+	w.OnProgress = once(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		if err != nil {
@@ -531,11 +531,11 @@
 	<-playing
 	b.Drain(context.Background())
 	seen := <-done
-	if seen.SentTo != other.addr || seen.Lost+seen.Jumps > 0 {
+	if seen.RedirectedTo != other.addr || seen.LostPackets+seen.TimestampJumps > 0 {
 		t.Fatalf("%+v", seen)
 	}
 	w = other.want("clips")
-	w.Address = seen.SentTo
+	w.Address = seen.RedirectedTo
 	if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 		t.Errorf("at the other front: %+v %v", seen, err)
 	}
@@ -546,16 +546,16 @@
 func TestCloseAnswersWhatIsOpen(t *testing.T) {
 	b := newBench(t, 1, nil)
 	b.boxes[0].HoldAnswers()
-	done := make(chan player.Seen, 1)
+	done := make(chan player.Result, 1)
 	go func() {
 		seen, _ := player.Watch(context.Background(), b.want("clips"))
 		done <- seen
 	}()
-	b.eventually("a SETUP is out", func() bool { return b.boxes[0].Count().Setups == 1 })
+	b.eventually("a SETUP is out", func() bool { return b.boxes[0].Counts().Setups == 1 })
 	b.Close()
 	if seen := <-done; seen.Status != 504 {
 		t.Errorf("%+v", seen)
 	}
-	b.boxes[0].Unhang()
+	b.boxes[0].Resume()
 	b.rules()
 }
--- a/internal/front/migrate_test.go
+++ b/internal/front/migrate_test.go
@@ -53,19 +53,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t, 3, func(x *settings.Config, site *box.Site) {
-		site.NoteEvery = 0
+	b := newBench(t, 3, func(x *settings.Config, site *box.Config) {
+		site.NoteInterval = 0
 		bounds := x.Limits
 		*x = terms
 		x.Boxes, x.Limits = nil, bounds // newBench has its own
 	})
 	b.boxes[0].Hang()
-	b.boxes[1].Errors(1)
+	b.boxes[1].FailSetups(1)
 	var all sync.WaitGroup
 	var served [12]bool
 	for i := range served {
 		w := b.want("clips")
-		w.Watch = 0.2
+		w.WatchSeconds = 0.2
 		all.Go(func() {
 			seen, err := player.Watch(context.Background(), w)
 			served[i] = err == nil && seen.Status == 200
@@ -81,7 +81,7 @@
 	if n < 6 {
 		t.Errorf("%d of %d were served by the one sound box of three", n, len(served))
 	}
-	b.boxes[0].Unhang()
+	b.boxes[0].Resume()
 	if v := b.rules(); v.Taken != len(served) || v.Answered != v.Taken {
 		t.Errorf("%v", v)
 	}
--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -41,7 +41,7 @@
 		want++
 	}
 	b.rules()
-	if n := b.boxes[0].Count().Setups; n != 1 {
+	if n := b.boxes[0].Counts().Setups; n != 1 {
 		t.Errorf("%d SETUPs for a session", n)
 	}
 }
@@ -117,7 +117,7 @@
 
 // Whatever frames are under way at a seek, RTP-Info names the first one after it by the numbers that the viewer gets.
 func TestSeekNamesItsFirstFrame(t *testing.T) {
-	b := newBench(t, 1, func(_ *settings.Config, site *box.Site) { site.FPS = 1000 })
+	b := newBench(t, 1, func(_ *settings.Config, site *box.Config) { site.FPS = 1000 })
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -205,10 +205,10 @@
 		status int
 	}{
 		"both well":               {func(*bench) {}, 200},
-		"one lies":                {func(b *bench) { b.boxes[0].Lie(true) }, 200},
+		"one lies":                {func(b *bench) { b.boxes[0].InvalidDescriptions(true) }, 200},
 		"one hangs":               {func(b *bench) { b.boxes[1].HoldAnswers() }, 200},
 		"one is down":             {func(b *bench) { b.boxes[0].Kill() }, 200},
-		"one lies, another hangs": {func(b *bench) { b.boxes[0].Lie(true); b.boxes[1].HoldAnswers() }, 504},
+		"one lies, another hangs": {func(b *bench) { b.boxes[0].InvalidDescriptions(true); b.boxes[1].HoldAnswers() }, 504},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 2, nil)
@@ -229,7 +229,7 @@
 				t.Errorf("%v descriptions taken for four viewers", n)
 			}
 			for _, x := range b.boxes {
-				x.Unhang()
+				x.Resume()
 			}
 			b.rules()
 		})
@@ -251,17 +251,17 @@
 	}
 	rr := []byte{0x80, 201, 0, 1, 0, 0, 0, 9}
 	c.Write(rtsp.AppendFrame(nil, 1, rr))
-	b.eventually("the report is at the box", func() bool { return b.boxes[0].Count().Reports == 1 })
+	b.eventually("the report is at the box", func() bool { return b.boxes[0].Counts().ReceivedFrames == 1 })
 	var flood []byte
 	for range 20000 {
 		flood = rtsp.AppendFrame(flood, 1, rr)
 	}
 	go c.Write(flood)
-	if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil || seen.AnswerIn > 1 {
+	if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil || seen.AnswerSeconds > 1 {
 		t.Errorf("%+v %v", seen, err)
 	}
 	b.eventually("the flood is counted", func() bool { return metric(b, "rainhaven_stray_total", "") > 15000 })
-	if n := b.boxes[0].Count().Reports; n > 200 {
+	if n := b.boxes[0].Counts().ReceivedFrames; n > 200 {
 		t.Errorf("%d frames reached the box", n)
 	}
 	c.Close()
@@ -269,12 +269,12 @@
 }
 
 func TestOnlyUsersEnter(t *testing.T) {
-	b := newBench(t, 1, func(terms *settings.Config, _ *box.Site) {
+	b := newBench(t, 1, func(terms *settings.Config, _ *box.Config) {
 		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
 		w := b.want("clips")
-		w.User, w.Algorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
+		w.User, w.DigestAlgorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%s: %+v %v", alg, seen, err)
 		}
@@ -295,7 +295,7 @@
 			t.Fatalf("guess %d: %d", n, r.Status)
 		}
 	}
-	if n := b.boxes[0].Count().Setups; n != 2 {
+	if n := b.boxes[0].Counts().Setups; n != 2 {
 		t.Errorf("%d SETUPs at the box", n)
 	}
 	b.rules()
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -15,15 +15,15 @@
 // New terms under a crowd: every answer comes, what plays goes on without a gap under the new bounds, what waits at a box
 // gets its answer, and what can't change is refused whole.
 func TestNewTermsInService(t *testing.T) {
-	b := newBench(t, 3, func(terms *settings.Config, _ *box.Site) { terms.Choice.Probes = true })
-	ends := make(chan player.Seen, 40)
+	b := newBench(t, 3, func(terms *settings.Config, _ *box.Config) { terms.Choice.Probes = true })
+	ends := make(chan player.Result, 40)
 	playing := make(chan struct{}, 40)
 	for i := range 20 {
 		go func() {
 			w := b.want([]string{"clips", "exam"}[i%2])
-			w.Watch = 2.5
+			w.WatchSeconds = 2.5
 			told := false
-			w.Live = func(player.Seen) {
+			w.OnProgress = func(player.Result) {
 				if !told {
 					told = true
 					playing <- struct{}{}
@@ -67,7 +67,7 @@
 		t.Errorf("another port: %+v %v", plan, err)
 	}
 	for _, x := range b.boxes {
-		x.Unhang()
+		x.Resume()
 	}
 	for range 6 {
 		if s := <-late; s != 200 {
@@ -77,7 +77,7 @@
 	rungs := 0
 	for range 20 {
 		s := <-ends
-		if rungs += s.Rungs; s.Lost+s.Doubled+s.Jumps > 0 || !s.Ended {
+		if rungs += s.RungChanges; s.LostPackets+s.RepeatedPackets+s.TimestampJumps > 0 || !s.Ended {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -102,12 +102,12 @@
 	b.wit.Told("front-0", 2, false, b.now())
 	for range 6 {
 		w := b.want("clips")
-		w.Title, w.Watch = "fans", 0.1
+		w.Title, w.WatchSeconds = "fans", 0.1
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%+v %v", seen, err)
 		}
 	}
-	if n := b.boxes[1].Count().Setups; n != 0 {
+	if n := b.boxes[1].Counts().Setups; n != 0 {
 		t.Errorf("%d SETUPs at a box that left", n)
 	}
 	b.rules()
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -89,8 +89,8 @@
 	roots.AppendCertsFromPEM(cert1)
 	playing, done := make(chan struct{}), make(chan error, 1)
 	w := b.want("clips")
-	w.Address, w.TLS, w.Watch = addr, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}, 1.6
-	w.Live = once(playing)
+	w.Address, w.TLS, w.WatchSeconds = addr, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}, 1.6
+	w.OnProgress = once(playing)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
@@ -148,13 +148,13 @@
 		using.Store(&c)
 	}
 	use(cert1, key1)
-	b := newBench(t, 1, func(terms *settings.Config, site *box.Site) {
+	b := newBench(t, 1, func(terms *settings.Config, site *box.Config) {
 		terms.BoxTLS, terms.Choice.Probes = settings.TLSTrust{RootsFile: file}, true
 		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return using.Load(), nil }}
 	})
 	playing, done := make(chan struct{}), make(chan error, 1)
 	w := b.want("clips")
-	w.Watch, w.Live = 1.6, once(playing)
+	w.WatchSeconds, w.OnProgress = 1.6, once(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		if err == nil && seen.Frames < 20 {
@@ -174,8 +174,8 @@
 			t.Errorf("%s: taken, said %q", name, say)
 		}
 	}
-	if seen, _ := player.Watch(context.Background(), b.want("exam")); seen.Status != 503 || b.boxes[0].Count().Setups != 1 {
-		t.Errorf("a box that is not trusted: %+v, %d SETUPs", seen, b.boxes[0].Count().Setups)
+	if seen, _ := player.Watch(context.Background(), b.want("exam")); seen.Status != 503 || b.boxes[0].Counts().Setups != 1 {
+		t.Errorf("a box that is not trusted: %+v, %d SETUPs", seen, b.boxes[0].Counts().Setups)
 	}
 	write(append(slices.Clone(cert1), cert2...))
 	if took, say := b.roots.Reload(time.Now()); !took {
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -23,28 +23,28 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Site is what all boxes of a fleet have in common.
-type Site struct {
-	Ladder      []float64          // kB a second
-	Scale       map[string]float64 // by service group
-	Length      func(title string) float64
-	Places      int
-	WarmUp      float64
-	ColdShare   float64
-	FallFactor  float64
-	FallTime    float64
-	ReportEvery float64     // seconds between refreshments of the load report
-	NoteEvery   float64     // seconds between load notes; 0 is none
-	SetupTime   float64     // seconds that a SETUP takes about
-	Vary        float64     // true rates lie so far above or below the ladder, as a share
-	FullAt      float64     // SETUPs are answered full while so much of the link is asked; 0 is never
-	FPS         int         // frames a second
-	Keep        float64     // seconds that a session is kept once its connection is gone
-	Mischief    float64     // share of requests that meet a random fault (mischief.go)
-	Thin        float64     // bytes sent over those of the rate: media is thinned to what one machine carries
-	TLS         *tls.Config // of the front's side; nil is plain
-	Now         func() float64
-	Witness     *witness.Witness // may be nil
+// Config is what all boxes of a fleet have in common.
+type Config struct {
+	Ladder           []float64          // kB a second
+	Scale            map[string]float64 // by service group
+	TitleLength      func(title string) float64
+	MaxSessions      int
+	WarmUp           float64
+	ColdShare        float64
+	OverloadFactor   float64
+	OverloadTime     float64
+	ReportInterval   float64     // seconds between refreshments of the load report
+	NoteInterval     float64     // seconds between load notes; 0 is none
+	SetupTime        float64     // seconds that a SETUP takes about
+	RateVariation    float64     // true rates lie so far above or below the ladder, as a share
+	FullThreshold    float64     // SETUPs are answered full while so much of the link is asked; 0 is never
+	FPS              int         // frames a second
+	DisconnectGrace  float64     // seconds that a session is kept once its connection is gone
+	RandomFaultShare float64     // share of requests that meet a random fault (mischief.go)
+	PayloadScale     float64     // bytes sent over those of the rate: media is thinned to what one machine carries
+	TLS              *tls.Config // of the front's side; nil is plain
+	Now              func() float64
+	Witness          *witness.Witness // may be nil
 }
 
 // Rack is an uplink that boxes share.
@@ -58,8 +58,8 @@
 // NewRack makes a rack whose uplink gives so many kB a second.
 func NewRack(gives float64) *Rack { return &Rack{gives: gives, short: 1} }
 
-// Short makes the uplink give so many times less; 1 ends that.
-func (r *Rack) Short(times float64) {
+// ReduceCapacity makes the uplink give so many times less; 1 ends that.
+func (r *Rack) ReduceCapacity(times float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.short = max(times, 1)
@@ -108,7 +108,7 @@
 }
 
 // Start opens a box on an address; an empty one picks a port of 127.0.0.1. A cold box warms up from now.
-func Start(site *Site, id int, address string, link float64, rack *Rack, cold bool) (*Box, error) {
+func Start(site *Config, id int, address string, link float64, rack *Rack, cold bool) (*Box, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
@@ -128,18 +128,18 @@
 
 // Counts are what a box saw.
 type Counts struct {
-	Setups, Full, Frames, Bytes int64
-	Reports                     int64 // frames that came from fronts
-	Sessions                    int
-	Fallen                      bool
+	Setups, FullReplies, Packets, Bytes int64
+	ReceivedFrames                      int64 // frames that came from fronts
+	Sessions                            int
+	Overloaded                          bool
 }
 
-// Count gives the counts so far.
-func (b *Box) Count() Counts {
+// Counts gives the counts so far.
+func (b *Box) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts
-	c.Sessions, c.Fallen = len(b.streams), b.fallen
+	c.Sessions, c.Overloaded = len(b.streams), b.fallen
 	return c
 }
 
@@ -170,7 +170,7 @@
 func (b *Box) step(dt float64) {
 	asked := b.foreign
 	for id, s := range b.streams {
-		if s.lost > 0 && b.site.Now()-s.lost > b.site.Keep {
+		if s.lost > 0 && b.site.Now()-s.lost > b.site.DisconnectGrace {
 			delete(b.streams, id)
 		}
 		if s.playing && !s.ended && s.lost == 0 {
@@ -179,7 +179,7 @@
 	}
 	b.asked.Store(math.Float64bits(asked))
 	now := b.site.Now()
-	if now-b.reported >= b.site.ReportEvery+b.late {
+	if now-b.reported >= b.site.ReportInterval+b.late {
 		b.reported = now
 		b.said = [2]float64{asked / (b.link / b.slow), b.rack.load()}
 	}
@@ -202,14 +202,14 @@
 		for s.next <= s.media && !s.ended {
 			b.send(s, gap)
 			s.next += gap
-			if length := b.site.Length(s.title); length > 0 && s.next >= length {
+			if length := b.site.TitleLength(s.title); length > 0 && s.next >= length {
 				s.ended = true
 				s.bye()
 			}
 		}
 		s.conn.out.Flush()
 	}
-	if b.site.NoteEvery > 0 && now-b.noted >= b.site.NoteEvery {
+	if b.site.NoteInterval > 0 && now-b.noted >= b.site.NoteInterval {
 		b.noted = now
 		told := map[string]bool{}
 		for _, id := range slices.Sorted(keys(b.streams)) { // one session of each front's
@@ -247,7 +247,7 @@
 // send sends one frame of each track. Payloads begin with the frame's number and rung, so that a player can check.
 func (b *Box) send(s *stream, gap float64) {
 	s.frame++
-	size := int(b.rate(s) * 1000 * gap * b.site.Thin)
+	size := int(b.rate(s) * 1000 * gap * b.site.PayloadScale)
 	const most = 1400 // of a packet, as on a real path
 	if low, ok := s.tracks[0]; ok {
 		ts := s.base + uint32(math.Round(s.next*90000))
@@ -263,7 +263,7 @@
 }
 
 func (b *Box) packet(s *stream, channel byte, kind byte, marker bool, seq *uint16, ts, ssrc uint32, n int) {
-	b.counts.Frames++
+	b.counts.Packets++
 	b.counts.Bytes += int64(n)
 	var p [12 + 1400]byte
 	p[0], p[1] = 0x80, kind
@@ -307,7 +307,7 @@
 			return
 		}
 		if m == nil {
-			c.b.set(func() { c.b.counts.Reports++ })
+			c.b.set(func() { c.b.counts.ReceivedFrames++ })
 			continue
 		}
 		if !m.IsRequest() {
@@ -397,7 +397,7 @@
 		b.breaks--
 		return false
 	}
-	if b.site.Mischief > 0 && b.rand.Float64() < b.site.Mischief {
+	if b.site.RandomFaultShare > 0 && b.rand.Float64() < b.site.RandomFaultShare {
 		if on, done := b.mischief(c, m); done {
 			return on
 		}
@@ -497,12 +497,12 @@
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true
 	}
-	full := b.refuses || len(b.streams) >= b.site.Places
-	if b.site.FullAt > 0 {
-		full = full || math.Float64frombits(b.asked.Load()) >= b.site.FullAt*b.link/b.slow
+	full := b.refuses || len(b.streams) >= b.site.MaxSessions
+	if b.site.FullThreshold > 0 {
+		full = full || math.Float64frombits(b.asked.Load()) >= b.site.FullThreshold*b.link/b.slow
 	}
 	if full {
-		b.counts.Full++
+		b.counts.FullReplies++
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.NotEnoughBandwidth))
 		return true
 	}
@@ -512,7 +512,7 @@
 	}
 	b.serial++
 	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.serial), group: p.Group, title: p.Title, query: p.Query, conn: c, rung: rung,
-		vary: 1 + (2*b.rand.Float64()-1)*b.site.Vary, tracks: map[int]byte{max(p.Track, 0): tr.RTPChannel},
+		vary: 1 + (2*b.rand.Float64()-1)*b.site.RateVariation, tracks: map[int]byte{max(p.Track, 0): tr.RTPChannel},
 		seq: uint16(b.rand.Uint32()), seqA: uint16(b.rand.Uint32()), base: b.rand.Uint32(), ssrc: b.rand.Uint32()}
 	b.streams[s.id] = s // its place is taken from now
 	if wait := b.site.SetupTime * b.aged * (0.5 + b.rand.Float64()); wait > 0 {
@@ -541,9 +541,9 @@
 	if b.born == 0 || s.WarmUp <= 0 || now-b.born > s.WarmUp {
 		return false
 	}
-	b.cold = slices.DeleteFunc(b.cold, func(at float64) bool { return now-at >= s.FallTime })
+	b.cold = slices.DeleteFunc(b.cold, func(at float64) bool { return now-at >= s.OverloadTime })
 	b.cold = append(b.cold, now)
-	if float64(len(b.cold)) <= witness.Limit(float64(s.Places), s.WarmUp, s.ColdShare, s.FallFactor, s.FallTime, now-b.born) {
+	if float64(len(b.cold)) <= witness.Limit(float64(s.MaxSessions), s.WarmUp, s.ColdShare, s.OverloadFactor, s.OverloadTime, now-b.born) {
 		return false
 	}
 	b.fallen = true
@@ -565,7 +565,7 @@
 		if s.lost = b.site.Now(); b.site.Witness != nil {
 			b.site.Witness.Over(b.ID, id, s.lost)
 		}
-		if b.site.Keep <= 0 {
+		if b.site.DisconnectGrace <= 0 {
 			delete(b.streams, id)
 		}
 	}
--- a/internal/lab/box/faults.go
+++ b/internal/lab/box/faults.go
@@ -17,7 +17,7 @@
 type Box struct {
 	ID      int
 	Address string
-	site    *Site
+	site    *Config
 	rack    *Rack
 
 	asked atomic.Uint64 // float64 bits: what is asked of its link, kB a second
@@ -111,8 +111,8 @@
 // Hang makes the box stand still: nothing is answered, media stops, connections stay. Unhang ends it.
 func (b *Box) Hang() { b.set(func() { b.hung = true }) }
 
-// Unhang ends a hang.
-func (b *Box) Unhang() {
+// Resume ends a hang.
+func (b *Box) Resume() {
 	b.set(func() { b.hung, b.held = false, false })
 	b.unhung.Broadcast()
 }
@@ -120,35 +120,35 @@
 // HoldAnswers leaves requests without answers while media goes on, until Unhang.
 func (b *Box) HoldAnswers() { b.set(func() { b.held = true }) }
 
-// Refuse has SETUPs answered full, or no longer.
-func (b *Box) Refuse(on bool) { b.set(func() { b.refuses = on }) }
+// RefuseSetups has SETUPs answered full, or no longer.
+func (b *Box) RefuseSetups(on bool) { b.set(func() { b.refuses = on }) }
 
-// Errors has the next n SETUPs answered with an error.
-func (b *Box) Errors(n int) { b.set(func() { b.errors = n }) }
+// FailSetups has the next n SETUPs answered with an error.
+func (b *Box) FailSetups(n int) { b.set(func() { b.errors = n }) }
 
-// KeepSessions has the next n TEARDOWNs answered with an error; their sessions play on.
-func (b *Box) KeepSessions(n int) { b.set(func() { b.keeps = n }) }
+// FailTeardowns has the next n TEARDOWNs answered with an error; their sessions play on.
+func (b *Box) FailTeardowns(n int) { b.set(func() { b.keeps = n }) }
 
-// Breaks has the connections of the next n SETUPs closed in place of an answer.
-func (b *Box) Breaks(n int) { b.set(func() { b.breaks = n }) }
+// DisconnectSetups has the connections of the next n SETUPs closed in place of an answer.
+func (b *Box) DisconnectSetups(n int) { b.set(func() { b.breaks = n }) }
 
-// DeafToRungs has changes of rung refused.
-func (b *Box) DeafToRungs(on bool) { b.set(func() { b.deafToRungs = on }) }
+// RejectRungChanges has changes of rung refused.
+func (b *Box) RejectRungChanges(on bool) { b.set(func() { b.deafToRungs = on }) }
 
-// Lie has descriptions be none.
-func (b *Box) Lie(on bool) { b.set(func() { b.lies = on }) }
+// InvalidDescriptions has descriptions be none.
+func (b *Box) InvalidDescriptions(on bool) { b.set(func() { b.lies = on }) }
 
-// Slow makes the link give so many times less; 1 ends it.
-func (b *Box) Slow(times float64) { b.set(func() { b.slow = max(times, 1) }) }
+// ReduceLink makes the link give so many times less; 1 ends it.
+func (b *Box) ReduceLink(times float64) { b.set(func() { b.slow = max(times, 1) }) }
 
-// Foreign has others take so many kB a second of the link.
-func (b *Box) Foreign(rate float64) { b.set(func() { b.foreign = rate }) }
+// SetForeignTraffic has others take so many kB a second of the link.
+func (b *Box) SetForeignTraffic(rate float64) { b.set(func() { b.foreign = rate }) }
 
-// Late makes load reports so many seconds older.
-func (b *Box) Late(seconds float64) { b.set(func() { b.late = seconds }) }
+// DelayReports makes load reports so many seconds older.
+func (b *Box) DelayReports(seconds float64) { b.set(func() { b.late = seconds }) }
 
-// Age makes SETUPs take so many times longer.
-func (b *Box) Age(times float64) { b.set(func() { b.aged = max(times, 1) }) }
+// SlowSetups makes SETUPs take so many times longer.
+func (b *Box) SlowSetups(times float64) { b.set(func() { b.aged = max(times, 1) }) }
 
 func (b *Box) set(do func()) {
 	b.mu.Lock()
@@ -156,8 +156,8 @@
 	do()
 }
 
-// ResetAll breaks all connections with a reset; the box goes on.
-func (b *Box) ResetAll() {
+// ResetConnections breaks all connections with a reset; the box goes on.
+func (b *Box) ResetConnections() {
 	b.set(func() {
 		for c := range b.conns {
 			reset(c.net)
@@ -209,8 +209,8 @@
 	return len(b.streams)
 }
 
-// Born is the instant of the last cold start, 0 where it is long ago.
-func (b *Box) Born() float64 {
+// StartedAt is the instant of the last cold start, 0 where it is long ago.
+func (b *Box) StartedAt() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.born
--- a/internal/lab/box/mischief.go
+++ b/internal/lab/box/random_faults.go
@@ -50,7 +50,7 @@
 	case 6: // the load report is nonsense
 		c.twist = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("Load-Report", "link=9e99, uplink=;;\"") }
 	case 7: // full
-		b.counts.Full++
+		b.counts.FullReplies++
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.NotEnoughBandwidth))
 		return true, true
 	case 8: // the connection breaks
--- a/internal/lab/day/report.go
+++ b/internal/lab/day/report.go
@@ -63,12 +63,12 @@
 			if o.first {
 				gr.First++
 			}
-			if s := o.seen; s.FirstFrame > 0 {
-				start.RecordValue(int64(s.FirstFrame * 1e6))
-				if s.Played > 0.5 {
+			if s := o.seen; s.FirstFrameSeconds > 0 {
+				start.RecordValue(int64(s.FirstFrameSeconds * 1e6))
+				if s.PlayedSeconds > 0.5 {
 					played++
-					gr.Share += s.Share()
-					gr.Rung += float64(s.Rung)
+					gr.Share += s.DeliveredShare()
+					gr.Rung += float64(s.LastRung)
 				}
 			}
 		}
@@ -80,16 +80,16 @@
 		rep.Groups = append(rep.Groups, gr)
 	}
 	for _, o := range r.seen {
-		rep.Worst = max(rep.Worst, o.seen.WorstGap)
-		rep.Lost += o.seen.Lost
-		rep.Jumps += o.seen.Jumps
-		rep.Rungs += o.seen.Rungs
+		rep.Worst = max(rep.Worst, o.seen.MaxFrameGap)
+		rep.Lost += o.seen.LostPackets
+		rep.Jumps += o.seen.TimestampJumps
+		rep.Rungs += o.seen.RungChanges
 	}
 	for _, s := range r.d.boxes {
 		if b := r.boxes[s.id]; b != nil {
-			c := b.Count()
+			c := b.Counts()
 			rep.Left += c.Sessions
-			rep.Boxes = append(rep.Boxes, BoxReport{ID: s.id, Setups: c.Setups, Full: c.Full, Frames: c.Frames, Fallen: c.Fallen})
+			rep.Boxes = append(rep.Boxes, BoxReport{ID: s.id, Setups: c.Setups, Full: c.FullReplies, Frames: c.Packets, Fallen: c.Overloaded})
 		}
 	}
 	return rep
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -32,7 +32,7 @@
 	start  time.Time
 	wit    *witness.Witness
 	spoil  Sabotage
-	site   *box.Site
+	site   *box.Config
 	racks  []*box.Rack
 	boxes  map[int]*box.Box
 	stands map[int]stand
@@ -62,7 +62,7 @@
 type outcome struct {
 	group   int
 	first   bool // the viewer's first try
-	seen    player.Seen
+	seen    player.Result
 	retries int
 	served  bool // any of its tries
 	start   float64
@@ -102,9 +102,9 @@
 		scale[name] = g.Scale
 	}
 	r.wit = witness.New(terms)
-	r.site = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Terms.Titles[t].Length },
-		Places: int(terms.Places), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
-		ReportEvery: d.report, NoteEvery: f.NoteInterval, SetupTime: d.setup, Vary: d.vary, FullAt: f.FullThreshold, FPS: d.fps, Thin: d.thin, Keep: 4, Mischief: d.mischief,
+	r.site = &box.Config{Ladder: f.Ladder, Scale: scale, TitleLength: func(t string) float64 { return d.Terms.Titles[t].Length },
+		MaxSessions: int(terms.Places), WarmUp: f.WarmUp, ColdShare: f.ColdShare, OverloadFactor: f.OverloadFactor, OverloadTime: f.OverloadTime,
+		ReportInterval: d.report, NoteInterval: f.NoteInterval, SetupTime: d.setup, RateVariation: d.vary, FullThreshold: f.FullThreshold, FPS: d.fps, PayloadScale: d.thin, DisconnectGrace: 4, RandomFaultShare: d.mischief,
 		Now: r.now, Witness: r.wit}
 	for range max(f.Racks, 1) {
 		r.racks = append(r.racks, box.NewRack(f.MeanUplinkCapacity))
@@ -138,7 +138,7 @@
 		return err
 	}
 	r.boxes[s.id] = b
-	r.list = append(r.list, settings.Box{Listing: s.listing(b.Born(), choice.Ready), Address: b.Address})
+	r.list = append(r.list, settings.Box{Listing: s.listing(b.StartedAt(), choice.Ready), Address: b.Address})
 	return nil
 }
 
@@ -248,7 +248,7 @@
 				r.mu.Lock()
 				addr := r.fronts[a.front].addr
 				r.mu.Unlock()
-				player.Rude(ctx, addr, r.d.Terms.Groups[a.group].Name, a.title, a.rude)
+				player.Misbehave(ctx, addr, r.d.Terms.Groups[a.group].Name, a.title, a.rude)
 			})
 		}
 	}
@@ -315,15 +315,15 @@
 		r.mu.Lock()
 		p := r.fronts[front%len(r.fronts)]
 		r.mu.Unlock()
-		w := player.Want{Address: p.addr, Front: frontName(p.i), Group: r.d.Terms.Groups[a.group].Name, Title: a.title,
-			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.d.Terms.Groups[a.group].SetupTimeout, Watch: left, LeaveAfter: a.hasty,
+		w := player.Options{Address: p.addr, Front: frontName(p.i), Group: r.d.Terms.Groups[a.group].Name, Title: a.title,
+			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.d.Terms.Groups[a.group].SetupTimeout, WatchSeconds: left, DisconnectAfter: a.hasty,
 			Bandwidth: a.bandwidth, Tracks: a.tracks, Now: r.now, Witness: r.wit}
 		seen, err := player.Watch(ctx, w)
 		o.seen, o.retries = seen, try
 		if o.served = o.served || seen.Status == 200; try == 0 {
 			o.first = seen.Status == 200
 		}
-		left -= seen.Media
+		left -= seen.MediaSeconds
 		if err == nil || ctx.Err() != nil || left < 0.5 || a.hasty > 0 || a.dice[2*try%8] > r.d.viewers.again {
 			break
 		}
@@ -405,29 +405,29 @@
 			r.log.Error("a box did not come back", zap.Error(err))
 			return
 		}
-		r.change(id, func(e *settings.Box) { e.StartedAt, e.State = x.Born(), choice.Ready })
+		r.change(id, func(e *settings.Box) { e.StartedAt, e.State = x.StartedAt(), choice.Ready })
 	}
 	switch h.what {
 	case "hang":
-		return []step{on("stands still", (*box.Box).Hang), end("goes on", (*box.Box).Unhang)}
+		return []step{on("stands still", (*box.Box).Hang), end("goes on", (*box.Box).Resume)}
 	case "hold":
-		return []step{on("answers nothing", (*box.Box).HoldAnswers), end("answers again", (*box.Box).Unhang)}
+		return []step{on("answers nothing", (*box.Box).HoldAnswers), end("answers again", (*box.Box).Resume)}
 	case "silent":
 		return []step{on("is silent", (*box.Box).Hang), end("is back, cold", restart)}
 	case "kill":
 		return []step{on("dies", (*box.Box).Kill), end("is back, cold", restart)}
 	case "slow":
 		n := h.e.Number("times")
-		return []step{on(fmt.Sprintf("has a link %g times slower", n), func(x *box.Box) { x.Slow(n) }),
-			end("has its link back", func(x *box.Box) { x.Slow(1) })}
+		return []step{on(fmt.Sprintf("has a link %g times slower", n), func(x *box.Box) { x.ReduceLink(n) }),
+			end("has its link back", func(x *box.Box) { x.ReduceLink(1) })}
 	case "foreign":
 		n := h.e.Number("share") * r.stands[id].link
-		return []step{on("shares its link with another program", func(x *box.Box) { x.Foreign(n) }),
-			end("has its link to itself", func(x *box.Box) { x.Foreign(0) })}
+		return []step{on("shares its link with another program", func(x *box.Box) { x.SetForeignTraffic(n) }),
+			end("has its link to itself", func(x *box.Box) { x.SetForeignTraffic(0) })}
 	case "refuse":
 		set := func(full bool) func(x *box.Box) {
 			return func(x *box.Box) {
-				x.Refuse(full)
+				x.RefuseSetups(full)
 				r.mu.Lock()
 				r.refusing[id] = full
 				r.mu.Unlock()
@@ -436,11 +436,11 @@
 		return []step{on("answers full", set(true)), end("takes SETUPs", set(false))}
 	case "errors":
 		n := h.e.Int("count")
-		return []step{on(fmt.Sprintf("answers %d errors", n), func(x *box.Box) { x.Errors(n) })}
+		return []step{on(fmt.Sprintf("answers %d errors", n), func(x *box.Box) { x.FailSetups(n) })}
 	case "ageing":
 		var list []step
 		for i := range 5 {
-			s := on(fmt.Sprintf("ages, %d of 5", i+1), func(x *box.Box) { x.Age(h.e.Number("times") * float64(i+1) / 5) })
+			s := on(fmt.Sprintf("ages, %d of 5", i+1), func(x *box.Box) { x.SlowSetups(h.e.Number("times") * float64(i+1) / 5) })
 			s.at += h.length * float64(i) / 5
 			list = append(list, s)
 		}
@@ -457,7 +457,7 @@
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				for _, x := range r.boxes {
-					x.Late(by)
+					x.DelayReports(by)
 				}
 			}
 		}
@@ -465,8 +465,8 @@
 	case "short_rack":
 		rack, n := r.racks[h.e.Int("rack")], h.e.Number("times")
 		what := fmt.Sprintf("rack %d has ", h.e.Int("rack"))
-		return []step{{h.at, what + fmt.Sprintf("an uplink %g times slower", n), func() { rack.Short(n) }},
-			{h.at + h.length, what + "its uplink back", func() { rack.Short(1) }}}
+		return []step{{h.at, what + fmt.Sprintf("an uplink %g times slower", n), func() { rack.ReduceCapacity(n) }},
+			{h.at + h.length, what + "its uplink back", func() { rack.ReduceCapacity(1) }}}
 	case "cut_zone":
 		zone := slices.Index(r.d.Terms.Zones, h.e.Text("zone"))
 		set := func(on bool) func() {
--- a/internal/lab/day/script.go
+++ b/internal/lab/day/script.go
@@ -276,7 +276,7 @@
 			a.tracks = 2
 		}
 		if d.viewers.rude > 0 && r.Float64() < d.viewers.rude {
-			a.rude = 1 + r.IntN(player.RudeKinds)
+			a.rude = 1 + r.IntN(player.MisbehaviorKinds)
 		}
 		for i := range a.dice {
 			a.dice[i] = r.Float64()
--- a/internal/lab/faults/network.go
+++ b/internal/lab/faults/network.go
@@ -15,15 +15,15 @@
 
 // Rates are the chances of each fault, from 0 to 1.
 type Rates struct {
-	Accept float64 // an accepted connection is reported as an error and closed, as ECONNABORTED
-	Local  float64 // a dial fails for want of the own machine's resources
-	Remote float64 // a dial fails as the peer can't be reached
-	Short  float64 // a read gives a few bytes only
-	Break  float64 // a read or write ends in an error, and the connection with it
+	Accept     float64 // an accepted connection is reported as an error and closed, as ECONNABORTED
+	DialLocal  float64 // a dial fails for want of the own machine's resources
+	DialRemote float64 // a dial fails as the peer can't be reached
+	ShortRead  float64 // a read gives a few bytes only
+	Disconnect float64 // a read or write ends in an error, and the connection with it
 }
 
-// Usual are rates at which most requests still meet no fault.
-var Usual = Rates{Accept: 0.02, Local: 0.03, Remote: 0.02, Short: 0.2, Break: 0.0005}
+// DefaultRates are rates at which most requests still meet no fault.
+var DefaultRates = Rates{Accept: 0.02, DialLocal: 0.03, DialRemote: 0.02, ShortRead: 0.2, Disconnect: 0.0005}
 
 // localErrors are errors of connect(2) and socket(2) that say nothing of the peer.
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH, syscall.EINTR}
@@ -85,9 +85,9 @@
 // Dial opens a TCP connection.
 func (n *Network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	switch {
-	case n.chance(n.rates.Local):
+	case n.chance(n.rates.DialLocal):
 		return nil, n.dialError(n.pick(localErrors))
-	case n.chance(n.rates.Remote):
+	case n.chance(n.rates.DialRemote):
 		return nil, n.dialError(n.pick(remoteErrors))
 	}
 	var d net.Dialer
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{TCPConn: c.(*net.TCPConn), n: n, breaks: n.rates.Break}, nil
+	return &conn{TCPConn: c.(*net.TCPConn), n: n, breaks: n.rates.Disconnect}, nil
 }
 
 func (n *Network) dialError(e syscall.Errno) error {
@@ -138,7 +138,7 @@
 	switch {
 	case c.n.chance(c.breaks):
 		return 0, c.broken("read")
-	case len(b) > 1 && c.n.chance(c.n.rates.Short):
+	case len(b) > 1 && c.n.chance(c.n.rates.ShortRead):
 		b = b[:1+c.n.below(min(len(b)-1, mostShort))]
 	}
 	return c.TCPConn.Read(b)
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -38,26 +38,33 @@
 
 // Options say what is measured.
 type Options struct {
-	Builds   []Build // measured in turns
-	Sessions []int   // playing sessions to measure under
-	Setups   int     // samples of set-ups, each way
-	Reps     int     // repetitions of a transfer, each way in turns
-	Seconds  float64
+	Builds          []Build // measured in turns
+	Sessions        []int   // playing sessions to measure under
+	Setups          int     // samples of set-ups, each way
+	Reps            int     // repetitions of a transfer, each way in turns
+	TransferSeconds float64
 }
 
 // Row is what was measured under so many playing sessions.
 type Row struct {
-	Build                         string
-	Sessions                      int
-	DirectP50, DirectP99          float64 // ms from SETUP to its answer, straight at a box
-	FrontP50, FrontP99, FrontP999 float64 // the same through the front
-	HeapPerSession, RSSPerSession float64 // bytes of the front's
-	Allocations                   float64 // for each set-up from connection to TEARDOWN, media under way included
-	SettleMean                    float64 // microseconds to settle a batch of events, the module's decisions included
-	DirectMB, FrontMB, Ratio      float64 // transfer at full speed, MB a second, medians over repetitions
-	RatioLow, RatioHigh           float64
-	Renewals                      float64 // new settings taken meanwhile
-	Frames                        float64 // a second, of the playing sessions together
+	Build               string  `json:"Build"`
+	Sessions            int     `json:"Sessions"`
+	DirectP50           float64 `json:"DirectP50"` // ms from SETUP to its answer, straight at a box
+	DirectP99           float64 `json:"DirectP99"`
+	FrontP50            float64 `json:"FrontP50"` // the same through the front
+	FrontP99            float64 `json:"FrontP99"`
+	FrontP999           float64 `json:"FrontP999"`
+	HeapBytesPerSession float64 `json:"HeapPerSession"` // bytes of the front's
+	RSSBytesPerSession  float64 `json:"RSSPerSession"`
+	AllocsPerSetup      float64 `json:"Allocations"` // for each set-up from connection to TEARDOWN, media under way included
+	MeanSettleMicros    float64 `json:"SettleMean"`  // microseconds to settle a batch of events, the module's decisions included
+	DirectMBps          float64 `json:"DirectMB"`    // transfer at full speed, MB a second, medians over repetitions
+	FrontMBps           float64 `json:"FrontMB"`
+	ThroughputRatio     float64 `json:"Ratio"`
+	MinThroughputRatio  float64 `json:"RatioLow"`
+	MaxThroughputRatio  float64 `json:"RatioHigh"`
+	SettingsReloads     float64 `json:"Renewals"` // new settings taken meanwhile
+	FramesPerSecond     float64 `json:"Frames"`   // a second, of the playing sessions together
 }
 
 // groupsFor is the part of the settings that is alike for any number of boxes.
@@ -239,8 +246,8 @@
 // Run measures.
 func Run(ctx context.Context, o Options, tell func(Row)) ([]Row, error) {
 	begin := time.Now()
-	site := &box.Site{Ladder: []float64{100, 200}, Places: 5000, Length: func(string) float64 { return 0 }, ReportEvery: 0.5, NoteEvery: 3,
-		FPS: 25, Thin: 1, Now: func() float64 { return time.Since(begin).Seconds() }}
+	site := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 5000, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.5, NoteInterval: 3,
+		FPS: 25, PayloadScale: 1, Now: func() float64 { return time.Since(begin).Seconds() }}
 	rack := box.NewRack(1e9)
 	var addresses []string
 	for i := range 4 {
@@ -342,23 +349,23 @@
 			return row, ctx.Err()
 		}
 	}
-	row.Frames = float64(frames.Load()-was) / time.Since(from).Seconds()
+	row.FramesPerSecond = float64(frames.Load()-was) / time.Since(from).Seconds()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	row.DirectP50, row.DirectP99 = ms(direct, 50), ms(direct, 99)
 	row.FrontP50, row.FrontP99, row.FrontP999 = ms(through, 50), ms(through, 99), ms(through, 99.9)
 	count, _ := f.metric("rainhaven_settle_seconds_count")
 	sum, _ := f.metric("rainhaven_settle_seconds_sum")
 	if count > count0 {
-		row.SettleMean = (sum - sum0) / (count - count0) * 1e6
+		row.MeanSettleMicros = (sum - sum0) / (count - count0) * 1e6
 	}
 	mallocs, _ := f.metric("go_memstats_mallocs_total")
-	row.Allocations = (mallocs - mallocs0) / float64(o.Setups)
-	row.Renewals, _ = f.metric("rainhaven_renewals_total")
+	row.AllocsPerSetup = (mallocs - mallocs0) / float64(o.Setups)
+	row.SettingsReloads, _ = f.metric("rainhaven_renewals_total")
 	heap, _ := f.metric("go_memstats_heap_inuse_bytes")
 	stack, _ := f.metric("go_memstats_stack_inuse_bytes")
 	rss, _ := f.metric("process_resident_memory_bytes")
-	row.HeapPerSession = (heap + stack - heap0 - stack0) / float64(n)
-	row.RSSPerSession = (rss - rss0) / float64(n)
+	row.HeapBytesPerSession = (heap + stack - heap0 - stack0) / float64(n)
+	row.RSSBytesPerSession = (rss - rss0) / float64(n)
 	return row, o.transfers(ctx, &row, b, min(n, 100))
 }
 
@@ -377,11 +384,11 @@
 			return 0, err
 		}
 		defer f.stop()
-		return transfer(ctx, f.way, conns, o.Seconds)
+		return transfer(ctx, f.way, conns, o.TransferSeconds)
 	}
 	var d, t, ratios []float64
 	for range o.Reps {
-		a, err := transfer(ctx, way{src.address, nil}, conns, o.Seconds)
+		a, err := transfer(ctx, way{src.address, nil}, conns, o.TransferSeconds)
 		if err != nil {
 			return fmt.Errorf("straight: %w", err)
 		}
@@ -397,8 +404,8 @@
 	slices.Sort(d)
 	slices.Sort(t)
 	slices.Sort(ratios)
-	row.DirectMB, row.FrontMB, row.Ratio = d[len(d)/2], t[len(t)/2], ratios[len(ratios)/2]
-	row.RatioLow, row.RatioHigh = ratios[0], ratios[len(ratios)-1]
+	row.DirectMBps, row.FrontMBps, row.ThroughputRatio = d[len(d)/2], t[len(t)/2], ratios[len(ratios)/2]
+	row.MinThroughputRatio, row.MaxThroughputRatio = ratios[0], ratios[len(ratios)-1]
 	return nil
 }
 
@@ -471,13 +478,13 @@
 	}
 }
 
-// Write prints rows as a table.
-func Write(w io.Writer, rows []Row) {
+// WriteTable prints rows as a table.
+func WriteTable(w io.Writer, rows []Row) {
 	fmt.Fprintf(w, "%-10s %7s %10s %10s %9s %9s %11s %9s %7s %9s %9s %8s %8s %17s\n", "build", "playing", "direct p50", "direct p99", "front p50",
 		"front p99", "front p99.9", "allocs", "settle", "heap/sess", "rss/sess", "direct", "front", "front/direct")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%-10s %7d %8.2fms %8.2fms %7.2fms %7.2fms %9.2fms %9.0f %5.1fus %7.1fkB %7.1fkB %4.0fMB/s %4.0fMB/s %5.2f (%.2f-%.2f)\n", r.Build,
-			r.Sessions, r.DirectP50, r.DirectP99, r.FrontP50, r.FrontP99, r.FrontP999, r.Allocations, r.SettleMean, r.HeapPerSession/1024,
-			r.RSSPerSession/1024, r.DirectMB, r.FrontMB, r.Ratio, r.RatioLow, r.RatioHigh)
+			r.Sessions, r.DirectP50, r.DirectP99, r.FrontP50, r.FrontP99, r.FrontP999, r.AllocsPerSetup, r.MeanSettleMicros, r.HeapBytesPerSession/1024,
+			r.RSSBytesPerSession/1024, r.DirectMBps, r.FrontMBps, r.ThroughputRatio, r.MinThroughputRatio, r.MaxThroughputRatio)
 	}
 }
--- a/internal/lab/measure/flat.go
+++ b/internal/lab/measure/source.go
@@ -114,5 +114,5 @@
 
 // String is the row on one line.
 func (r Row) String() string {
-	return fmt.Sprintf("%d playing: +%.2f ms at the median, relay %.2f of direct", r.Sessions, r.FrontP50-r.DirectP50, r.Ratio)
+	return fmt.Sprintf("%d playing: +%.2f ms at the median, relay %.2f of direct", r.Sessions, r.FrontP50-r.DirectP50, r.ThroughputRatio)
 }
--- a/internal/lab/player/rude.go
+++ b/internal/lab/player/misbehaving.go
@@ -11,11 +11,11 @@
 	"rainhaven/internal/rtsp"
 )
 
-// RudeKinds is how many kinds of broken clients there are.
-const RudeKinds = 8
+// MisbehaviorKinds is how many kinds of broken clients there are.
+const MisbehaviorKinds = 8
 
-// Rude is one visit of a broken client. What it gets is its own affair; others must not notice.
-func Rude(ctx context.Context, address, group, title string, kind int) {
+// Misbehave is one visit of a broken client. What it gets is its own affair; others must not notice.
+func Misbehave(ctx context.Context, address, group, title string, kind int) {
 	d := net.Dialer{Timeout: time.Second}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -20,64 +20,64 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Want is what one viewer wants.
-type Want struct {
-	Address      string // of the front, host and port
-	Front        string // its name, for the witness
-	Group, Title string
-	Token        string  // put into the URL; empty is none
-	SetupTimeout float64 // seconds
-	Watch        float64 // seconds of media after which it leaves; 0 is to the end
-	LeaveAfter   float64 // seconds after the SETUP left at which it just disconnects; 0 is never
-	Bandwidth    float64 // bits a second; 0 is not told
-	Tracks       int     // 1 or 2
-	Describe     bool
-	TLS          *tls.Config // for a front over TLS
-	User         *auth.User  // for a front that asks who it is; DESCRIBE comes first then
-	Algorithm    string      // of the digest; the first one offered where empty
-	Save         io.Writer   // where the first track's payloads go; may be nil
-	Live         func(Seen)
-	Now          func() float64
-	Witness      *witness.Witness // may be nil
+// Options is what one viewer wants.
+type Options struct {
+	Address         string // of the front, host and port
+	Front           string // its name, for the witness
+	Group, Title    string
+	Token           string  // put into the URL; empty is none
+	SetupTimeout    float64 // seconds
+	WatchSeconds    float64 // seconds of media after which it leaves; 0 is to the end
+	DisconnectAfter float64 // seconds after the SETUP left at which it just disconnects; 0 is never
+	Bandwidth       float64 // bits a second; 0 is not told
+	Tracks          int     // 1 or 2
+	Describe        bool
+	TLS             *tls.Config // for a front over TLS
+	User            *auth.User  // for a front that asks who it is; DESCRIBE comes first then
+	DigestAlgorithm string      // of the digest; the first one offered where empty
+	PayloadWriter   io.Writer   // where the first track's payloads go; may be nil
+	OnProgress      func(Result)
+	Now             func() float64
+	Witness         *witness.Witness // may be nil
 }
 
-// Seen is what it saw.
-type Seen struct {
-	Status     int // of the final answer; 0 is none
-	RetryAfter float64
-	AnswerIn   float64 // seconds from SETUP to its answer
-	FirstFrame float64 // seconds from SETUP to the first frame; 0 is none
-	Frames     int
-	Bytes      int64
-	Lost       int     // sequence numbers missing
-	Doubled    int     // or out of order
-	Jumps      int     // timestamps that leap or run back
-	WorstGap   float64 // seconds between two frames
-	Media      float64 // seconds of media received
-	Played     float64 // seconds from the first to the last frame
-	Rungs      int     // changes of rung seen
-	Rung       int     // the last
-	Ended      bool    // by the title's end or the viewer's own wish
-	Broke      bool    // by the other side
-	SentTo     string  // where the front asked it to go on; it has left then
+// Result is what it saw.
+type Result struct {
+	Status            int     `json:"Status"` // of the final answer; 0 is none
+	RetryAfter        float64 `json:"RetryAfter"`
+	AnswerSeconds     float64 `json:"AnswerIn"`   // seconds from SETUP to its answer
+	FirstFrameSeconds float64 `json:"FirstFrame"` // seconds from SETUP to the first frame; 0 is none
+	Frames            int     `json:"Frames"`
+	Bytes             int64   `json:"Bytes"`
+	LostPackets       int     `json:"Lost"`     // sequence numbers missing
+	RepeatedPackets   int     `json:"Doubled"`  // or out of order
+	TimestampJumps    int     `json:"Jumps"`    // timestamps that leap or run back
+	MaxFrameGap       float64 `json:"WorstGap"` // seconds between two frames
+	MediaSeconds      float64 `json:"Media"`    // seconds of media received
+	PlayedSeconds     float64 `json:"Played"`   // seconds from the first to the last frame
+	RungChanges       int     `json:"Rungs"`    // changes of rung seen
+	LastRung          int     `json:"Rung"`     // the last
+	Ended             bool    `json:"Ended"`    // by the title's end or the viewer's own wish
+	Interrupted       bool    `json:"Broke"`    // by the other side
+	RedirectedTo      string  `json:"SentTo"`   // where the front asked it to go on; it has left then
 }
 
-// Share is what was delivered of the rate.
-func (s Seen) Share() float64 {
-	if s.Played <= 0 {
+// DeliveredShare is what was delivered of the rate.
+func (s Result) DeliveredShare() float64 {
+	if s.PlayedSeconds <= 0 {
 		return 0
 	}
-	return min(s.Media/s.Played, 1)
+	return min(s.MediaSeconds/s.PlayedSeconds, 1)
 }
 
 // ErrNotServed is a final answer other than 200.
 var ErrNotServed = errors.New("not served")
 
 type play struct {
-	w      Want
+	w      Options
 	c      *rtsp.Conn
 	cseq   int
-	seen   Seen
+	seen   Result
 	asked  time.Time
 	first  time.Time
 	last   time.Time
@@ -90,7 +90,7 @@
 }
 
 // Watch plays a session as wanted. The error tells why it did not go to its end; what was seen counts all the same.
-func Watch(ctx context.Context, w Want) (Seen, error) {
+func Watch(ctx context.Context, w Options) (Result, error) {
 	if w.Now == nil {
 		start := time.Now()
 		w.Now = func() float64 { return time.Since(start).Seconds() }
@@ -104,7 +104,7 @@
 	d := net.Dialer{Timeout: 2 * time.Second}
 	raw, err := d.DialContext(ctx, "tcp", w.Address)
 	if err != nil {
-		return Seen{}, fmt.Errorf("connecting to the front: %w", err)
+		return Result{}, fmt.Errorf("connecting to the front: %w", err)
 	}
 	defer raw.Close()
 	if w.TLS != nil {
@@ -118,7 +118,7 @@
 		w.Witness.Left(w.Token, w.Now())
 	}
 	if !p.first.IsZero() {
-		p.seen.Played = p.last.Sub(p.first).Seconds()
+		p.seen.PlayedSeconds = p.last.Sub(p.first).Seconds()
 	}
 	return p.seen, err
 }
@@ -146,7 +146,7 @@
 // challenged keeps the challenge that suits.
 func (p *play) challenged(r *rtsp.Message) bool {
 	for _, v := range r.Header["Www-Authenticate"] {
-		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.w.Algorithm == "" || p.w.Algorithm == q["algorithm"]) {
+		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.w.DigestAlgorithm == "" || p.w.DigestAlgorithm == q["algorithm"]) {
 			p.offer = q
 			return true
 		}
@@ -216,8 +216,8 @@
 		return "", p.broke(err)
 	}
 	wait := p.w.SetupTimeout
-	if p.w.LeaveAfter > 0 {
-		wait = min(wait, p.w.LeaveAfter)
+	if p.w.DisconnectAfter > 0 {
+		wait = min(wait, p.w.DisconnectAfter)
 	} else {
 		wait += 0.1 // to see an answer that is late
 	}
@@ -234,7 +234,7 @@
 		if r == nil || r.IsRequest() || r.CSeq() != p.cseq {
 			continue
 		}
-		p.seen.Status, p.seen.AnswerIn = r.Status, time.Since(p.asked).Seconds()
+		p.seen.Status, p.seen.AnswerSeconds = r.Status, time.Since(p.asked).Seconds()
 		retry := r.Header.Get("Retry-After")
 		p.seen.RetryAfter, _ = strconv.ParseFloat(retry, 64)
 		if w != nil && p.w.Token != "" {
@@ -248,7 +248,7 @@
 }
 
 func (p *play) broke(err error) error {
-	p.seen.Broke = true
+	p.seen.Interrupted = true
 	if w := p.w.Witness; w != nil && p.w.Token != "" {
 		w.Broke(p.w.Token, p.w.Now())
 	}
@@ -273,8 +273,8 @@
 func (p *play) watch(ctx context.Context, session string) error {
 	alive := time.Now()
 	told := time.Now()
-	for !p.bye && p.to == "" && (p.w.Watch == 0 || p.seen.Media < p.w.Watch) && ctx.Err() == nil {
-		if p.w.LeaveAfter > 0 && time.Since(p.asked).Seconds() >= p.w.LeaveAfter {
+	for !p.bye && p.to == "" && (p.w.WatchSeconds == 0 || p.seen.MediaSeconds < p.w.WatchSeconds) && ctx.Err() == nil {
+		if p.w.DisconnectAfter > 0 && time.Since(p.asked).Seconds() >= p.w.DisconnectAfter {
 			return nil // just gone
 		}
 		p.c.SetReadDeadline(time.Now().Add(time.Second))
@@ -313,14 +313,14 @@
 				return p.broke(err)
 			}
 		}
-		if p.w.Live != nil && now.Sub(told) > time.Second {
+		if p.w.OnProgress != nil && now.Sub(told) > time.Second {
 			told = now
 			s := p.seen
-			s.Played = p.last.Sub(p.first).Seconds()
-			p.w.Live(s)
+			s.PlayedSeconds = p.last.Sub(p.first).Seconds()
+			p.w.OnProgress(s)
 		}
 	}
-	p.seen.Ended, p.seen.SentTo = true, p.to
+	p.seen.Ended, p.seen.RedirectedTo = true, p.to
 	p.c.SetDeadline(time.Time{})
 	_, err := p.c.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).WithHeader("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
 	if err != nil && !p.bye {
@@ -347,9 +347,9 @@
 	if p.frames[n]++; p.frames[n] > 1 {
 		switch d := int16(seq - p.seq[n]); {
 		case d <= 0:
-			p.seen.Doubled++
+			p.seen.RepeatedPackets++
 		case d > 1:
-			p.seen.Lost += int(d) - 1
+			p.seen.LostPackets += int(d) - 1
 		}
 	}
 	p.seq[n] = seq
@@ -359,27 +359,27 @@
 	p.seen.Frames++
 	if len(b) > 20 {
 		if r := int(b[20]); p.first.IsZero() {
-			p.seen.Rung = r
-		} else if r != p.seen.Rung {
-			p.seen.Rung = r
-			p.seen.Rungs++
+			p.seen.LastRung = r
+		} else if r != p.seen.LastRung {
+			p.seen.LastRung = r
+			p.seen.RungChanges++
 		}
 	}
-	if p.w.Save != nil {
-		p.w.Save.Write(b[12:])
+	if p.w.PayloadWriter != nil {
+		p.w.PayloadWriter.Write(b[12:])
 	}
 	if p.first.IsZero() {
 		p.first, p.ts = now, ts
-		p.seen.FirstFrame = now.Sub(p.asked).Seconds()
+		p.seen.FirstFrameSeconds = now.Sub(p.asked).Seconds()
 	} else {
 		d := int32(ts - p.ts)
 		if d < 0 || d > 5*90000 {
-			p.seen.Jumps++
+			p.seen.TimestampJumps++
 		} else {
-			p.seen.Media += float64(d) / 90000
+			p.seen.MediaSeconds += float64(d) / 90000
 		}
 		p.ts = ts
-		p.seen.WorstGap = math.Max(p.seen.WorstGap, now.Sub(p.last).Seconds())
+		p.seen.MaxFrameGap = math.Max(p.seen.MaxFrameGap, now.Sub(p.last).Seconds())
 	}
 	p.last = now
 }
