--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -49,30 +49,30 @@
 
 // Rack is an uplink that boxes share.
 type Rack struct {
-	mu    sync.Mutex
-	gives float64 // kB a second
-	short float64 // factor by which it gives less; 1 is none
-	boxes []*Box
+	mu        sync.Mutex
+	capacity  float64 // kB a second
+	reduction float64 // factor by which it gives less; 1 is none
+	boxes     []*Box
 }
 
 // NewRack makes a rack whose uplink gives so many kB a second.
-func NewRack(gives float64) *Rack { return &Rack{gives: gives, short: 1} }
+func NewRack(gives float64) *Rack { return &Rack{capacity: gives, reduction: 1} }
 
 // ReduceCapacity makes the uplink give so many times less; 1 ends that.
 func (r *Rack) ReduceCapacity(times float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.short = max(times, 1)
+	r.reduction = max(times, 1)
 }
 
 // load is what is asked of the uplink over what it gives.
 func (r *Rack) load() float64 {
 	r.mu.Lock()
-	boxes, gives := r.boxes, r.gives/r.short
+	boxes, gives := r.boxes, r.capacity/r.reduction
 	r.mu.Unlock()
 	sum := 0.0
 	for _, b := range boxes {
-		sum += math.Float64frombits(b.asked.Load())
+		sum += math.Float64frombits(b.demand.Load())
 	}
 	return sum / gives
 }
@@ -82,29 +82,29 @@
 	id, group, title, query string
 	conn                    *conn
 	rung                    int
-	vary                    float64
+	rateFactor              float64
 	tracks                  map[int]byte // by number: the first channel
 	playing                 bool
-	media                   float64 // seconds of media sent
-	next                    float64 // media second of the next frame
-	seq                     uint16
-	seqA                    uint16
-	base, ssrc              uint32
+	position                float64 // seconds of media sent
+	nextFrame               float64 // media second of the next frame
+	videoSeq                uint16
+	audioSeq                uint16
+	timestampBase, ssrc     uint32
 	ended                   bool    // BYE is sent
-	lost                    float64 // when its connection was; 0 is not
-	frame                   uint64
+	disconnectedAt          float64 // when its connection was; 0 is not
+	frameNumber             uint64
 }
 
 type conn struct {
-	b      *Box
-	num    uint64
-	net    net.Conn
-	rtsp   *rtsp.Conn
-	out    *relay.Queue
-	in     chan *rtsp.Message
-	twist  func(*rtsp.Message) *rtsp.Message // what becomes of the next answer; nil is nothing
-	peer   string                            // the front's name, by User-Agent
-	closed bool
+	box        *Box
+	id         uint64
+	socket     net.Conn
+	rtsp       *rtsp.Conn
+	sendQueue  *relay.Queue
+	requests   chan *rtsp.Message
+	alterReply func(*rtsp.Message) *rtsp.Message // what becomes of the next answer; nil is nothing
+	frontName  string                            // the front's name, by User-Agent
+	closed     bool
 }
 
 // Start opens a box on an address; an empty one picks a port of 127.0.0.1. A cold box warms up from now.
@@ -112,17 +112,17 @@
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	b := &Box{ID: id, site: site, link: link, slow: 1, rack: rack, streams: map[string]*stream{}, conns: map[*conn]struct{}{},
+	b := &Box{ID: id, site: site, link: link, linkReduction: 1, rack: rack, streams: map[string]*stream{}, conns: map[*conn]struct{}{},
 		quit: make(chan struct{}), rand: rand.New(rand.NewPCG(uint64(id), 77))}
-	b.unhung = sync.NewCond(&b.mu)
+	b.stateChanged = sync.NewCond(&b.mu)
 	rack.mu.Lock()
 	rack.boxes = append(slices.Clone(rack.boxes), b)
 	rack.mu.Unlock()
 	if err := b.listen(address, cold); err != nil {
 		return nil, err
 	}
-	b.work.Add(1)
-	go b.pump()
+	b.goroutines.Add(1)
+	go b.sendLoop()
 	return b, nil
 }
 
@@ -139,17 +139,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts
-	c.Sessions, c.Overloaded = len(b.streams), b.fallen
+	c.Sessions, c.Overloaded = len(b.streams), b.overloaded
 	return c
 }
 
-// pumpEvery is the pace at which media is sent; shares are measured over a second, so it adds a hundredth of blur.
-const pumpEvery = 10 * time.Millisecond
+// sendInterval is the pace at which media is sent; shares are measured over a second, so it adds a hundredth of blur.
+const sendInterval = 10 * time.Millisecond
 
-// pump sends media while the box runs.
-func (b *Box) pump() {
-	defer b.work.Done()
-	t := time.NewTicker(pumpEvery)
+// sendLoop sends media while the box runs.
+func (b *Box) sendLoop() {
+	defer b.goroutines.Done()
+	t := time.NewTicker(sendInterval)
 	defer t.Stop()
 	last := time.Now()
 	for {
@@ -160,65 +160,65 @@
 		}
 		now := time.Now()
 		b.mu.Lock()
-		b.step(now.Sub(last).Seconds())
+		b.advance(now.Sub(last).Seconds())
 		b.mu.Unlock()
 		last = now
 	}
 }
 
-// step moves media on by dt seconds.
-func (b *Box) step(dt float64) {
-	asked := b.foreign
+// advance moves media on by dt seconds.
+func (b *Box) advance(dt float64) {
+	asked := b.foreignTraffic
 	for id, s := range b.streams {
-		if s.lost > 0 && b.site.Now()-s.lost > b.site.DisconnectGrace {
+		if s.disconnectedAt > 0 && b.site.Now()-s.disconnectedAt > b.site.DisconnectGrace {
 			delete(b.streams, id)
 		}
-		if s.playing && !s.ended && s.lost == 0 {
+		if s.playing && !s.ended && s.disconnectedAt == 0 {
 			asked += b.rate(s)
 		}
 	}
-	b.asked.Store(math.Float64bits(asked))
+	b.demand.Store(math.Float64bits(asked))
 	now := b.site.Now()
-	if now-b.reported >= b.site.ReportInterval+b.late {
-		b.reported = now
-		b.said = [2]float64{asked / (b.link / b.slow), b.rack.load()}
+	if now-b.reportedAt >= b.site.ReportInterval+b.reportDelay {
+		b.reportedAt = now
+		b.reportedLoad = [2]float64{asked / (b.link / b.linkReduction), b.rack.load()}
 	}
-	if b.hung || b.down {
+	if b.hanging || b.down {
 		return
 	}
 	share := 1.0
-	if asked > b.link/b.slow {
-		share = b.link / b.slow / asked
+	if asked > b.link/b.linkReduction {
+		share = b.link / b.linkReduction / asked
 	}
-	if u := b.rack.load(); u > 1 {
-		share = min(share, 1/u)
+	if uplink := b.rack.load(); uplink > 1 {
+		share = min(share, 1/uplink)
 	}
-	gap := 1 / float64(b.site.FPS)
+	interval := 1 / float64(b.site.FPS)
 	for _, s := range b.streams {
-		if !s.playing || s.ended || s.lost > 0 {
+		if !s.playing || s.ended || s.disconnectedAt > 0 {
 			continue
 		}
-		s.media += dt * share
-		for s.next <= s.media && !s.ended {
-			b.send(s, gap)
-			s.next += gap
-			if length := b.site.TitleLength(s.title); length > 0 && s.next >= length {
+		s.position += dt * share
+		for s.nextFrame <= s.position && !s.ended {
+			b.sendFrame(s, interval)
+			s.nextFrame += interval
+			if length := b.site.TitleLength(s.title); length > 0 && s.nextFrame >= length {
 				s.ended = true
-				s.bye()
+				s.sendBye()
 			}
 		}
-		s.conn.out.Flush()
+		s.conn.sendQueue.Flush()
 	}
-	if b.site.NoteInterval > 0 && now-b.noted >= b.site.NoteInterval {
-		b.noted = now
-		told := map[string]bool{}
+	if b.site.NoteInterval > 0 && now-b.notedAt >= b.site.NoteInterval {
+		b.notedAt = now
+		notified := map[string]bool{}
 		for _, id := range slices.Sorted(keys(b.streams)) { // one session of each front's
 			s := b.streams[id]
-			if s.playing && !s.ended && s.lost == 0 && !told[s.conn.peer] {
-				told[s.conn.peer] = true
+			if s.playing && !s.ended && s.disconnectedAt == 0 && !notified[s.conn.frontName] {
+				notified[s.conn.frontName] = true
 				if low, ok := s.tracks[0]; ok {
-					s.conn.out.PushFrame(low+1, relay.AppendLoadNote(nil, s.ssrc, b.said[0], b.said[1]), nil)
-					s.conn.out.Flush()
+					s.conn.sendQueue.PushFrame(low+1, relay.AppendLoadNote(nil, s.ssrc, b.reportedLoad[0], b.reportedLoad[1]), nil)
+					s.conn.sendQueue.Flush()
 				}
 			}
 		}
@@ -241,32 +241,32 @@
 	if scale == 0 {
 		scale = 1
 	}
-	return b.site.Ladder[min(s.rung, len(b.site.Ladder)-1)] * scale * s.vary
+	return b.site.Ladder[min(s.rung, len(b.site.Ladder)-1)] * scale * s.rateFactor
 }
 
-// send sends one frame of each track. Payloads begin with the frame's number and rung, so that a player can check.
-func (b *Box) send(s *stream, gap float64) {
-	s.frame++
-	size := int(b.rate(s) * 1000 * gap * b.site.PayloadScale)
-	const most = 1400 // of a packet, as on a real path
+// sendFrame sends one frame of each track. Payloads begin with the frame's number and rung, so that a player can check.
+func (b *Box) sendFrame(s *stream, interval float64) {
+	s.frameNumber++
+	size := int(b.rate(s) * 1000 * interval * b.site.PayloadScale)
+	const maxPayload = 1400 // of a packet, as on a real path
 	if low, ok := s.tracks[0]; ok {
-		ts := s.base + uint32(math.Round(s.next*90000))
+		ts := s.timestampBase + uint32(math.Round(s.nextFrame*90000))
 		for first := true; first || size > 0; first = false {
-			n := min(max(size, 16), most)
+			n := min(max(size, 16), maxPayload)
 			size -= n
-			b.packet(s, low, 96, size <= 0, &s.seq, ts, s.ssrc, n)
+			b.sendPacket(s, low, 96, size <= 0, &s.videoSeq, ts, s.ssrc, n)
 		}
 	}
 	if low, ok := s.tracks[1]; ok {
-		b.packet(s, low, 97, true, &s.seqA, s.base+uint32(math.Round(s.next*48000)), s.ssrc+1, 64)
+		b.sendPacket(s, low, 97, true, &s.audioSeq, s.timestampBase+uint32(math.Round(s.nextFrame*48000)), s.ssrc+1, 64)
 	}
 }
 
-func (b *Box) packet(s *stream, channel byte, kind byte, marker bool, seq *uint16, ts, ssrc uint32, n int) {
+func (b *Box) sendPacket(s *stream, channel byte, payloadType byte, marker bool, seq *uint16, ts, ssrc uint32, n int) {
 	b.counts.Packets++
 	b.counts.Bytes += int64(n)
 	var p [12 + 1400]byte
-	p[0], p[1] = 0x80, kind
+	p[0], p[1] = 0x80, payloadType
 	if marker {
 		p[1] |= 0x80
 	}
@@ -274,49 +274,49 @@
 	*seq++
 	binary.BigEndian.PutUint32(p[4:], ts)
 	binary.BigEndian.PutUint32(p[8:], ssrc)
-	binary.BigEndian.PutUint64(p[12:], s.frame)
+	binary.BigEndian.PutUint64(p[12:], s.frameNumber)
 	p[20] = byte(s.rung)
-	s.conn.out.PushFrame(channel, p[:12+n], nil)
+	s.conn.sendQueue.PushFrame(channel, p[:12+n], nil)
 }
 
-// bye tells the end of a title.
-func (s *stream) bye() {
+// sendBye tells the end of a title.
+func (s *stream) sendBye() {
 	for n, low := range s.tracks {
 		var p [8]byte
 		p[0], p[1], p[3] = 0x81, 203, 1
 		binary.BigEndian.PutUint32(p[4:], s.ssrc+uint32(n))
-		s.conn.out.PushFrame(low+1, p[:], nil)
+		s.conn.sendQueue.PushFrame(low+1, p[:], nil)
 	}
 }
 
 // read takes what comes over one connection, tells the tap at once and hands it to the worker, so that a box that
 // stands still is still seen to receive.
 func (c *conn) read() {
-	defer c.b.work.Done()
-	defer close(c.in)
+	defer c.box.goroutines.Done()
+	defer close(c.requests)
 	for {
 		m, _, err := c.rtsp.Next()
 		if err != nil {
 			// The front closed its sending side, or all: SETUPs out on it are withdrawn.
-			if w := c.b.site.Witness; w != nil {
-				w.Withdrawn(c.b.ID, c.num, c.b.site.Now())
+			if w := c.box.site.Witness; w != nil {
+				w.Withdrawn(c.box.ID, c.id, c.box.site.Now())
 			}
 			if !errors.Is(err, io.EOF) { // broken, not closed on one side: nothing more can be said there
-				c.out.Close()
+				c.sendQueue.Close()
 			}
 			return
 		}
 		if m == nil {
-			c.b.set(func() { c.b.counts.ReceivedFrames++ })
+			c.box.update(func() { c.box.counts.ReceivedFrames++ })
 			continue
 		}
 		if !m.IsRequest() {
 			continue
 		}
-		c.b.received(c, m)
+		c.box.received(c, m)
 		select {
-		case c.in <- m:
-		case <-c.b.quit:
+		case c.requests <- m:
+		case <-c.box.quit:
 			return
 		}
 	}
@@ -324,23 +324,23 @@
 
 // serve answers one connection's requests in their order.
 func (b *Box) serve(c *conn) {
-	defer b.work.Done()
-	for m := range c.in {
+	defer b.goroutines.Done()
+	for m := range c.requests {
 		if !b.answer(c, m) {
-			c.out.Close()
-			c.net.Close()
+			c.sendQueue.Close()
+			c.socket.Close()
 			break
 		}
 	}
-	for range c.in { // the reader must not wait for a worker that is gone
+	for range c.requests { // the reader must not wait for a worker that is gone
 	}
-	c.out.Finish()
+	c.sendQueue.Finish()
 }
 
 // received is the tap: what came over the socket, before anything is made of it.
 func (b *Box) received(c *conn, m *rtsp.Message) {
 	peer := strings.TrimPrefix(m.Header.Get("User-Agent"), "rainhaven/")
-	b.set(func() { c.peer = peer })
+	b.update(func() { c.frontName = peer })
 	w := b.site.Witness
 	if w == nil {
 		return
@@ -352,7 +352,7 @@
 		if err != nil {
 			rung = len(b.site.Ladder) - 1
 		}
-		w.Setup(b.ID, c.num, m.CSeq(), b.site.Now(), strings.TrimPrefix(p.Query, "viewer="), peer, p.Group, p.Title, rung)
+		w.Setup(b.ID, c.id, m.CSeq(), b.site.Now(), strings.TrimPrefix(p.Query, "viewer="), peer, p.Group, p.Title, rung)
 	case m.Method == rtsp.SetParameter:
 		if r, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"]); err == nil {
 			w.Rung(b.ID, m.Session(), r, b.site.Now())
@@ -363,18 +363,18 @@
 }
 
 func (b *Box) reply(c *conn, m *rtsp.Message, r *rtsp.Message) {
-	if c.twist != nil {
-		twist := c.twist
-		c.twist = nil
+	if c.alterReply != nil {
+		twist := c.alterReply
+		c.alterReply = nil
 		if r = twist(r); r == nil {
 			return
 		}
 	}
 	if w := b.site.Witness; w != nil && m.Method == rtsp.Setup {
-		w.SetupAnswered(b.ID, c.num, m.CSeq(), b.site.Now(), r.Status, r.Session())
+		w.SetupAnswered(b.ID, c.id, m.CSeq(), b.site.Now(), r.Status, r.Session())
 	}
-	r.WithHeader("Load-Report", fmt.Sprintf("link=%.3f, uplink=%.3f, inflight=%d", b.said[0], b.said[1], len(b.streams)))
-	c.out.PushMessage(r.Append(nil))
+	r.WithHeader("Load-Report", fmt.Sprintf("link=%.3f, uplink=%.3f, inflight=%d", b.reportedLoad[0], b.reportedLoad[1], len(b.streams)))
+	c.sendQueue.PushMessage(r.Append(nil))
 }
 
 // answer answers a request; false where the connection is to end.
@@ -383,23 +383,23 @@
 	defer b.mu.Unlock()
 	if m.Method == rtsp.Setup && m.Session() == "" {
 		b.counts.Setups++
-		if b.pushedOver() {
+		if b.overloadedBySetup() {
 			return false
 		}
 	}
-	for (b.hung || b.held) && !b.down && !c.closed {
-		b.unhung.Wait()
+	for (b.hanging || b.holdingAnswers) && !b.down && !c.closed {
+		b.stateChanged.Wait()
 	}
 	if b.down || c.closed {
 		return false
 	}
-	if b.breaks > 0 && m.Method == rtsp.Setup {
-		b.breaks--
+	if b.setupDisconnects > 0 && m.Method == rtsp.Setup {
+		b.setupDisconnects--
 		return false
 	}
 	if b.site.RandomFaultShare > 0 && b.rand.Float64() < b.site.RandomFaultShare {
-		if on, done := b.mischief(c, m); done {
-			return on
+		if keepConn, handled := b.injectRandomFault(c, m); handled {
+			return keepConn
 		}
 	}
 	switch m.Method {
@@ -407,7 +407,7 @@
 		return b.setup(c, m)
 	case rtsp.Describe:
 		r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Content-Type", "application/sdp").WithHeader("Content-Base", m.URL+"/")
-		if r.Body = []byte(description); b.lies {
+		if r.Body = []byte(description); b.invalidSDP {
 			r.Body = []byte("v=0\r\nm=none")
 		}
 		b.reply(c, m, r)
@@ -435,17 +435,17 @@
 				r.Status = rtsp.InvalidRange
 				break
 			}
-			if !rg.Now && rg.Start != s.media {
-				s.media, s.next = rg.Start, rg.Start
+			if !rg.Now && rg.Start != s.position {
+				s.position, s.nextFrame = rg.Start, rg.Start
 			}
 		}
-		s.conn, s.playing, s.lost = c, true, 0
-		r.WithHeader("Range", rtsp.Range{Start: s.media, End: math.Inf(1)}.String())
+		s.conn, s.playing, s.disconnectedAt = c, true, 0
+		r.WithHeader("Range", rtsp.Range{Start: s.position, End: math.Inf(1)}.String())
 		var info []rtsp.RTPInfo
 		for n := range s.tracks {
-			seq, ts := s.seq, s.base+uint32(math.Round(s.next*90000))
+			seq, ts := s.videoSeq, s.timestampBase+uint32(math.Round(s.nextFrame*90000))
 			if n == 1 {
-				seq, ts = s.seqA, s.base+uint32(math.Round(s.next*48000))
+				seq, ts = s.audioSeq, s.timestampBase+uint32(math.Round(s.nextFrame*48000))
 			}
 			info = append(info, rtsp.RTPInfo{URL: rtsp.Resource{Host: b.Address, Group: s.group, Title: s.title, Track: n, Query: s.query}.URL(), Seq: seq, RTPTime: ts})
 		}
@@ -454,14 +454,14 @@
 		s.playing = false
 	case rtsp.SetParameter:
 		n, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"])
-		if err != nil || n < 0 || n >= len(b.site.Ladder) || b.deafToRungs {
+		if err != nil || n < 0 || n >= len(b.site.Ladder) || b.rejectingRungs {
 			r.Status = rtsp.ParameterNotUnderstood
 			break
 		}
 		s.rung = n
 	case rtsp.TearDown:
-		if b.keeps > 0 {
-			b.keeps--
+		if b.teardownErrors > 0 {
+			b.teardownErrors--
 			r.Status = rtsp.InternalError
 			break
 		}
@@ -481,25 +481,25 @@
 // setup answers a SETUP after the time that it takes. Called with the box locked; the wait is without.
 func (b *Box) setup(c *conn, m *rtsp.Message) bool {
 	p, err := rtsp.ParseURL(m.URL)
-	specs, bad := rtsp.ParseTransport(m.Header.Get("Transport"))
-	tr, ok := rtsp.FindTCP(specs)
-	if err != nil || bad != nil || !ok || !tr.Interleaved {
+	specs, transportErr := rtsp.ParseTransport(m.Header.Get("Transport"))
+	transport, ok := rtsp.FindTCP(specs)
+	if err != nil || transportErr != nil || !ok || !transport.Interleaved {
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.UnsupportedTransport))
 		return true
 	}
 	if s := b.streams[m.Session()]; s != nil {
-		s.tracks[max(p.Track, 0)] = tr.RTPChannel
-		b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", s.id).WithHeader("Transport", tr.String()))
+		s.tracks[max(p.Track, 0)] = transport.RTPChannel
+		b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", s.id).WithHeader("Transport", transport.String()))
 		return true
 	}
-	if b.errors > 0 {
-		b.errors--
+	if b.setupErrors > 0 {
+		b.setupErrors--
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true
 	}
-	full := b.refuses || len(b.streams) >= b.site.MaxSessions
+	full := b.refusing || len(b.streams) >= b.site.MaxSessions
 	if b.site.FullThreshold > 0 {
-		full = full || math.Float64frombits(b.asked.Load()) >= b.site.FullThreshold*b.link/b.slow
+		full = full || math.Float64frombits(b.demand.Load()) >= b.site.FullThreshold*b.link/b.linkReduction
 	}
 	if full {
 		b.counts.FullReplies++
@@ -510,12 +510,12 @@
 	if err != nil || rung < 0 || rung >= len(b.site.Ladder) {
 		rung = len(b.site.Ladder) - 1
 	}
-	b.serial++
-	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.serial), group: p.Group, title: p.Title, query: p.Query, conn: c, rung: rung,
-		vary: 1 + (2*b.rand.Float64()-1)*b.site.RateVariation, tracks: map[int]byte{max(p.Track, 0): tr.RTPChannel},
-		seq: uint16(b.rand.Uint32()), seqA: uint16(b.rand.Uint32()), base: b.rand.Uint32(), ssrc: b.rand.Uint32()}
+	b.lastID++
+	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.lastID), group: p.Group, title: p.Title, query: p.Query, conn: c, rung: rung,
+		rateFactor: 1 + (2*b.rand.Float64()-1)*b.site.RateVariation, tracks: map[int]byte{max(p.Track, 0): transport.RTPChannel},
+		videoSeq: uint16(b.rand.Uint32()), audioSeq: uint16(b.rand.Uint32()), timestampBase: b.rand.Uint32(), ssrc: b.rand.Uint32()}
 	b.streams[s.id] = s // its place is taken from now
-	if wait := b.site.SetupTime * b.aged * (0.5 + b.rand.Float64()); wait > 0 {
+	if wait := b.site.SetupTime * b.setupSlowdown * (0.5 + b.rand.Float64()); wait > 0 {
 		b.mu.Unlock()
 		t := time.NewTimer(time.Duration(wait * 1e9))
 		select {
@@ -524,46 +524,46 @@
 			t.Stop()
 		}
 		b.mu.Lock()
-		for b.hung && !b.down && !c.closed {
-			b.unhung.Wait()
+		for b.hanging && !b.down && !c.closed {
+			b.stateChanged.Wait()
 		}
 		if b.down || c.closed {
 			return false
 		}
 	}
-	b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", fmt.Sprintf("%s;timeout=60", s.id)).WithHeader("Transport", tr.String()))
+	b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", fmt.Sprintf("%s;timeout=60", s.id)).WithHeader("Transport", transport.String()))
 	return true
 }
 
-// pushedOver counts a SETUP against what a cold box can take, and falls over past it.
-func (b *Box) pushedOver() bool {
+// overloadedBySetup counts a SETUP against what a cold box can take, and falls over past it.
+func (b *Box) overloadedBySetup() bool {
 	now, s := b.site.Now(), b.site
-	if b.born == 0 || s.WarmUp <= 0 || now-b.born > s.WarmUp {
+	if b.startedAt == 0 || s.WarmUp <= 0 || now-b.startedAt > s.WarmUp {
 		return false
 	}
-	b.cold = slices.DeleteFunc(b.cold, func(at float64) bool { return now-at >= s.OverloadTime })
-	b.cold = append(b.cold, now)
-	if float64(len(b.cold)) <= witness.Limit(float64(s.MaxSessions), s.WarmUp, s.ColdShare, s.OverloadFactor, s.OverloadTime, now-b.born) {
+	b.coldSetups = slices.DeleteFunc(b.coldSetups, func(at float64) bool { return now-at >= s.OverloadTime })
+	b.coldSetups = append(b.coldSetups, now)
+	if float64(len(b.coldSetups)) <= witness.Limit(float64(s.MaxSessions), s.WarmUp, s.ColdShare, s.OverloadFactor, s.OverloadTime, now-b.startedAt) {
 		return false
 	}
-	b.fallen = true
-	b.breakAll(false)
+	b.overloaded = true
+	b.shutDown(false)
 	return true
 }
 
-func (b *Box) connOver(c *conn) {
+func (b *Box) connClosed(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.closed = true
-	b.unhung.Broadcast()
+	b.stateChanged.Broadcast()
 	delete(b.conns, c)
 	for id, s := range b.streams {
-		if s.conn != c || s.lost > 0 {
+		if s.conn != c || s.disconnectedAt > 0 {
 			continue
 		}
 		// It may go on over another connection for a while; to the front whose connection this was it is over.
-		if s.lost = b.site.Now(); b.site.Witness != nil {
-			b.site.Witness.Over(b.ID, id, s.lost)
+		if s.disconnectedAt = b.site.Now(); b.site.Witness != nil {
+			b.site.Witness.Over(b.ID, id, s.disconnectedAt)
 		}
 		if b.site.DisconnectGrace <= 0 {
 			delete(b.streams, id)
@@ -571,8 +571,8 @@
 	}
 }
 
-// drop ends a session at the box. Called locked.
-func (b *Box) drop(id string) {
+// endSession ends a session at the box. Called locked.
+func (b *Box) endSession(id string) {
 	delete(b.streams, id)
 	if w := b.site.Witness; w != nil {
 		w.Over(b.ID, id, b.site.Now())
--- a/internal/lab/faults/network.go
+++ b/internal/lab/faults/network.go
@@ -34,14 +34,14 @@
 // acceptErrors are errors of accept(2) after which it may be called again.
 var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// breakErrors end a connection that stood.
-var breakErrors = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
+// disconnectErrors end a connection that stood.
+var disconnectErrors = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
 
 // acceptPause is how long an accept that fails for want of descriptors leaves the connection waiting.
 const acceptPause = 5 * time.Millisecond
 
-// mostShort is how many bytes a short read gives at most.
-const mostShort = 7
+// maxShortRead is how many bytes a short read gives at most.
+const maxShortRead = 7
 
 // Network is a network with faults. It is safe for concurrent use.
 type Network struct {
@@ -67,7 +67,7 @@
 	return list[n.rand.IntN(len(list))]
 }
 
-func (n *Network) below(k int) int {
+func (n *Network) intN(k int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rand.IntN(k)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{TCPConn: c.(*net.TCPConn), n: n, breaks: n.rates.Disconnect}, nil
+	return &conn{TCPConn: c.(*net.TCPConn), n: n, disconnectRate: n.rates.Disconnect}, nil
 }
 
 func (n *Network) dialError(e syscall.Errno) error {
@@ -123,35 +123,35 @@
 // conn is a connection that may break. What is written through its raw descriptor does not.
 type conn struct {
 	*net.TCPConn
-	n      *Network
-	breaks float64 // 0 for accepted ones: whoever judges could not tell such a break from a close of the node's
+	n              *Network
+	disconnectRate float64 // 0 for accepted ones: whoever judges could not tell such a break from a close of the node's
 }
 
-func (c *conn) broken(op string) error {
+func (c *conn) disconnect(op string) error {
 	c.TCPConn.SetLinger(0)
 	c.TCPConn.Close()
-	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, c.n.pick(breakErrors))}
+	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, c.n.pick(disconnectErrors))}
 }
 
 // Read gives a few bytes only now and then, or ends the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	switch {
-	case c.n.chance(c.breaks):
-		return 0, c.broken("read")
+	case c.n.chance(c.disconnectRate):
+		return 0, c.disconnect("read")
 	case len(b) > 1 && c.n.chance(c.n.rates.ShortRead):
-		b = b[:1+c.n.below(min(len(b)-1, mostShort))]
+		b = b[:1+c.n.intN(min(len(b)-1, maxShortRead))]
 	}
 	return c.TCPConn.Read(b)
 }
 
 // Write ends the connection now and then, after a part of the bytes.
 func (c *conn) Write(b []byte) (int, error) {
-	if len(b) > 0 && c.n.chance(c.breaks) {
-		k, err := c.TCPConn.Write(b[:c.n.below(len(b))])
+	if len(b) > 0 && c.n.chance(c.disconnectRate) {
+		k, err := c.TCPConn.Write(b[:c.n.intN(len(b))])
 		if err != nil {
 			return k, err
 		}
-		return k, c.broken("write")
+		return k, c.disconnect("write")
 	}
 	return c.TCPConn.Write(b)
 }
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -67,10 +67,10 @@
 	FramesPerSecond     float64 `json:"Frames"`   // a second, of the playing sessions together
 }
 
-// groupsFor is the part of the settings that is alike for any number of boxes.
-func groupsFor(boxes int) string { return fmt.Sprintf(groups, boxes, boxes) }
+// fleetSettings is the part of the settings that is alike for any number of boxes.
+func fleetSettings(boxes int) string { return fmt.Sprintf(fleetSettingsFormat, boxes, boxes) }
 
-const groups = `
+const fleetSettingsFormat = `
 kind(name = "large", places = 5000)
 ladder(rates = [100, 200])
 group(name = "clips", start_target = 2, setup_timeout = 5)
@@ -80,41 +80,41 @@
 limits(connections = 20000, sessions = 20000, box_connections = 5000)
 `
 
-// front is a front's process.
-type front struct {
+// frontProcess is a frontProcess's process.
+type frontProcess struct {
 	cmd        *exec.Cmd
-	way        // for viewers
+	endpoint   // for viewers
 	admin, dir string
-	script     string
+	settings   string
 }
 
-// way is how viewers come to something.
-type way struct {
+// endpoint is how viewers come to something.
+type endpoint struct {
 	address string
-	over    *tls.Config // nil is plain
+	tls     *tls.Config // nil is plain
 }
 
-// start runs a front before boxes.
-func start(ctx context.Context, b Build, boxes []string) (*front, error) {
+// startFront runs a front before boxes.
+func startFront(ctx context.Context, b Build, boxes []string) (*frontProcess, error) {
 	dir, err := os.MkdirTemp("", "rainhaven-measure")
 	if err != nil {
 		return nil, err
 	}
-	f := &front{dir: dir}
-	more := ""
+	f := &frontProcess{dir: dir}
+	tlsSettings := ""
 	if b.TLS {
-		if f.over, err = selfSigned(dir); err != nil {
+		if f.tls, err = selfSigned(dir); err != nil {
 			return nil, err
 		}
-		more = fmt.Sprintf(`, tls_listen = "127.0.0.1:0", cert = %q, key = %q`, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
+		tlsSettings = fmt.Sprintf(`, tls_listen = "127.0.0.1:0", cert = %q, key = %q`, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
 	}
-	script := `front(name = "measured", listen = "127.0.0.1:0", admin = "127.0.0.1:0"` + more + `)` + groupsFor(len(boxes))
+	settings := `front(name = "measured", listen = "127.0.0.1:0", admin = "127.0.0.1:0"` + tlsSettings + `)` + fleetSettings(len(boxes))
 	for i, at := range boxes {
-		script += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, at)
+		settings += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, at)
 	}
 	file := filepath.Join(dir, "front.star")
-	f.script = script
-	if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
+	f.settings = settings
+	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		return nil, err
 	}
 	f.cmd = exec.CommandContext(ctx, b.Program, "front", "--config", file, "--drain", "1s")
@@ -144,9 +144,9 @@
 }
 
 // reload has the front take settings that need a new module, a little over a second apart, until the context is done.
-func (f *front) reload(ctx context.Context) {
-	for n := 1; pause(ctx, 1100*time.Millisecond) == nil; n++ {
-		s := strings.Replace(f.script, "setups(window = 0)", fmt.Sprintf("setups(window = 0, advice = %d)", 1+n%2), 1)
+func (f *frontProcess) reload(ctx context.Context) {
+	for n := 1; sleep(ctx, 1100*time.Millisecond) == nil; n++ {
+		s := strings.Replace(f.settings, "setups(window = 0)", fmt.Sprintf("setups(window = 0, advice = %d)", 1+n%2), 1)
 		if os.WriteFile(filepath.Join(f.dir, "front.star"), []byte(s), 0o600) != nil {
 			return
 		}
@@ -154,14 +154,14 @@
 	}
 }
 
-func (f *front) stop() {
+func (f *frontProcess) stop() {
 	f.cmd.Process.Signal(syscall.SIGTERM)
 	f.cmd.Wait()
 	os.RemoveAll(f.dir)
 }
 
 // metric reads one figure of the front's.
-func (f *front) metric(name string) (float64, error) {
+func (f *frontProcess) metric(name string) (float64, error) {
 	r, err := http.Get("http://" + f.admin + "/metrics")
 	if err != nil {
 		return 0, err
@@ -184,13 +184,13 @@
 	cseq    int
 }
 
-func (w way) connect() (*viewer, error) {
+func (w endpoint) connect() (*viewer, error) {
 	n, err := net.DialTimeout("tcp", w.address, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	if w.over != nil {
-		t := tls.Client(n, w.over)
+	if w.tls != nil {
+		t := tls.Client(n, w.tls)
 		t.SetDeadline(time.Now().Add(10 * time.Second))
 		if err := t.Handshake(); err != nil {
 			n.Close()
@@ -202,14 +202,14 @@
 	return &viewer{c: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + w.address + "/clips/vents"}, nil
 }
 
-func (v *viewer) ask(method string, with ...string) error {
+func (v *viewer) request(method string, headers ...string) error {
 	v.cseq++
 	m := rtsp.NewRequest(method, v.url).WithHeader("CSeq", strconv.Itoa(v.cseq))
 	if v.session != "" {
 		m.WithHeader("Session", v.session)
 	}
-	for i := 0; i < len(with); i += 2 {
-		m.WithHeader(with[i], with[i+1])
+	for i := 0; i < len(headers); i += 2 {
+		m.WithHeader(headers[i], headers[i+1])
 	}
 	r, err := v.c.RoundTrip(m, 10*time.Second, nil)
 	if err != nil {
@@ -225,29 +225,29 @@
 }
 
 func (v *viewer) setup() error {
-	return v.ask(rtsp.Setup, "Transport", "RTP/AVP/TCP;unicast;interleaved=0-1", "Rung", "1")
+	return v.request(rtsp.Setup, "Transport", "RTP/AVP/TCP;unicast;interleaved=0-1", "Rung", "1")
 }
 
-// latency is the time of one set-up on a fresh connection.
-func (w way) latency() (time.Duration, error) {
+// setupLatency is the time of one set-up on a fresh connection.
+func (w endpoint) setupLatency() (time.Duration, error) {
 	v, err := w.connect()
 	if err != nil {
 		return 0, err
 	}
 	defer v.c.Close()
-	from := time.Now()
+	sentAt := time.Now()
 	if err := v.setup(); err != nil {
 		return 0, err
 	}
-	d := time.Since(from)
-	return d, v.ask(rtsp.TearDown)
+	d := time.Since(sentAt)
+	return d, v.request(rtsp.TearDown)
 }
 
 // Run measures.
-func Run(ctx context.Context, o Options, tell func(Row)) ([]Row, error) {
-	begin := time.Now()
+func Run(ctx context.Context, o Options, report func(Row)) ([]Row, error) {
+	startedAt := time.Now()
 	site := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 5000, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.5, NoteInterval: 3,
-		FPS: 25, PayloadScale: 1, Now: func() float64 { return time.Since(begin).Seconds() }}
+		FPS: 25, PayloadScale: 1, Now: func() float64 { return time.Since(startedAt).Seconds() }}
 	rack := box.NewRack(1e9)
 	var addresses []string
 	for i := range 4 {
@@ -261,23 +261,23 @@
 	var rows []Row
 	for _, n := range o.Sessions {
 		for _, b := range o.Builds {
-			row, err := under(ctx, o, b, n, addresses)
+			row, err := measureRow(ctx, o, b, n, addresses)
 			if err != nil {
 				return rows, fmt.Errorf("%s under %d sessions: %w", b.Name, n, err)
 			}
 			rows = append(rows, row)
-			if tell != nil {
-				tell(row)
+			if report != nil {
+				report(row)
 			}
 		}
 	}
 	return rows, nil
 }
 
-// under measures with n sessions playing.
-func under(ctx context.Context, o Options, b Build, n int, boxes []string) (Row, error) {
+// measureRow measures with n sessions playing.
+func measureRow(ctx context.Context, o Options, b Build, n int, boxes []string) (Row, error) {
 	row := Row{Build: b.Name, Sessions: n}
-	f, err := start(ctx, b, boxes)
+	f, err := startFront(ctx, b, boxes)
 	if err != nil {
 		return row, err
 	}
@@ -306,7 +306,7 @@
 		if err := v.setup(); err != nil {
 			return row, err
 		}
-		if err := v.ask(rtsp.Play); err != nil {
+		if err := v.request(rtsp.Play); err != nil {
 			return row, err
 		}
 		readers.Go(func() {
@@ -321,25 +321,25 @@
 			}
 		})
 	}
-	if err := pause(ctx, time.Second); err != nil {
+	if err := sleep(ctx, time.Second); err != nil {
 		return row, err
 	}
 	count0, _ := f.metric("rainhaven_settle_seconds_count")
 	sum0, _ := f.metric("rainhaven_settle_seconds_sum")
 	mallocs0, _ := f.metric("go_memstats_mallocs_total")
 	if b.Reloads {
-		again, stop := context.WithCancel(ctx)
-		readers.Go(func() { f.reload(again) })
-		defer stop()
+		reloadCtx, stopReloads := context.WithCancel(ctx)
+		readers.Go(func() { f.reload(reloadCtx) })
+		defer stopReloads()
 	}
 	direct, through := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
-	from, was := time.Now(), frames.Load()
+	startedAt, framesBefore := time.Now(), frames.Load()
 	for i := range o.Setups {
 		for _, w := range []struct {
-			way
+			endpoint
 			h *hdrhistogram.Histogram
-		}{{way{boxes[i%len(boxes)], nil}, direct}, {f.way, through}} {
-			d, err := w.latency()
+		}{{endpoint{boxes[i%len(boxes)], nil}, direct}, {f.endpoint, through}} {
+			d, err := w.setupLatency()
 			if err != nil {
 				return row, err
 			}
@@ -349,7 +349,7 @@
 			return row, ctx.Err()
 		}
 	}
-	row.FramesPerSecond = float64(frames.Load()-was) / time.Since(from).Seconds()
+	row.FramesPerSecond = float64(frames.Load()-framesBefore) / time.Since(startedAt).Seconds()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	row.DirectP50, row.DirectP99 = ms(direct, 50), ms(direct, 99)
 	row.FrontP50, row.FrontP99, row.FrontP999 = ms(through, 50), ms(through, 99), ms(through, 99.9)
@@ -366,12 +366,12 @@
 	rss, _ := f.metric("process_resident_memory_bytes")
 	row.HeapBytesPerSession = (heap + stack - heap0 - stack0) / float64(n)
 	row.RSSBytesPerSession = (rss - rss0) / float64(n)
-	return row, o.transfers(ctx, &row, b, min(n, 100))
+	return row, o.measureTransfers(ctx, &row, b, min(n, 100))
 }
 
-// transfers compares what comes through at full speed, on so many connections at once.
-func (o Options) transfers(ctx context.Context, row *Row, build Build, conns int) error {
-	src, err := listenFlat()
+// measureTransfers compares what comes through at full speed, on so many connections at once.
+func (o Options) measureTransfers(ctx context.Context, row *Row, build Build, conns int) error {
+	src, err := listenFullSpeed()
 	if err != nil {
 		return err
 	}
@@ -379,56 +379,56 @@
 	// Each through a front of its own: at full speed sessions that a busy machine holds up pass for a short link, which a
 	// front remembers for half a minute and rightly turns new ones away.
 	through := func() (float64, error) {
-		f, err := start(ctx, build, []string{src.address})
+		f, err := startFront(ctx, build, []string{src.address})
 		if err != nil {
 			return 0, err
 		}
 		defer f.stop()
-		return transfer(ctx, f.way, conns, o.TransferSeconds)
+		return transfer(ctx, f.endpoint, conns, o.TransferSeconds)
 	}
-	var d, t, ratios []float64
+	var directRates, frontRates, ratios []float64
 	for range o.Reps {
-		a, err := transfer(ctx, way{src.address, nil}, conns, o.TransferSeconds)
+		directRate, err := transfer(ctx, endpoint{src.address, nil}, conns, o.TransferSeconds)
 		if err != nil {
 			return fmt.Errorf("straight: %w", err)
 		}
-		b, err := through()
+		frontRate, err := through()
 		if err != nil {
 			return fmt.Errorf("through the front: %w", err)
 		}
-		d, t, ratios = append(d, a), append(t, b), append(ratios, b/a)
+		directRates, frontRates, ratios = append(directRates, directRate), append(frontRates, frontRate), append(ratios, frontRate/directRate)
 	}
 	if len(ratios) == 0 {
 		return nil
 	}
-	slices.Sort(d)
-	slices.Sort(t)
+	slices.Sort(directRates)
+	slices.Sort(frontRates)
 	slices.Sort(ratios)
-	row.DirectMBps, row.FrontMBps, row.ThroughputRatio = d[len(d)/2], t[len(t)/2], ratios[len(ratios)/2]
+	row.DirectMBps, row.FrontMBps, row.ThroughputRatio = directRates[len(directRates)/2], frontRates[len(frontRates)/2], ratios[len(ratios)/2]
 	row.MinThroughputRatio, row.MaxThroughputRatio = ratios[0], ratios[len(ratios)-1]
 	return nil
 }
 
 // transfer is MB a second that come to so many viewers at once.
-func transfer(ctx context.Context, w way, conns int, seconds float64) (float64, error) {
-	var list []*viewer
+func transfer(ctx context.Context, target endpoint, conns int, seconds float64) (float64, error) {
+	var viewers []*viewer
 	defer func() {
-		for _, v := range list {
+		for _, v := range viewers {
 			v.c.Close()
 		}
 	}()
 	for range conns {
-		v, err := w.connect()
+		v, err := target.connect()
 		if err != nil {
 			return 0, err
 		}
-		list = append(list, v)
+		viewers = append(viewers, v)
 		// At full speed a box may have been set aside for an answer that came too late; probes bring it back.
 		for n := 0; ; n++ {
 			if err = v.setup(); err == nil || n == 20 {
 				break
 			}
-			if err := pause(ctx, 250*time.Millisecond); err != nil {
+			if err := sleep(ctx, 250*time.Millisecond); err != nil {
 				return 0, err
 			}
 		}
@@ -437,10 +437,10 @@
 		}
 	}
 	var bytes atomic.Int64
-	var all sync.WaitGroup
-	for _, v := range list {
-		all.Go(func() {
-			if v.ask(rtsp.Play) != nil {
+	var readers sync.WaitGroup
+	for _, v := range viewers {
+		readers.Go(func() {
+			if v.request(rtsp.Play) != nil {
 				return
 			}
 			for {
@@ -454,20 +454,20 @@
 			}
 		})
 	}
-	defer all.Wait()
-	if err := pause(ctx, 300*time.Millisecond); err != nil {
+	defer readers.Wait()
+	if err := sleep(ctx, 300*time.Millisecond); err != nil {
 		return 0, err
 	}
-	was, from := bytes.Load(), time.Now()
-	err := pause(ctx, time.Duration(seconds*1e9))
-	rate := float64(bytes.Load()-was) / time.Since(from).Seconds() / 1e6
-	for _, v := range list {
+	bytesBefore, startedAt := bytes.Load(), time.Now()
+	err := sleep(ctx, time.Duration(seconds*1e9))
+	rate := float64(bytes.Load()-bytesBefore) / time.Since(startedAt).Seconds() / 1e6
+	for _, v := range viewers {
 		v.c.Close()
 	}
 	return rate, err
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -12,12 +12,12 @@
 
 // BenchmarkTransfer is media at full speed, straight and through a front in this process.
 func BenchmarkTransfer(b *testing.B) {
-	src, err := listenFlat()
+	src, err := listenFullSpeed()
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer src.close()
-	s := settings.Read("f", []byte(`front(name = "f", listen = "127.0.0.1:0")`+groupsFor(1)+`box(id = 1, cell = 0, address = "127.0.0.1:1")`), settings.FrontForms)
+	s := settings.Read("f", []byte(`front(name = "f", listen = "127.0.0.1:0")`+fleetSettings(1)+`box(id = 1, cell = 0, address = "127.0.0.1:1")`), settings.FrontForms)
 	t := settings.FrontConfig(s)
 	if len(s.Diagnostics) > 0 {
 		b.Fatal(s.Diagnostics)
@@ -37,7 +37,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			sum := 0.0
 			for b.Loop() {
-				mb, err := transfer(context.Background(), way{c.address, nil}, 1, 0.5)
+				mb, err := transfer(context.Background(), endpoint{c.address, nil}, 1, 0.5)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/lab/measure/source.go
+++ b/internal/lab/measure/source.go
@@ -9,22 +9,22 @@
 	"rainhaven/internal/rtsp"
 )
 
-// flat is a source that sends frames as fast as they are taken.
-type flat struct {
-	l       net.Listener
-	address string
-	work    sync.WaitGroup
-	mu      sync.Mutex
-	conns   map[net.Conn]struct{} // emptied as they end
+// fullSpeedSource is a source that sends frames as fast as they are taken.
+type fullSpeedSource struct {
+	listener   net.Listener
+	address    string
+	goroutines sync.WaitGroup
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{} // emptied as they end
 }
 
-func listenFlat() (*flat, error) {
+func listenFullSpeed() (*fullSpeedSource, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f := &flat{l: l, address: l.Addr().String(), conns: map[net.Conn]struct{}{}}
-	f.work.Go(func() {
+	f := &fullSpeedSource{listener: l, address: l.Addr().String(), conns: map[net.Conn]struct{}{}}
+	f.goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -33,7 +33,7 @@
 			f.mu.Lock()
 			f.conns[c] = struct{}{}
 			f.mu.Unlock()
-			f.work.Go(func() {
+			f.goroutines.Go(func() {
 				f.serve(c)
 				c.Close()
 				f.mu.Lock()
@@ -45,28 +45,28 @@
 	return f, nil
 }
 
-func (f *flat) close() {
-	f.l.Close()
+func (f *fullSpeedSource) close() {
+	f.listener.Close()
 	f.mu.Lock()
 	for c := range f.conns {
 		c.Close()
 	}
 	f.mu.Unlock()
-	f.work.Wait()
+	f.goroutines.Wait()
 }
 
 // serve answers all requests and, between PLAY and TEARDOWN, sends frames of 1,400 bytes.
-func (f *flat) serve(n net.Conn) {
+func (f *fullSpeedSource) serve(n net.Conn) {
 	c := rtsp.NewConn(n, rtsp.Limits{})
 	var stop, stopped chan struct{}
-	halt := func() {
+	stopSending := func() {
 		if stop != nil {
 			close(stop)
 			<-stopped
 			stop = nil
 		}
 	}
-	defer halt()
+	defer stopSending()
 	defer n.Close()
 	for {
 		m, _, err := c.Next()
@@ -76,19 +76,19 @@
 		if m == nil {
 			continue
 		}
-		halt() // one writes at a time
+		stopSending() // one writes at a time
 		r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", "flat").WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
 		if _, err := n.Write(r.Append(nil)); err != nil {
 			return
 		}
 		if m.Method == rtsp.Play {
 			stop, stopped = make(chan struct{}), make(chan struct{})
-			go send(n, stop, stopped)
+			go sendFrames(n, stop, stopped)
 		}
 	}
 }
 
-func send(n net.Conn, stop, stopped chan struct{}) {
+func sendFrames(n net.Conn, stop, stopped chan struct{}) {
 	defer close(stopped)
 	var buf []byte
 	payload := make([]byte, 1388+12)
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -73,172 +73,172 @@
 // ErrNotServed is a final answer other than 200.
 var ErrNotServed = errors.New("not served")
 
-type play struct {
-	w      Options
-	c      *rtsp.Conn
-	cseq   int
-	seen   Result
-	asked  time.Time
-	first  time.Time
-	last   time.Time
-	seq    [2]uint16
-	ts     uint32
-	bye    bool
-	to     string // the front's Location, to go on at
-	frames [2]int
-	offer  map[string]string // the front's challenge, once it came
+type player struct {
+	opts          Options
+	conn          *rtsp.Conn
+	cseq          int
+	result        Result
+	setupSentAt   time.Time
+	firstFrameAt  time.Time
+	lastFrameAt   time.Time
+	lastSeq       [2]uint16
+	lastTimestamp uint32
+	gotBye        bool
+	redirect      string // the front's Location, to go on at
+	packets       [2]int
+	challenge     map[string]string // the front's challenge, once it came
 }
 
 // Watch plays a session as wanted. The error tells why it did not go to its end; what was seen counts all the same.
-func Watch(ctx context.Context, w Options) (Result, error) {
-	if w.Now == nil {
+func Watch(ctx context.Context, opts Options) (Result, error) {
+	if opts.Now == nil {
 		start := time.Now()
-		w.Now = func() float64 { return time.Since(start).Seconds() }
+		opts.Now = func() float64 { return time.Since(start).Seconds() }
 	}
-	if w.Tracks == 0 {
-		w.Tracks = 1
+	if opts.Tracks == 0 {
+		opts.Tracks = 1
 	}
-	if w.SetupTimeout == 0 {
-		w.SetupTimeout = 10
+	if opts.SetupTimeout == 0 {
+		opts.SetupTimeout = 10
 	}
 	d := net.Dialer{Timeout: 2 * time.Second}
-	raw, err := d.DialContext(ctx, "tcp", w.Address)
+	raw, err := d.DialContext(ctx, "tcp", opts.Address)
 	if err != nil {
 		return Result{}, fmt.Errorf("connecting to the front: %w", err)
 	}
 	defer raw.Close()
-	if w.TLS != nil {
-		raw = tls.Client(raw, w.TLS)
+	if opts.TLS != nil {
+		raw = tls.Client(raw, opts.TLS)
 	}
 	stop := context.AfterFunc(ctx, func() { raw.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	p := &play{w: w, c: rtsp.NewConn(raw, rtsp.Limits{})}
+	p := &player{opts: opts, conn: rtsp.NewConn(raw, rtsp.Limits{})}
 	err = p.run(ctx)
-	if w.Witness != nil && w.Token != "" {
-		w.Witness.Left(w.Token, w.Now())
+	if opts.Witness != nil && opts.Token != "" {
+		opts.Witness.Left(opts.Token, opts.Now())
 	}
-	if !p.first.IsZero() {
-		p.seen.PlayedSeconds = p.last.Sub(p.first).Seconds()
+	if !p.firstFrameAt.IsZero() {
+		p.result.PlayedSeconds = p.lastFrameAt.Sub(p.firstFrameAt).Seconds()
 	}
-	return p.seen, err
+	return p.result, err
 }
 
-func (p *play) url(track int) string {
-	place := rtsp.Resource{Host: p.w.Address, Group: p.w.Group, Title: p.w.Title, Track: track}
-	if p.w.Token != "" {
-		place.Query = "viewer=" + p.w.Token
+func (p *player) url(track int) string {
+	resource := rtsp.Resource{Host: p.opts.Address, Group: p.opts.Group, Title: p.opts.Title, Track: track}
+	if p.opts.Token != "" {
+		resource.Query = "viewer=" + p.opts.Token
 	}
-	return place.URL()
+	return resource.URL()
 }
 
-func (p *play) request(method, url string) *rtsp.Message {
+func (p *player) request(method, url string) *rtsp.Message {
 	p.cseq++
 	m := rtsp.NewRequest(method, url).WithHeader("CSeq", strconv.Itoa(p.cseq)).WithHeader("User-Agent", "rainhaven-play")
-	if p.offer != nil {
-		q := map[string]string{"uri": url, "nonce": p.offer["nonce"], "qop": "auth", "nc": fmt.Sprintf("%08x", p.cseq), "cnonce": "rainhaven"}
-		alg, realm := p.offer["algorithm"], p.offer["realm"]
+	if p.challenge != nil {
+		q := map[string]string{"uri": url, "nonce": p.challenge["nonce"], "qop": "auth", "nc": fmt.Sprintf("%08x", p.cseq), "cnonce": "rainhaven"}
+		alg, realm := p.challenge["algorithm"], p.challenge["realm"]
 		m.WithHeader("Authorization", fmt.Sprintf(`Digest username="%s", realm="%s", nonce="%s", uri="%s", algorithm=%s, qop=auth, nc=%s, cnonce="%s", response="%s"`,
-			p.w.User.Name, realm, q["nonce"], url, alg, q["nc"], q["cnonce"], auth.Response(alg, auth.HA1(alg, realm, *p.w.User), method, q)))
+			p.opts.User.Name, realm, q["nonce"], url, alg, q["nc"], q["cnonce"], auth.Response(alg, auth.HA1(alg, realm, *p.opts.User), method, q)))
 	}
 	return m
 }
 
-// challenged keeps the challenge that suits.
-func (p *play) challenged(r *rtsp.Message) bool {
+// acceptChallenge keeps the challenge that suits.
+func (p *player) acceptChallenge(r *rtsp.Message) bool {
 	for _, v := range r.Header["Www-Authenticate"] {
-		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.w.DigestAlgorithm == "" || p.w.DigestAlgorithm == q["algorithm"]) {
-			p.offer = q
+		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.opts.DigestAlgorithm == "" || p.opts.DigestAlgorithm == q["algorithm"]) {
+			p.challenge = q
 			return true
 		}
 	}
 	return false
 }
 
-func (p *play) other(m *rtsp.Message, f rtsp.Frame) {
+func (p *player) handleInterleaved(m *rtsp.Message, f rtsp.Frame) {
 	if m == nil {
-		p.frame(f)
+		p.handleFrame(f)
 	}
 }
 
-func (p *play) run(ctx context.Context) error {
-	if p.w.Describe || p.w.User != nil {
+func (p *player) run(ctx context.Context) error {
+	if p.opts.Describe || p.opts.User != nil {
 		describe := func() (*rtsp.Message, error) {
-			return p.c.RoundTrip(p.request(rtsp.Describe, p.url(-1)).WithHeader("Accept", "application/sdp"), 5*time.Second, p.other)
+			return p.conn.RoundTrip(p.request(rtsp.Describe, p.url(-1)).WithHeader("Accept", "application/sdp"), 5*time.Second, p.handleInterleaved)
 		}
 		r, err := describe()
-		if err == nil && r.Status == rtsp.Unauthorized && p.w.User != nil && p.challenged(r) {
+		if err == nil && r.Status == rtsp.Unauthorized && p.opts.User != nil && p.acceptChallenge(r) {
 			r, err = describe()
 		}
 		if err != nil {
 			return err
 		}
 		if r.Status != rtsp.OK {
-			p.seen.Status = r.Status
+			p.result.Status = r.Status
 			return fmt.Errorf("DESCRIBE: %d %s", r.Status, r.Reason)
 		}
 	}
 	m := p.request(rtsp.Setup, p.url(0)).WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
-	if p.w.Bandwidth > 0 {
-		m.WithHeader("Bandwidth", strconv.Itoa(int(p.w.Bandwidth)))
+	if p.opts.Bandwidth > 0 {
+		m.WithHeader("Bandwidth", strconv.Itoa(int(p.opts.Bandwidth)))
 	}
 	session, err := p.setup(m)
 	if err != nil {
 		return err
 	}
-	for n := 1; n < p.w.Tracks; n++ {
-		r, err := p.c.RoundTrip(p.request(rtsp.Setup, p.url(n)).WithHeader("Session", session).
-			WithHeader("Transport", fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", 2*n, 2*n+1)), 5*time.Second, p.other)
+	for n := 1; n < p.opts.Tracks; n++ {
+		r, err := p.conn.RoundTrip(p.request(rtsp.Setup, p.url(n)).WithHeader("Session", session).
+			WithHeader("Transport", fmt.Sprintf("RTP/AVP/TCP;unicast;interleaved=%d-%d", 2*n, 2*n+1)), 5*time.Second, p.handleInterleaved)
 		if err != nil {
-			return p.broke(err)
+			return p.interrupted(err)
 		}
 		if r.Status != rtsp.OK {
 			return fmt.Errorf("SETUP of track %d: %d %s", n, r.Status, r.Reason)
 		}
 	}
-	r, err := p.c.RoundTrip(p.request(rtsp.Play, p.url(-1)).WithHeader("Session", session).WithHeader("Range", "npt=0-"), 6*time.Second, p.other)
+	r, err := p.conn.RoundTrip(p.request(rtsp.Play, p.url(-1)).WithHeader("Session", session).WithHeader("Range", "npt=0-"), 6*time.Second, p.handleInterleaved)
 	if err != nil {
-		return p.broke(err)
+		return p.interrupted(err)
 	}
 	if r.Status != rtsp.OK {
 		return fmt.Errorf("PLAY: %d %s", r.Status, r.Reason)
 	}
-	return p.watch(ctx, session)
+	return p.receive(ctx, session)
 }
 
 // setup sends the first SETUP and waits for its answer until the setup timeout.
-func (p *play) setup(m *rtsp.Message) (session string, err error) {
-	p.asked = time.Now()
-	w := p.w.Witness
-	if w != nil && p.w.Token != "" {
-		w.Asked(p.w.Token, p.w.Front, p.w.Group, p.w.Now())
-	}
-	if _, err := p.c.Write(m.Append(nil)); err != nil {
-		return "", p.broke(err)
-	}
-	wait := p.w.SetupTimeout
-	if p.w.DisconnectAfter > 0 {
-		wait = min(wait, p.w.DisconnectAfter)
+func (p *player) setup(m *rtsp.Message) (session string, err error) {
+	p.setupSentAt = time.Now()
+	w := p.opts.Witness
+	if w != nil && p.opts.Token != "" {
+		w.Asked(p.opts.Token, p.opts.Front, p.opts.Group, p.opts.Now())
+	}
+	if _, err := p.conn.Write(m.Append(nil)); err != nil {
+		return "", p.interrupted(err)
+	}
+	wait := p.opts.SetupTimeout
+	if p.opts.DisconnectAfter > 0 {
+		wait = min(wait, p.opts.DisconnectAfter)
 	} else {
 		wait += 0.1 // to see an answer that is late
 	}
-	p.c.SetReadDeadline(p.asked.Add(time.Duration(wait * 1e9)))
+	p.conn.SetReadDeadline(p.setupSentAt.Add(time.Duration(wait * 1e9)))
 	for {
-		r, _, err := p.c.Next()
+		r, _, err := p.conn.Next()
 		if err != nil {
-			var late net.Error
-			if errors.As(err, &late) && late.Timeout() {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				return "", fmt.Errorf("no answer within %.1f s", wait)
 			}
-			return "", p.broke(err)
+			return "", p.interrupted(err)
 		}
 		if r == nil || r.IsRequest() || r.CSeq() != p.cseq {
 			continue
 		}
-		p.seen.Status, p.seen.AnswerSeconds = r.Status, time.Since(p.asked).Seconds()
+		p.result.Status, p.result.AnswerSeconds = r.Status, time.Since(p.setupSentAt).Seconds()
 		retry := r.Header.Get("Retry-After")
-		p.seen.RetryAfter, _ = strconv.ParseFloat(retry, 64)
-		if w != nil && p.w.Token != "" {
-			w.Answered(p.w.Token, p.w.Now(), r.Status, r.Status == rtsp.ServiceUnavailable && retry != "")
+		p.result.RetryAfter, _ = strconv.ParseFloat(retry, 64)
+		if w != nil && p.opts.Token != "" {
+			w.Answered(p.opts.Token, p.opts.Now(), r.Status, r.Status == rtsp.ServiceUnavailable && retry != "")
 		}
 		if r.Status != rtsp.OK {
 			return "", fmt.Errorf("%w: %d %s", ErrNotServed, r.Status, r.Reason)
@@ -247,94 +247,94 @@
 	}
 }
 
-func (p *play) broke(err error) error {
-	p.seen.Interrupted = true
-	if w := p.w.Witness; w != nil && p.w.Token != "" {
-		w.Broke(p.w.Token, p.w.Now())
+func (p *player) interrupted(err error) error {
+	p.result.Interrupted = true
+	if w := p.opts.Witness; w != nil && p.opts.Token != "" {
+		w.Broke(p.opts.Token, p.opts.Now())
 	}
 	return fmt.Errorf("the session broke: %w", err)
 }
 
-// aliveEvery is the pace of a viewer's signs of life, under half of the usual session timeout.
-const aliveEvery = 20 * time.Second
+// keepAliveInterval is the pace of a viewer's signs of life, under half of the usual session timeout.
+const keepAliveInterval = 20 * time.Second
 
-// patience is how long a viewer looks at a still picture.
-const patience = 20 * time.Second
+// stallTimeout is how long a viewer looks at a still picture.
+const stallTimeout = 20 * time.Second
 
-// heard is when the newest frame came, or the SETUP left.
-func (p *play) heard() time.Time {
-	if p.last.IsZero() {
-		return p.asked
+// lastActivity is when the newest frame came, or the SETUP left.
+func (p *player) lastActivity() time.Time {
+	if p.lastFrameAt.IsZero() {
+		return p.setupSentAt
 	}
-	return p.last
+	return p.lastFrameAt
 }
 
-// watch takes frames until the end.
-func (p *play) watch(ctx context.Context, session string) error {
-	alive := time.Now()
-	told := time.Now()
-	for !p.bye && p.to == "" && (p.w.WatchSeconds == 0 || p.seen.MediaSeconds < p.w.WatchSeconds) && ctx.Err() == nil {
-		if p.w.DisconnectAfter > 0 && time.Since(p.asked).Seconds() >= p.w.DisconnectAfter {
+// receive takes frames until the end.
+func (p *player) receive(ctx context.Context, session string) error {
+	lastKeepAlive := time.Now()
+	lastProgress := time.Now()
+	for !p.gotBye && p.redirect == "" && (p.opts.WatchSeconds == 0 || p.result.MediaSeconds < p.opts.WatchSeconds) && ctx.Err() == nil {
+		if p.opts.DisconnectAfter > 0 && time.Since(p.setupSentAt).Seconds() >= p.opts.DisconnectAfter {
 			return nil // just gone
 		}
-		p.c.SetReadDeadline(time.Now().Add(time.Second))
+		p.conn.SetReadDeadline(time.Now().Add(time.Second))
 		if ctx.Err() != nil {
 			break
 		}
-		m, f, err := p.c.Next()
-		var wait net.Error
+		m, f, err := p.conn.Next()
+		var netErr net.Error
 		switch {
-		case err != nil && errors.As(err, &wait) && wait.Timeout():
-			if p.c.Buffered() > 0 {
-				return p.broke(fmt.Errorf("half a frame and no more within a second"))
+		case err != nil && errors.As(err, &netErr) && netErr.Timeout():
+			if p.conn.Buffered() > 0 {
+				return p.interrupted(fmt.Errorf("half a frame and no more within a second"))
 			}
-			if time.Since(p.heard()) > patience {
-				return p.broke(fmt.Errorf("no frame for %v", patience))
+			if time.Since(p.lastActivity()) > stallTimeout {
+				return p.interrupted(fmt.Errorf("no frame for %v", stallTimeout))
 			}
 		case err != nil:
-			return p.broke(err)
+			return p.interrupted(err)
 		case m == nil:
-			p.frame(f)
+			p.handleFrame(f)
 		case m.IsRequest():
 			status := rtsp.NotImplemented
 			if u, err := url.Parse(m.Header.Get("Location")); m.Method == rtsp.Redirect && err == nil && u.Host != "" {
-				status, p.to = rtsp.OK, u.Host
+				status, p.redirect = rtsp.OK, u.Host
 			}
-			if _, err := p.c.Write(rtsp.NewResponse(m, status).Append(nil)); err != nil {
-				return p.broke(err)
+			if _, err := p.conn.Write(rtsp.NewResponse(m, status).Append(nil)); err != nil {
+				return p.interrupted(err)
 			}
 		case !m.IsRequest() && m.Status != rtsp.OK:
-			return p.broke(fmt.Errorf("the front answers %d %s", m.Status, m.Reason))
+			return p.interrupted(fmt.Errorf("the front answers %d %s", m.Status, m.Reason))
 		}
 		now := time.Now()
-		if now.Sub(alive) > aliveEvery {
-			alive = now
-			if _, err := p.c.Write(p.request(rtsp.GetParameter, p.url(-1)).WithHeader("Session", session).Append(nil)); err != nil {
-				return p.broke(err)
+		if now.Sub(lastKeepAlive) > keepAliveInterval {
+			lastKeepAlive = now
+			if _, err := p.conn.Write(p.request(rtsp.GetParameter, p.url(-1)).WithHeader("Session", session).Append(nil)); err != nil {
+				return p.interrupted(err)
 			}
 		}
-		if p.w.OnProgress != nil && now.Sub(told) > time.Second {
-			told = now
-			s := p.seen
-			s.PlayedSeconds = p.last.Sub(p.first).Seconds()
-			p.w.OnProgress(s)
+		if p.opts.OnProgress != nil && now.Sub(lastProgress) > time.Second {
+			lastProgress = now
+			s := p.result
+			s.PlayedSeconds = p.lastFrameAt.Sub(p.firstFrameAt).Seconds()
+			p.opts.OnProgress(s)
 		}
 	}
-	p.seen.Ended, p.seen.RedirectedTo = true, p.to
-	p.c.SetDeadline(time.Time{})
-	_, err := p.c.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).WithHeader("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
-	if err != nil && !p.bye {
+	p.result.Ended, p.result.RedirectedTo = true, p.redirect
+	p.conn.SetDeadline(time.Time{})
+	_, err := p.conn.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).WithHeader("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
+	if err != nil && !p.gotBye {
 		return fmt.Errorf("leaving: %w", err)
 	}
 	return nil
 }
 
-// frame looks at one frame.
-func (p *play) frame(f rtsp.Frame) {
+// handleFrame looks at one handleFrame.
+func (p *player) handleFrame(f rtsp.Frame) {
 	b, now := f.Payload(), time.Now()
 	if f.Channel%2 == 1 {
 		if len(b) >= 8 && b[1] == 203 {
-			p.bye = true
+			p.gotBye = true
 		}
 		return
 	}
@@ -343,43 +343,43 @@
 		return
 	}
 	seq, ts := binary.BigEndian.Uint16(b[2:]), binary.BigEndian.Uint32(b[4:])
-	p.seen.Bytes += int64(len(b))
-	if p.frames[n]++; p.frames[n] > 1 {
-		switch d := int16(seq - p.seq[n]); {
+	p.result.Bytes += int64(len(b))
+	if p.packets[n]++; p.packets[n] > 1 {
+		switch d := int16(seq - p.lastSeq[n]); {
 		case d <= 0:
-			p.seen.RepeatedPackets++
+			p.result.RepeatedPackets++
 		case d > 1:
-			p.seen.LostPackets += int(d) - 1
+			p.result.LostPackets += int(d) - 1
 		}
 	}
-	p.seq[n] = seq
+	p.lastSeq[n] = seq
 	if n != 0 {
 		return
 	}
-	p.seen.Frames++
+	p.result.Frames++
 	if len(b) > 20 {
-		if r := int(b[20]); p.first.IsZero() {
-			p.seen.LastRung = r
-		} else if r != p.seen.LastRung {
-			p.seen.LastRung = r
-			p.seen.RungChanges++
+		if r := int(b[20]); p.firstFrameAt.IsZero() {
+			p.result.LastRung = r
+		} else if r != p.result.LastRung {
+			p.result.LastRung = r
+			p.result.RungChanges++
 		}
 	}
-	if p.w.PayloadWriter != nil {
-		p.w.PayloadWriter.Write(b[12:])
+	if p.opts.PayloadWriter != nil {
+		p.opts.PayloadWriter.Write(b[12:])
 	}
-	if p.first.IsZero() {
-		p.first, p.ts = now, ts
-		p.seen.FirstFrameSeconds = now.Sub(p.asked).Seconds()
+	if p.firstFrameAt.IsZero() {
+		p.firstFrameAt, p.lastTimestamp = now, ts
+		p.result.FirstFrameSeconds = now.Sub(p.setupSentAt).Seconds()
 	} else {
-		d := int32(ts - p.ts)
+		d := int32(ts - p.lastTimestamp)
 		if d < 0 || d > 5*90000 {
-			p.seen.TimestampJumps++
+			p.result.TimestampJumps++
 		} else {
-			p.seen.MediaSeconds += float64(d) / 90000
+			p.result.MediaSeconds += float64(d) / 90000
 		}
-		p.ts = ts
-		p.seen.MaxFrameGap = math.Max(p.seen.MaxFrameGap, now.Sub(p.last).Seconds())
+		p.lastTimestamp = ts
+		p.result.MaxFrameGap = math.Max(p.result.MaxFrameGap, now.Sub(p.lastFrameAt).Seconds())
 	}
-	p.last = now
+	p.lastFrameAt = now
 }
