--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -1,6 +1,7 @@
-// Package box is a stand-in for a media box: it speaks RTSP 1.0 with interleaved RTP on a loopback socket, plays made-up
-// media at the rates of a ladder over a link and a rack's uplink that are short in the users' way (all sessions get the
-// same share), starts cold and falls over when it is pushed, reports its load late, and fails on command.
+// Package box simulates a streaming server for tests. It serves RTSP 1.0 with interleaved RTP on a loopback socket and
+// sends synthetic media at the rates of a ladder. When its link or its rack's uplink is overcommitted, every session gets
+// the same share of its rate. A box may start cold and fails when it gets too many SETUPs while it warms up, it reports
+// its load with a delay, and it injects faults on request.
 package box
 
 import (
@@ -23,78 +24,79 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Config is what all boxes of a fleet have in common.
+// Config holds the settings that all boxes of a fleet share.
 type Config struct {
-	Ladder           []float64          // kB a second
-	Scale            map[string]float64 // by service group
-	TitleLength      func(title string) float64
+	Ladder           []float64                  // rate of each rung, kB/s
+	Scale            map[string]float64         // factor on the ladder by service group; absent or 0 means 1
+	TitleLength      func(title string) float64 // seconds; 0 means endless
 	MaxSessions      int
-	WarmUp           float64
-	ColdShare        float64
+	WarmUp           float64 // seconds after a cold start
+	ColdShare        float64 // the SETUP limit of a cold box: see witness.Limit, as for the two below
 	OverloadFactor   float64
-	OverloadTime     float64
-	ReportInterval   float64     // seconds between refreshments of the load report
-	NoteInterval     float64     // seconds between load notes; 0 is none
-	SetupTime        float64     // seconds that a SETUP takes about
-	RateVariation    float64     // true rates lie so far above or below the ladder, as a share
-	FullThreshold    float64     // SETUPs are answered full while so much of the link is asked; 0 is never
-	FPS              int         // frames a second
-	DisconnectGrace  float64     // seconds that a session is kept once its connection is gone
-	RandomFaultShare float64     // share of requests that meet a random fault (mischief.go)
-	PayloadScale     float64     // bytes sent over those of the rate: media is thinned to what one machine carries
-	TLS              *tls.Config // of the front's side; nil is plain
-	Now              func() float64
-	Witness          *witness.Witness // may be nil
+	OverloadTime     float64          // seconds over which SETUPs of a cold box are counted
+	ReportInterval   float64          // seconds between updates of the load report
+	NoteInterval     float64          // seconds between load notes; 0 disables them
+	SetupTime        float64          // seconds until a SETUP is answered, scaled by a random factor of 0.5 to 1.5
+	RateVariation    float64          // largest relative deviation of a session's true rate from the ladder
+	FullThreshold    float64          // share of the link in demand from which SETUPs are refused as full; 0 disables this
+	FPS              int              // frames per second
+	DisconnectGrace  float64          // seconds for which a session outlives its connection
+	RandomFaultShare float64          // share of requests that get a random fault (random_faults.go)
+	PayloadScale     float64          // bytes sent per byte of the nominal rate; below 1 so that one machine can carry a whole fleet
+	TLS              *tls.Config      // for connections from fronts; nil means plain TCP
+	Now              func() float64   // current time, seconds
+	Witness          *witness.Witness // optional recorder of the traffic
 }
 
-// Rack is an uplink that boxes share.
+// Rack is an uplink shared by several boxes.
 type Rack struct {
 	mu        sync.Mutex
-	capacity  float64 // kB a second
-	reduction float64 // factor by which it gives less; 1 is none
+	capacity  float64 // kB/s
+	reduction float64 // the capacity is divided by it; 1 means no reduction
 	boxes     []*Box
 }
 
-// NewRack makes a rack whose uplink gives so many kB a second.
-func NewRack(gives float64) *Rack { return &Rack{capacity: gives, reduction: 1} }
+// NewRack returns a rack whose uplink has the given capacity in kB/s.
+func NewRack(capacity float64) *Rack { return &Rack{capacity: capacity, reduction: 1} }
 
-// ReduceCapacity makes the uplink give so many times less; 1 ends that.
-func (r *Rack) ReduceCapacity(times float64) {
+// ReduceCapacity divides the uplink's capacity by factor; 1 restores it.
+func (r *Rack) ReduceCapacity(factor float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reduction = max(times, 1)
+	r.reduction = max(factor, 1)
 }
 
-// load is what is asked of the uplink over what it gives.
+// load returns the demand on the uplink divided by its capacity.
 func (r *Rack) load() float64 {
 	r.mu.Lock()
-	boxes, gives := r.boxes, r.capacity/r.reduction
+	boxes, capacity := r.boxes, r.capacity/r.reduction
 	r.mu.Unlock()
 	sum := 0.0
 	for _, b := range boxes {
 		sum += math.Float64frombits(b.demand.Load())
 	}
-	return sum / gives
+	return sum / capacity
 }
 
-// stream is one session at a box.
+// stream is one RTSP session at a box.
 type stream struct {
 	id, group, title, query string
 	conn                    *conn
 	rung                    int
 	rateFactor              float64
-	tracks                  map[int]byte // by number: the first channel
+	tracks                  map[int]byte // RTP channel by track number; RTCP uses the next channel
 	playing                 bool
-	position                float64 // seconds of media sent
-	nextFrame               float64 // media second of the next frame
+	position                float64 // media position that sending has reached, seconds
+	nextFrame               float64 // media time of the next frame, seconds
 	videoSeq                uint16
 	audioSeq                uint16
 	timestampBase, ssrc     uint32
-	ended                   bool    // BYE is sent
-	disconnectedAt          float64 // when its connection was; 0 is not
+	ended                   bool    // RTCP BYE was sent
+	disconnectedAt          float64 // when its connection closed; 0 while it is open
 	frameNumber             uint64
 }
 
+// conn is one connection from a front.
 type conn struct {
 	box        *Box
 	id         uint64
@@ -102,17 +104,18 @@
 	rtsp       *rtsp.Conn
 	sendQueue  *relay.Queue
 	requests   chan *rtsp.Message
-	alterReply func(*rtsp.Message) *rtsp.Message // what becomes of the next answer; nil is nothing
-	frontName  string                            // the front's name, by User-Agent
+	alterReply func(*rtsp.Message) *rtsp.Message // alters or suppresses (nil result) the next reply; nil if unset
+	frontName  string                            // from the User-Agent header
 	closed     bool
 }
 
-// Start opens a box on an address; an empty one picks a port of 127.0.0.1. A cold box warms up from now.
-func Start(site *Config, id int, address string, link float64, rack *Rack, cold bool) (*Box, error) {
+// Start starts a box that listens on address, or on a free port of 127.0.0.1 if address is empty. A cold box begins to warm
+// up now.
+func Start(config *Config, id int, address string, link float64, rack *Rack, cold bool) (*Box, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	b := &Box{ID: id, site: site, link: link, linkReduction: 1, rack: rack, streams: map[string]*stream{}, conns: map[*conn]struct{}{},
+	b := &Box{ID: id, config: config, link: link, linkReduction: 1, rack: rack, streams: map[string]*stream{}, conns: map[*conn]struct{}{},
 		quit: make(chan struct{}), rand: rand.New(rand.NewPCG(uint64(id), 77))}
 	b.stateChanged = sync.NewCond(&b.mu)
 	rack.mu.Lock()
@@ -126,15 +129,15 @@
 	return b, nil
 }
 
-// Counts are what a box saw.
+// Counts holds counters of a box's traffic.
 type Counts struct {
 	Setups, FullReplies, Packets, Bytes int64
-	ReceivedFrames                      int64 // frames that came from fronts
+	ReceivedFrames                      int64 // interleaved frames from fronts
 	Sessions                            int
 	Overloaded                          bool
 }
 
-// Counts gives the counts so far.
+// Counts returns the current counters.
 func (b *Box) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,20 +146,21 @@
 	return c
 }
 
-// sendInterval is the pace at which media is sent; shares are measured over a second, so it adds a hundredth of blur.
+// sendInterval is the interval at which media is sent. Delivered shares are measured over a second, so it adds an error of
+// about 1 %.
 const sendInterval = 10 * time.Millisecond
 
-// sendLoop sends media while the box runs.
+// sendLoop sends media until the box is closed.
 func (b *Box) sendLoop() {
 	defer b.goroutines.Done()
-	t := time.NewTicker(sendInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(sendInterval)
+	defer ticker.Stop()
 	last := time.Now()
 	for {
 		select {
 		case <-b.quit:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		now := time.Now()
 		b.mu.Lock()
@@ -166,34 +170,35 @@
 	}
 }
 
-// advance moves media on by dt seconds.
+// advance expires disconnected sessions, updates the load report, and sends dt seconds of media and due load notes. Called
+// with the box locked.
 func (b *Box) advance(dt float64) {
-	asked := b.foreignTraffic
+	demand := b.foreignTraffic
 	for id, s := range b.streams {
-		if s.disconnectedAt > 0 && b.site.Now()-s.disconnectedAt > b.site.DisconnectGrace {
+		if s.disconnectedAt > 0 && b.config.Now()-s.disconnectedAt > b.config.DisconnectGrace {
 			delete(b.streams, id)
 		}
 		if s.playing && !s.ended && s.disconnectedAt == 0 {
-			asked += b.rate(s)
+			demand += b.rate(s)
 		}
 	}
-	b.demand.Store(math.Float64bits(asked))
-	now := b.site.Now()
-	if now-b.reportedAt >= b.site.ReportInterval+b.reportDelay {
+	b.demand.Store(math.Float64bits(demand))
+	now := b.config.Now()
+	if now-b.reportedAt >= b.config.ReportInterval+b.reportDelay {
 		b.reportedAt = now
-		b.reportedLoad = [2]float64{asked / (b.link / b.linkReduction), b.rack.load()}
+		b.reportedLoad = [2]float64{demand / (b.link / b.linkReduction), b.rack.load()}
 	}
 	if b.hanging || b.down {
 		return
 	}
 	share := 1.0
-	if asked > b.link/b.linkReduction {
-		share = b.link / b.linkReduction / asked
+	if demand > b.link/b.linkReduction {
+		share = b.link / b.linkReduction / demand
 	}
 	if uplink := b.rack.load(); uplink > 1 {
 		share = min(share, 1/uplink)
 	}
-	interval := 1 / float64(b.site.FPS)
+	interval := 1 / float64(b.config.FPS)
 	for _, s := range b.streams {
 		if !s.playing || s.ended || s.disconnectedAt > 0 {
 			continue
@@ -202,22 +207,22 @@
 		for s.nextFrame <= s.position && !s.ended {
 			b.sendFrame(s, interval)
 			s.nextFrame += interval
-			if length := b.site.TitleLength(s.title); length > 0 && s.nextFrame >= length {
+			if length := b.config.TitleLength(s.title); length > 0 && s.nextFrame >= length {
 				s.ended = true
 				s.sendBye()
 			}
 		}
 		s.conn.sendQueue.Flush()
 	}
-	if b.site.NoteInterval > 0 && now-b.notedAt >= b.site.NoteInterval {
+	if b.config.NoteInterval > 0 && now-b.notedAt >= b.config.NoteInterval {
 		b.notedAt = now
 		notified := map[string]bool{}
-		for _, id := range slices.Sorted(keys(b.streams)) { // one session of each front's
+		for _, id := range slices.Sorted(keys(b.streams)) { // one session per front
 			s := b.streams[id]
 			if s.playing && !s.ended && s.disconnectedAt == 0 && !notified[s.conn.frontName] {
 				notified[s.conn.frontName] = true
-				if low, ok := s.tracks[0]; ok {
-					s.conn.sendQueue.PushFrame(low+1, relay.AppendLoadNote(nil, s.ssrc, b.reportedLoad[0], b.reportedLoad[1]), nil)
+				if rtpChannel, ok := s.tracks[0]; ok {
+					s.conn.sendQueue.PushFrame(rtpChannel+1, relay.AppendLoadNote(nil, s.ssrc, b.reportedLoad[0], b.reportedLoad[1]), nil)
 					s.conn.sendQueue.Flush()
 				}
 			}
@@ -225,6 +230,7 @@
 	}
 }
 
+// keys iterates over the keys of m.
 func keys(m map[string]*stream) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
@@ -235,20 +241,20 @@
 	}
 }
 
-// rate is what a session asks of the links, kB a second.
+// rate returns the media rate of a session in kB/s.
 func (b *Box) rate(s *stream) float64 {
-	scale := b.site.Scale[s.group]
+	scale := b.config.Scale[s.group]
 	if scale == 0 {
 		scale = 1
 	}
-	return b.site.Ladder[min(s.rung, len(b.site.Ladder)-1)] * scale * s.rateFactor
+	return b.config.Ladder[min(s.rung, len(b.config.Ladder)-1)] * scale * s.rateFactor
 }
 
-// sendFrame sends one frame of each track. Payloads begin with the frame's number and rung, so that a player can check.
+// sendFrame sends one frame of each track. Payloads begin with the frame number and the rung, which players check.
 func (b *Box) sendFrame(s *stream, interval float64) {
 	s.frameNumber++
-	size := int(b.rate(s) * 1000 * interval * b.site.PayloadScale)
-	const maxPayload = 1400 // of a packet, as on a real path
+	size := int(b.rate(s) * 1000 * interval * b.config.PayloadScale)
+	const maxPayload = 1400 // bytes per packet, to fit the MTU of a real path
 	if low, ok := s.tracks[0]; ok {
 		ts := s.timestampBase + uint32(math.Round(s.nextFrame*90000))
 		for first := true; first || size > 0; first = false {
@@ -262,6 +268,7 @@
 	}
 }
 
+// sendPacket sends one RTP packet with n bytes of payload.
 func (b *Box) sendPacket(s *stream, channel byte, payloadType byte, marker bool, seq *uint16, ts, ssrc uint32, n int) {
 	b.counts.Packets++
 	b.counts.Bytes += int64(n)
@@ -279,29 +286,29 @@
 	s.conn.sendQueue.PushFrame(channel, p[:12+n], nil)
 }
 
-// sendBye tells the end of a title.
+// sendBye sends an RTCP BYE on each track at the end of a title.
 func (s *stream) sendBye() {
-	for n, low := range s.tracks {
+	for n, rtpChannel := range s.tracks {
 		var p [8]byte
 		p[0], p[1], p[3] = 0x81, 203, 1
 		binary.BigEndian.PutUint32(p[4:], s.ssrc+uint32(n))
-		s.conn.sendQueue.PushFrame(low+1, p[:], nil)
+		s.conn.sendQueue.PushFrame(rtpChannel+1, p[:], nil)
 	}
 }
 
-// read takes what comes over one connection, tells the tap at once and hands it to the worker, so that a box that
-// stands still is still seen to receive.
+// read reads requests from one connection, records each on arrival and passes it to serve, so that requests to a hanging
+// box are recorded too.
 func (c *conn) read() {
 	defer c.box.goroutines.Done()
 	defer close(c.requests)
 	for {
 		m, _, err := c.rtsp.Next()
 		if err != nil {
-			// The front closed its sending side, or all: SETUPs out on it are withdrawn.
-			if w := c.box.site.Witness; w != nil {
-				w.Withdrawn(c.box.ID, c.id, c.box.site.Now())
+			// The front closed its sending side or the connection, which withdraws its pending SETUPs.
+			if w := c.box.config.Witness; w != nil {
+				w.Withdrawn(c.box.ID, c.id, c.box.config.Now())
 			}
-			if !errors.Is(err, io.EOF) { // broken, not closed on one side: nothing more can be said there
+			if !errors.Is(err, io.EOF) { // not a half-close: replies can't be delivered any more
 				c.sendQueue.Close()
 			}
 			return
@@ -322,7 +329,7 @@
 	}
 }
 
-// serve answers one connection's requests in their order.
+// serve answers the requests of one connection in order.
 func (b *Box) serve(c *conn) {
 	defer b.goroutines.Done()
 	for m := range c.requests {
@@ -332,52 +339,53 @@
 			break
 		}
 	}
-	for range c.requests { // the reader must not wait for a worker that is gone
+	for range c.requests { // drain, so that read doesn't block
 	}
 	c.sendQueue.Finish()
 }
 
-// received is the tap: what came over the socket, before anything is made of it.
+// received reports a request to the witness before it is processed.
 func (b *Box) received(c *conn, m *rtsp.Message) {
-	peer := strings.TrimPrefix(m.Header.Get("User-Agent"), "rainhaven/")
-	b.update(func() { c.frontName = peer })
-	w := b.site.Witness
+	frontName := strings.TrimPrefix(m.Header.Get("User-Agent"), "rainhaven/")
+	b.update(func() { c.frontName = frontName })
+	w := b.config.Witness
 	if w == nil {
 		return
 	}
 	switch {
 	case m.Method == rtsp.Setup && m.Session() == "":
-		p, _ := rtsp.ParseURL(m.URL)
+		resource, _ := rtsp.ParseURL(m.URL)
 		rung, err := strconv.Atoi(m.Header.Get("Rung"))
 		if err != nil {
-			rung = len(b.site.Ladder) - 1
+			rung = len(b.config.Ladder) - 1
 		}
-		w.Setup(b.ID, c.id, m.CSeq(), b.site.Now(), strings.TrimPrefix(p.Query, "viewer="), peer, p.Group, p.Title, rung)
+		w.Setup(b.ID, c.id, m.CSeq(), b.config.Now(), strings.TrimPrefix(resource.Query, "viewer="), frontName, resource.Group, resource.Title, rung)
 	case m.Method == rtsp.SetParameter:
 		if r, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"]); err == nil {
-			w.Rung(b.ID, m.Session(), r, b.site.Now())
+			w.Rung(b.ID, m.Session(), r, b.config.Now())
 		}
 	case m.Method == rtsp.TearDown:
-		w.Over(b.ID, m.Session(), b.site.Now())
+		w.Over(b.ID, m.Session(), b.config.Now())
 	}
 }
 
+// reply sends r in answer to m, with the load report added.
 func (b *Box) reply(c *conn, m *rtsp.Message, r *rtsp.Message) {
 	if c.alterReply != nil {
-		twist := c.alterReply
+		alter := c.alterReply
 		c.alterReply = nil
-		if r = twist(r); r == nil {
+		if r = alter(r); r == nil {
 			return
 		}
 	}
-	if w := b.site.Witness; w != nil && m.Method == rtsp.Setup {
-		w.SetupAnswered(b.ID, c.id, m.CSeq(), b.site.Now(), r.Status, r.Session())
+	if w := b.config.Witness; w != nil && m.Method == rtsp.Setup {
+		w.SetupAnswered(b.ID, c.id, m.CSeq(), b.config.Now(), r.Status, r.Session())
 	}
 	r.WithHeader("Load-Report", fmt.Sprintf("link=%.3f, uplink=%.3f, inflight=%d", b.reportedLoad[0], b.reportedLoad[1], len(b.streams)))
 	c.sendQueue.PushMessage(r.Append(nil))
 }
 
-// answer answers a request; false where the connection is to end.
+// answer handles a request and returns false if the connection must be closed.
 func (b *Box) answer(c *conn, m *rtsp.Message) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -397,7 +405,7 @@
 		b.setupDisconnects--
 		return false
 	}
-	if b.site.RandomFaultShare > 0 && b.rand.Float64() < b.site.RandomFaultShare {
+	if b.config.RandomFaultShare > 0 && b.rand.Float64() < b.config.RandomFaultShare {
 		if keepConn, handled := b.injectRandomFault(c, m); handled {
 			return keepConn
 		}
@@ -454,7 +462,7 @@
 		s.playing = false
 	case rtsp.SetParameter:
 		n, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"])
-		if err != nil || n < 0 || n >= len(b.site.Ladder) || b.rejectingRungs {
+		if err != nil || n < 0 || n >= len(b.config.Ladder) || b.rejectingRungs {
 			r.Status = rtsp.ParameterNotUnderstood
 			break
 		}
@@ -474,13 +482,13 @@
 	return true
 }
 
-// description is that of every title: video and sound.
+// description is the SDP of every title: one video and one audio track.
 const description = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nt=0 0\r\na=control:*\r\nm=video 0 RTP/AVP 96\r\na=rtpmap:96 H264/90000\r\n" +
 	"a=control:track0\r\nm=audio 0 RTP/AVP 97\r\na=rtpmap:97 MPEG4-GENERIC/48000/2\r\na=control:track1\r\n"
 
-// setup answers a SETUP after the time that it takes. Called with the box locked; the wait is without.
+// setup answers a SETUP after the setup time. Called with the box locked; unlocks it during the wait.
 func (b *Box) setup(c *conn, m *rtsp.Message) bool {
-	p, err := rtsp.ParseURL(m.URL)
+	resource, err := rtsp.ParseURL(m.URL)
 	specs, transportErr := rtsp.ParseTransport(m.Header.Get("Transport"))
 	transport, ok := rtsp.FindTCP(specs)
 	if err != nil || transportErr != nil || !ok || !transport.Interleaved {
@@ -488,7 +496,7 @@
 		return true
 	}
 	if s := b.streams[m.Session()]; s != nil {
-		s.tracks[max(p.Track, 0)] = transport.RTPChannel
+		s.tracks[max(resource.Track, 0)] = transport.RTPChannel
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", s.id).WithHeader("Transport", transport.String()))
 		return true
 	}
@@ -497,9 +505,9 @@
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true
 	}
-	full := b.refusing || len(b.streams) >= b.site.MaxSessions
-	if b.site.FullThreshold > 0 {
-		full = full || math.Float64frombits(b.demand.Load()) >= b.site.FullThreshold*b.link/b.linkReduction
+	full := b.refusing || len(b.streams) >= b.config.MaxSessions
+	if b.config.FullThreshold > 0 {
+		full = full || math.Float64frombits(b.demand.Load()) >= b.config.FullThreshold*b.link/b.linkReduction
 	}
 	if full {
 		b.counts.FullReplies++
@@ -507,15 +515,15 @@
 		return true
 	}
 	rung, err := strconv.Atoi(m.Header.Get("Rung"))
-	if err != nil || rung < 0 || rung >= len(b.site.Ladder) {
-		rung = len(b.site.Ladder) - 1
+	if err != nil || rung < 0 || rung >= len(b.config.Ladder) {
+		rung = len(b.config.Ladder) - 1
 	}
 	b.lastID++
-	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.lastID), group: p.Group, title: p.Title, query: p.Query, conn: c, rung: rung,
-		rateFactor: 1 + (2*b.rand.Float64()-1)*b.site.RateVariation, tracks: map[int]byte{max(p.Track, 0): transport.RTPChannel},
+	s := &stream{id: fmt.Sprintf("b%d-%d", b.ID, b.lastID), group: resource.Group, title: resource.Title, query: resource.Query, conn: c, rung: rung,
+		rateFactor: 1 + (2*b.rand.Float64()-1)*b.config.RateVariation, tracks: map[int]byte{max(resource.Track, 0): transport.RTPChannel},
 		videoSeq: uint16(b.rand.Uint32()), audioSeq: uint16(b.rand.Uint32()), timestampBase: b.rand.Uint32(), ssrc: b.rand.Uint32()}
-	b.streams[s.id] = s // its place is taken from now
-	if wait := b.site.SetupTime * b.setupSlowdown * (0.5 + b.rand.Float64()); wait > 0 {
+	b.streams[s.id] = s // counts against MaxSessions from now on
+	if wait := b.config.SetupTime * b.setupSlowdown * (0.5 + b.rand.Float64()); wait > 0 {
 		b.mu.Unlock()
 		t := time.NewTimer(time.Duration(wait * 1e9))
 		select {
@@ -535,9 +543,10 @@
 	return true
 }
 
-// overloadedBySetup counts a SETUP against what a cold box can take, and falls over past it.
+// overloadedBySetup counts a SETUP against the limit of a cold box. If the limit is exceeded, it shuts the box down and
+// returns true.
 func (b *Box) overloadedBySetup() bool {
-	now, s := b.site.Now(), b.site
+	now, s := b.config.Now(), b.config
 	if b.startedAt == 0 || s.WarmUp <= 0 || now-b.startedAt > s.WarmUp {
 		return false
 	}
@@ -551,6 +560,7 @@
 	return true
 }
 
+// connClosed removes a connection and marks its sessions as disconnected.
 func (b *Box) connClosed(c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -561,20 +571,21 @@
 		if s.conn != c || s.disconnectedAt > 0 {
 			continue
 		}
-		// It may go on over another connection for a while; to the front whose connection this was it is over.
-		if s.disconnectedAt = b.site.Now(); b.site.Witness != nil {
-			b.site.Witness.Over(b.ID, id, s.disconnectedAt)
+		// The session may be resumed over another connection within the grace time, but has ended for the front that had this
+		// connection.
+		if s.disconnectedAt = b.config.Now(); b.config.Witness != nil {
+			b.config.Witness.Over(b.ID, id, s.disconnectedAt)
 		}
-		if b.site.DisconnectGrace <= 0 {
+		if b.config.DisconnectGrace <= 0 {
 			delete(b.streams, id)
 		}
 	}
 }
 
-// endSession ends a session at the box. Called locked.
+// endSession ends a session and reports that to the witness. Called with the box locked.
 func (b *Box) endSession(id string) {
 	delete(b.streams, id)
-	if w := b.site.Witness; w != nil {
-		w.Over(b.ID, id, b.site.Now())
+	if w := b.config.Witness; w != nil {
+		w.Over(b.ID, id, b.config.Now())
 	}
 }
--- a/internal/lab/box/faults.go
+++ b/internal/lab/box/faults.go
@@ -13,42 +13,42 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Box is one stand-in. Its faults may be set from any goroutine at any time.
+// Box is a simulated streaming server. Its faults may be set from any goroutine at any time.
 type Box struct {
 	ID      int
 	Address string
-	site    *Config
+	config  *Config
 	rack    *Rack
 
-	demand atomic.Uint64 // float64 bits: what is asked of its link, kB a second
+	demand atomic.Uint64 // demand on its link, kB/s, as float64 bits
 
 	mu             sync.Mutex
-	stateChanged   *sync.Cond // a hang, the box or a connection is over
+	stateChanged   *sync.Cond // signaled when a hang or a hold ends, the box shuts down or a connection closes
 	listener       net.Listener
-	streams        map[string]*stream // emptied as sessions end
-	conns          map[*conn]struct{} // emptied as connections end
+	streams        map[string]*stream // removed as they end
+	conns          map[*conn]struct{} // removed as they close
 	lastID         uint64
-	link           float64 // kB a second
-	linkReduction  float64 // it gives so many times less
-	foreignTraffic float64 // kB a second that others take of it
-	startedAt      float64 // of a cold start; 0 is long ago
-	coldSetups     []float64
+	link           float64   // capacity, kB/s
+	linkReduction  float64   // the link's capacity is divided by it
+	foreignTraffic float64   // other traffic on the link, kB/s
+	startedAt      float64   // time of the last cold start; 0 if it has always been warm
+	coldSetups     []float64 // times of recent SETUPs during warm-up
 	counts         Counts
 	rand           *rand.Rand
-	reportedLoad   [2]float64 // load of link and uplink as last reported
+	reportedLoad   [2]float64 // load of link and uplink in the load report
 	reportedAt     float64
 	notedAt        float64
-	reportDelay    float64 // reports are so much older
-	setupSlowdown  float64 // SETUPs take so many times longer
+	reportDelay    float64 // additional seconds between updates of the load report
+	setupSlowdown  float64 // factor on the setup time
 
 	hanging, holdingAnswers, down, overloaded, refusing, rejectingRungs, invalidSDP bool
-	setupErrors, setupDisconnects, teardownErrors                                   int // of the next SETUPs, SETUPs, TEARDOWNs
+	setupErrors, setupDisconnects, teardownErrors                                   int // remaining requests that are affected
 
 	quit       chan struct{}
 	goroutines sync.WaitGroup
 }
 
-// listen opens the box's socket and takes connections.
+// listen opens the box's socket, ends hangs and slowdowns, and accepts connections.
 func (b *Box) listen(address string, cold bool) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,16 +56,16 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.site.TLS != nil {
-		l = tls.NewListener(l, b.site.TLS)
+	if b.config.TLS != nil {
+		l = tls.NewListener(l, b.config.TLS)
 	}
 	b.Address, b.listener = l.Addr().String(), l
 	b.down, b.overloaded, b.hanging, b.holdingAnswers, b.linkReduction, b.setupSlowdown = false, false, false, false, 1, 1
 	b.coldSetups, b.startedAt, b.reportedLoad = nil, 0, [2]float64{}
 	if cold {
-		b.startedAt = b.site.Now()
-		if b.site.Witness != nil {
-			b.site.Witness.BoxStarted(b.ID, b.startedAt)
+		b.startedAt = b.config.Now()
+		if b.config.Witness != nil {
+			b.config.Witness.BoxStarted(b.ID, b.startedAt)
 		}
 	}
 	b.goroutines.Add(1)
@@ -82,9 +82,10 @@
 	return nil
 }
 
-// sendQueueBytes is what may wait for a front, bytes: two seconds of a fast session.
+// sendQueueBytes limits the bytes queued for a front: two seconds of a fast session.
 const sendQueueBytes = 1 << 20
 
+// accept starts the goroutines of a new connection.
 func (b *Box) accept(n net.Conn) {
 	c := &conn{box: b, socket: n, rtsp: rtsp.NewConn(n, rtsp.Limits{}), sendQueue: relay.NewQueue(sendQueueBytes),
 		requests: make(chan *rtsp.Message, 32)}
@@ -108,55 +109,56 @@
 	go b.serve(c)
 }
 
-// Hang makes the box stand still: nothing is answered, media stops, connections stay. Unhang ends it.
+// Hang stops all replies and media but keeps connections open, until Resume.
 func (b *Box) Hang() { b.update(func() { b.hanging = true }) }
 
-// Resume ends a hang.
+// Resume ends Hang and HoldAnswers.
 func (b *Box) Resume() {
 	b.update(func() { b.hanging, b.holdingAnswers = false, false })
 	b.stateChanged.Broadcast()
 }
 
-// HoldAnswers leaves requests without answers while media goes on, until Unhang.
+// HoldAnswers leaves requests unanswered while media continues, until Resume.
 func (b *Box) HoldAnswers() { b.update(func() { b.holdingAnswers = true }) }
 
-// RefuseSetups has SETUPs answered full, or no longer.
+// RefuseSetups sets whether SETUPs are refused as full.
 func (b *Box) RefuseSetups(on bool) { b.update(func() { b.refusing = on }) }
 
-// FailSetups has the next n SETUPs answered with an error.
+// FailSetups answers the next n SETUPs with an error.
 func (b *Box) FailSetups(n int) { b.update(func() { b.setupErrors = n }) }
 
-// FailTeardowns has the next n TEARDOWNs answered with an error; their sessions play on.
+// FailTeardowns answers the next n TEARDOWNs with an error; their sessions continue.
 func (b *Box) FailTeardowns(n int) { b.update(func() { b.teardownErrors = n }) }
 
-// DisconnectSetups has the connections of the next n SETUPs closed in place of an answer.
+// DisconnectSetups closes the connection instead of answering, for the next n SETUPs.
 func (b *Box) DisconnectSetups(n int) { b.update(func() { b.setupDisconnects = n }) }
 
-// RejectRungChanges has changes of rung refused.
+// RejectRungChanges sets whether rung changes are rejected.
 func (b *Box) RejectRungChanges(on bool) { b.update(func() { b.rejectingRungs = on }) }
 
-// InvalidDescriptions has descriptions be none.
+// InvalidDescriptions sets whether DESCRIBE returns invalid SDP.
 func (b *Box) InvalidDescriptions(on bool) { b.update(func() { b.invalidSDP = on }) }
 
-// ReduceLink makes the link give so many times less; 1 ends it.
-func (b *Box) ReduceLink(times float64) { b.update(func() { b.linkReduction = max(times, 1) }) }
+// ReduceLink divides the link's capacity by factor; 1 restores it.
+func (b *Box) ReduceLink(factor float64) { b.update(func() { b.linkReduction = max(factor, 1) }) }
 
-// SetForeignTraffic has others take so many kB a second of the link.
+// SetForeignTraffic sets how much of the link other traffic uses, in kB/s.
 func (b *Box) SetForeignTraffic(rate float64) { b.update(func() { b.foreignTraffic = rate }) }
 
-// DelayReports makes load reports so many seconds older.
+// DelayReports adds seconds to the interval between updates of the load report.
 func (b *Box) DelayReports(seconds float64) { b.update(func() { b.reportDelay = seconds }) }
 
-// SlowSetups makes SETUPs take so many times longer.
-func (b *Box) SlowSetups(times float64) { b.update(func() { b.setupSlowdown = max(times, 1) }) }
+// SlowSetups multiplies the setup time by factor; 1 restores it.
+func (b *Box) SlowSetups(factor float64) { b.update(func() { b.setupSlowdown = max(factor, 1) }) }
 
+// update runs f with the box locked.
 func (b *Box) update(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-// ResetConnections breaks all connections with a reset; the box goes on.
+// ResetConnections closes all connections with a TCP reset; the box continues to run.
 func (b *Box) ResetConnections() {
 	b.update(func() {
 		for c := range b.conns {
@@ -165,6 +167,7 @@
 	})
 }
 
+// reset closes a connection, with a TCP reset unless it uses TLS.
 func reset(n net.Conn) {
 	if t, ok := n.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -172,10 +175,10 @@
 	n.Close()
 }
 
-// Kill ends the box at once: its socket is closed, connections break, sessions are gone.
+// Kill stops the box at once: it closes its socket, resets its connections and drops its sessions.
 func (b *Box) Kill() { b.update(func() { b.shutDown(true) }) }
 
-// shutDown ends the box. Called locked.
+// shutDown closes the listener and all connections, and ends all sessions. Called with the box locked.
 func (b *Box) shutDown(sendReset bool) {
 	b.down = true
 	b.listener.Close()
@@ -192,24 +195,24 @@
 	b.stateChanged.Broadcast()
 }
 
-// Restart starts a killed box on its address again, cold.
+// Restart starts a killed box again on its old address, cold.
 func (b *Box) Restart() error { return b.listen(b.Address, true) }
 
-// Close ends the box and waits for all that belongs to it.
+// Close kills the box and waits for its goroutines.
 func (b *Box) Close() {
 	b.Kill()
 	close(b.quit)
 	b.goroutines.Wait()
 }
 
-// Sessions is how many sessions the box holds, set up or being set up.
+// Sessions returns the number of sessions that are established or being set up.
 func (b *Box) Sessions() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.streams)
 }
 
-// StartedAt is the instant of the last cold start, 0 where it is long ago.
+// StartedAt returns the time of the last cold start, or 0 if the box started warm.
 func (b *Box) StartedAt() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/box/random_faults.go
+++ b/internal/lab/box/random_faults.go
@@ -8,15 +8,15 @@
 	"rainhaven/internal/rtsp"
 )
 
-// injectRandomFault does a random wrong to one request. done tells that it is dealt with, on that its connection goes on. Called
-// locked.
+// injectRandomFault injects one random fault into the handling of a request. handled reports that the request needs no
+// further processing, keepConn that its connection stays open. Called with the box locked.
 func (b *Box) injectRandomFault(c *conn, m *rtsp.Message) (keepConn, handled bool) {
-	n := 10
+	faults := 10
 	if m.Method != rtsp.Setup || m.Session() != "" {
-		n = 7 // a session that plays already: what breaks its connection is rarer
+		faults = 7 // only first SETUPs get the other faults, which would end established sessions too often
 	}
-	switch b.rand.IntN(n) {
-	case 0: // it takes its time, on this connection only
+	switch b.rand.IntN(faults) {
+	case 0: // slow reply, on this connection only
 		wait := time.NewTimer(time.Duration((0.05 + 1.5*b.rand.Float64()*b.rand.Float64()) * 1e9))
 		defer wait.Stop()
 		b.mu.Unlock()
@@ -26,37 +26,37 @@
 		}
 		b.mu.Lock()
 		return true, b.down || c.closed
-	case 1: // the answer names another request
+	case 1: // reply with a wrong CSeq
 		c.alterReply = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("CSeq", strconv.Itoa(r.CSeq()+1000)) }
-	case 2: // or another session
+	case 2: // reply with a wrong session
 		if m.Session() != "" {
 			c.alterReply = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("Session", "another") }
 		}
-	case 3: // it comes twice
+	case 3: // duplicate reply
 		c.alterReply = func(r *rtsp.Message) *rtsp.Message {
 			c.sendQueue.PushMessage(r.Append(nil))
 			return r
 		}
-	case 4: // frames come before it, one on a channel that was never set up
+	case 4: // frames before the reply, one of them on a channel that was never set up
 		p := make([]byte, 40)
 		p[0], p[1] = 0x80, 96
 		binary.BigEndian.PutUint32(p[8:], 7)
 		c.sendQueue.PushFrame(77, p, nil)
 		c.sendQueue.PushFrame(0, p[:5], nil)
 		c.sendQueue.Flush()
-	case 5: // an error
+	case 5: // error reply
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.InternalError))
 		return true, true
-	case 6: // the load report is nonsense
+	case 6: // malformed load report
 		c.alterReply = func(r *rtsp.Message) *rtsp.Message { return r.WithHeader("Load-Report", "link=9e99, uplink=;;\"") }
-	case 7: // full
+	case 7: // refused as full
 		b.counts.FullReplies++
 		b.reply(c, m, rtsp.NewResponse(m, rtsp.NotEnoughBandwidth))
 		return true, true
-	case 8: // the connection breaks
+	case 8: // connection reset
 		reset(c.socket)
 		return false, true
-	case 9: // half an answer, and no more
+	case 9: // truncated reply
 		c.alterReply = func(r *rtsp.Message) *rtsp.Message {
 			all := r.Append(nil)
 			c.sendQueue.PushMessage(all[:len(all)/2])
