--- a/internal/lab/faults/network.go
+++ b/internal/lab/faults/network.go
@@ -1,6 +1,6 @@
-// Package faults is a network that fails as Linux documents that its system calls may, by a seed: connections that can't be
-// made or accepted for want of the machine's own resources, peers that can't be reached, reads of a few bytes, reads and
-// writes that end in an error. It stands between a front node and the system in trials.
+// Package faults provides a TCP network that injects the failures that Linux documents for its system calls, reproducibly
+// from a seed: dials and accepts that fail for lack of local resources, unreachable peers, short reads, and reads and
+// writes that fail. Trials put it between a node and the operating system.
 package faults
 
 import (
@@ -13,67 +13,70 @@
 	"time"
 )
 
-// Rates are the chances of each fault, from 0 to 1.
+// Rates holds the probability of each fault per operation, from 0 to 1.
 type Rates struct {
-	Accept     float64 // an accepted connection is reported as an error and closed, as ECONNABORTED
-	DialLocal  float64 // a dial fails for want of the own machine's resources
-	DialRemote float64 // a dial fails as the peer can't be reached
-	ShortRead  float64 // a read gives a few bytes only
-	Disconnect float64 // a read or write ends in an error, and the connection with it
+	Accept     float64 // an accept fails; the connection stays in the listen queue
+	DialLocal  float64 // a dial fails for lack of local resources
+	DialRemote float64 // a dial fails because the peer is unreachable
+	ShortRead  float64 // a read returns at most maxShortRead bytes
+	Disconnect float64 // a read or write fails and closes the connection
 }
 
-// DefaultRates are rates at which most requests still meet no fault.
+// DefaultRates leave most requests without a fault.
 var DefaultRates = Rates{Accept: 0.02, DialLocal: 0.03, DialRemote: 0.02, ShortRead: 0.2, Disconnect: 0.0005}
 
-// localErrors are errors of connect(2) and socket(2) that say nothing of the peer.
+// localErrors are errors of connect(2) and socket(2) with a local cause, which say nothing about the peer.
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH, syscall.EINTR}
 
-// remoteErrors are errors of connect(2) that the peer or the way to it caused.
+// remoteErrors are errors of connect(2) caused by the peer or the path to it.
 var remoteErrors = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
 
-// acceptErrors are errors of accept(2) after which it may be called again.
+// acceptErrors are errors of accept(2) after which the caller may try again.
 var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// disconnectErrors end a connection that stood.
+// disconnectErrors are errors that end an established connection.
 var disconnectErrors = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET}
 
-// acceptPause is how long an accept that fails for want of descriptors leaves the connection waiting.
+// acceptPause is the delay before an injected accept error, as when a connection has to wait for a free descriptor.
 const acceptPause = 5 * time.Millisecond
 
-// maxShortRead is how many bytes a short read gives at most.
+// maxShortRead is the largest number of bytes that a short read returns.
 const maxShortRead = 7
 
-// Network is a network with faults. It is safe for concurrent use.
+// Network opens TCP connections and injects faults into them. It is safe for concurrent use.
 type Network struct {
 	rates Rates
 	mu    sync.Mutex
 	rand  *rand.Rand
 }
 
-// New makes a network whose faults follow from the seed.
+// New returns a network that draws its faults from the seed.
 func New(seed uint64, rates Rates) *Network {
 	return &Network{rates: rates, rand: rand.New(rand.NewPCG(seed, 0x5fa0))}
 }
 
+// chance returns true with probability p.
 func (n *Network) chance(p float64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rand.Float64() < p
 }
 
-func (n *Network) pick(list []syscall.Errno) syscall.Errno {
+// pick returns a random element of errnos.
+func (n *Network) pick(errnos []syscall.Errno) syscall.Errno {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return list[n.rand.IntN(len(list))]
+	return errnos[n.rand.IntN(len(errnos))]
 }
 
+// intN returns a random number in [0, k).
 func (n *Network) intN(k int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rand.IntN(k)
 }
 
-// Listen listens on a TCP address.
+// Listen listens on a TCP address; accepting on the listener may fail.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -82,7 +85,7 @@
 	return &listener{l, n}, nil
 }
 
-// Dial opens a TCP connection.
+// Dial opens a TCP connection that may fail, now or later.
 func (n *Network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	switch {
 	case n.chance(n.rates.DialLocal):
@@ -95,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{TCPConn: c.(*net.TCPConn), n: n, disconnectRate: n.rates.Disconnect}, nil
+	return &conn{TCPConn: c.(*net.TCPConn), network: n, disconnectProbability: n.rates.Disconnect}, nil
 }
 
 func (n *Network) dialError(e syscall.Errno) error {
@@ -104,50 +107,52 @@
 
 type listener struct {
 	net.Listener
-	n *Network
+	network *Network
 }
 
-// Accept fails now and then, and leaves the connection in the queue, but for ECONNABORTED, which its client has caused.
+// Accept fails at the rate Accept, without taking a connection off the queue. With ECONNABORTED a real system would drop
+// the connection, as its client has aborted it.
 func (l *listener) Accept() (net.Conn, error) {
-	if l.n.chance(l.n.rates.Accept) {
+	if l.network.chance(l.network.rates.Accept) {
 		time.Sleep(acceptPause)
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.n.pick(acceptErrors))}
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.network.pick(acceptErrors))}
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{TCPConn: c.(*net.TCPConn), n: l.n}, nil
+	return &conn{TCPConn: c.(*net.TCPConn), network: l.network}, nil
 }
 
-// conn is a connection that may break. What is written through its raw descriptor does not.
+// conn is a connection with injected faults. Data written through its raw descriptor bypasses them.
 type conn struct {
 	*net.TCPConn
-	n              *Network
-	disconnectRate float64 // 0 for accepted ones: whoever judges could not tell such a break from a close of the node's
+	network               *Network
+	disconnectProbability float64 // 0 for accepted connections, where the checker can't tell a fault from a close by the node
 }
 
+// disconnect resets the connection and returns the error for op.
 func (c *conn) disconnect(op string) error {
 	c.TCPConn.SetLinger(0)
 	c.TCPConn.Close()
-	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, c.n.pick(disconnectErrors))}
+	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, c.network.pick(disconnectErrors))}
 }
 
-// Read gives a few bytes only now and then, or ends the connection.
+// Read may return only a few bytes, or end the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	switch {
-	case c.n.chance(c.disconnectRate):
+	case c.network.chance(c.disconnectProbability):
 		return 0, c.disconnect("read")
-	case len(b) > 1 && c.n.chance(c.n.rates.ShortRead):
-		b = b[:1+c.n.intN(min(len(b)-1, maxShortRead))]
+	case len(b) > 1 && c.network.chance(c.network.rates.ShortRead):
+		b = b[:1+c.network.intN(min(len(b)-1, maxShortRead))]
 	}
 	return c.TCPConn.Read(b)
 }
 
-// Write ends the connection now and then, after a part of the bytes.
+// Write may end the connection after a part of the data.
 func (c *conn) Write(b []byte) (int, error) {
-	if len(b) > 0 && c.n.chance(c.disconnectRate) {
-		k, err := c.TCPConn.Write(b[:c.n.intN(len(b))])
+	if len(b) > 0 && c.network.chance(c.disconnectProbability) {
+		k, err := c.TCPConn.Write(b[:c.network.intN(len(b))])
 		if err != nil {
 			return k, err
 		}
--- a/internal/lab/measure/keys.go
+++ b/internal/lab/measure/keys.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// selfSigned writes cert.pem and key.pem for the loopback into a folder, good for two months, and gives what viewers
-// trust them by.
+// selfSigned writes a self-signed certificate for 127.0.0.1 that is valid for 60 days to cert.pem and key.pem in dir, and
+// returns a client configuration that trusts it.
 func selfSigned(dir string) (*tls.Config, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure compares viewers that go through a front with the same ones straight at the boxes, in one run and in
-// turns: what a front adds to a set-up, what its relay carries, what a session takes of its memory. The front is a
-// process of its own; boxes and viewers share the measuring one.
+// Package measure compares viewers that connect through a front with viewers that connect to the boxes directly, alternating
+// between the two in one run: the latency that a front adds to a SETUP, the throughput of its relay, and the memory that
+// it needs per session. The front runs in its own process; boxes and viewers run in the measuring process.
 package measure
 
 import (
@@ -29,45 +29,46 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Build is a rainhaven program that runs as front, and whether viewers come to it over TLS.
+// Build is a rainhaven program to run as front, and the conditions to measure it under.
 type Build struct {
 	Name, Program string
-	TLS           bool
-	Reloads       bool // it is told new settings, over and over, while set-ups are timed
+	TLS           bool // viewers connect over TLS
+	Reloads       bool // its settings are reloaded continually while SETUPs are timed
 }
 
-// Options say what is measured.
+// Options controls what is measured.
 type Options struct {
-	Builds          []Build // measured in turns
-	Sessions        []int   // playing sessions to measure under
-	Setups          int     // samples of set-ups, each way
-	Reps            int     // repetitions of a transfer, each way in turns
-	TransferSeconds float64
+	Builds          []Build // measured alternately
+	Sessions        []int   // numbers of playing sessions to measure under
+	Setups          int     // SETUPs to time, direct and through the front each
+	Reps            int     // repetitions of the transfer, direct and through the front alternately
+	TransferSeconds float64 // length of a transfer
 }
 
-// Row is what was measured under so many playing sessions.
+// Row holds the results for one build and one number of playing sessions. The JSON names are part of the output of
+// `rainhaven measure --json`.
 type Row struct {
 	Build               string  `json:"Build"`
 	Sessions            int     `json:"Sessions"`
-	DirectP50           float64 `json:"DirectP50"` // ms from SETUP to its answer, straight at a box
+	DirectP50           float64 `json:"DirectP50"` // ms from SETUP to its reply, directly at a box
 	DirectP99           float64 `json:"DirectP99"`
-	FrontP50            float64 `json:"FrontP50"` // the same through the front
+	FrontP50            float64 `json:"FrontP50"` // ms from SETUP to its reply, through the front
 	FrontP99            float64 `json:"FrontP99"`
 	FrontP999           float64 `json:"FrontP999"`
-	HeapBytesPerSession float64 `json:"HeapPerSession"` // bytes of the front's
+	HeapBytesPerSession float64 `json:"HeapPerSession"` // growth of the front's heap and stacks
 	RSSBytesPerSession  float64 `json:"RSSPerSession"`
-	AllocsPerSetup      float64 `json:"Allocations"` // for each set-up from connection to TEARDOWN, media under way included
-	MeanSettleMicros    float64 `json:"SettleMean"`  // microseconds to settle a batch of events, the module's decisions included
-	DirectMBps          float64 `json:"DirectMB"`    // transfer at full speed, MB a second, medians over repetitions
+	AllocsPerSetup      float64 `json:"Allocations"` // heap allocations from connection to TEARDOWN, including relayed media
+	MeanSettleMicros    float64 `json:"SettleMean"`  // mean time to process a batch of events, including the module's decisions
+	DirectMBps          float64 `json:"DirectMB"`    // transfer at full speed, MB/s; this and the next two are medians over repetitions
 	FrontMBps           float64 `json:"FrontMB"`
-	ThroughputRatio     float64 `json:"Ratio"`
+	ThroughputRatio     float64 `json:"Ratio"` // front to direct
 	MinThroughputRatio  float64 `json:"RatioLow"`
 	MaxThroughputRatio  float64 `json:"RatioHigh"`
-	SettingsReloads     float64 `json:"Renewals"` // new settings taken meanwhile
-	FramesPerSecond     float64 `json:"Frames"`   // a second, of the playing sessions together
+	SettingsReloads     float64 `json:"Renewals"` // reloads of settings during the measurement
+	FramesPerSecond     float64 `json:"Frames"`   // received by all playing sessions together
 }
 
-// fleetSettings is the part of the settings that is alike for any number of boxes.
+// fleetSettings returns the settings that every measured front has, for a number of boxes.
 func fleetSettings(boxes int) string { return fmt.Sprintf(fleetSettingsFormat, boxes, boxes) }
 
 const fleetSettingsFormat = `
@@ -80,21 +81,21 @@
 limits(connections = 20000, sessions = 20000, box_connections = 5000)
 `
 
-// frontProcess is a frontProcess's process.
+// frontProcess is a running front.
 type frontProcess struct {
 	cmd        *exec.Cmd
-	endpoint   // for viewers
+	endpoint   // of its viewers
 	admin, dir string
 	settings   string
 }
 
-// endpoint is how viewers come to something.
+// endpoint is an address that viewers connect to.
 type endpoint struct {
 	address string
-	tls     *tls.Config // nil is plain
+	tls     *tls.Config // nil means plain TCP
 }
 
-// startFront runs a front before boxes.
+// startFront starts a front for the given boxes and waits until it serves.
 func startFront(ctx context.Context, b Build, boxes []string) (*frontProcess, error) {
 	dir, err := os.MkdirTemp("", "rainhaven-measure")
 	if err != nil {
@@ -109,8 +110,8 @@
 		tlsSettings = fmt.Sprintf(`, tls_listen = "127.0.0.1:0", cert = %q, key = %q`, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
 	}
 	settings := `front(name = "measured", listen = "127.0.0.1:0", admin = "127.0.0.1:0"` + tlsSettings + `)` + fleetSettings(len(boxes))
-	for i, at := range boxes {
-		settings += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, at)
+	for i, address := range boxes {
+		settings += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, address)
 	}
 	file := filepath.Join(dir, "front.star")
 	f.settings = settings
@@ -140,10 +141,10 @@
 		}
 	}
 	f.stop()
-	return nil, fmt.Errorf("the front said nothing of serving")
+	return nil, fmt.Errorf("the front's log ended without the message \"serving\"")
 }
 
-// reload has the front take settings that need a new module, a little over a second apart, until the context is done.
+// reload makes the front reload settings that need a new module, every 1.1 s until the context is done.
 func (f *frontProcess) reload(ctx context.Context) {
 	for n := 1; sleep(ctx, 1100*time.Millisecond) == nil; n++ {
 		s := strings.Replace(f.settings, "setups(window = 0)", fmt.Sprintf("setups(window = 0, advice = %d)", 1+n%2), 1)
@@ -154,13 +155,14 @@
 	}
 }
 
+// stop terminates the front and removes its folder.
 func (f *frontProcess) stop() {
 	f.cmd.Process.Signal(syscall.SIGTERM)
 	f.cmd.Wait()
 	os.RemoveAll(f.dir)
 }
 
-// metric reads one figure of the front's.
+// metric reads the value of a metric from the front.
 func (f *frontProcess) metric(name string) (float64, error) {
 	r, err := http.Get("http://" + f.admin + "/metrics")
 	if err != nil {
@@ -173,24 +175,25 @@
 			return strconv.ParseFloat(v, 64)
 		}
 	}
-	return 0, fmt.Errorf("the front tells no %s", name)
+	return 0, fmt.Errorf("the front exports no metric %s", name)
 }
 
-// viewer is one that measures.
+// viewer is an RTSP client.
 type viewer struct {
-	c       *rtsp.Conn
+	conn    *rtsp.Conn
 	url     string
 	session string
 	cseq    int
 }
 
-func (w endpoint) connect() (*viewer, error) {
-	n, err := net.DialTimeout("tcp", w.address, 2*time.Second)
+// connect opens a connection, including the TLS handshake.
+func (e endpoint) connect() (*viewer, error) {
+	n, err := net.DialTimeout("tcp", e.address, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	if w.tls != nil {
-		t := tls.Client(n, w.tls)
+	if e.tls != nil {
+		t := tls.Client(n, e.tls)
 		t.SetDeadline(time.Now().Add(10 * time.Second))
 		if err := t.Handshake(); err != nil {
 			n.Close()
@@ -199,9 +202,10 @@
 		t.SetDeadline(time.Time{})
 		n = t
 	}
-	return &viewer{c: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + w.address + "/clips/vents"}, nil
+	return &viewer{conn: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + e.address + "/clips/vents"}, nil
 }
 
+// request sends a request with pairs of header names and values and waits for a reply of 200.
 func (v *viewer) request(method string, headers ...string) error {
 	v.cseq++
 	m := rtsp.NewRequest(method, v.url).WithHeader("CSeq", strconv.Itoa(v.cseq))
@@ -211,7 +215,7 @@
 	for i := 0; i < len(headers); i += 2 {
 		m.WithHeader(headers[i], headers[i+1])
 	}
-	r, err := v.c.RoundTrip(m, 10*time.Second, nil)
+	r, err := v.conn.RoundTrip(m, 10*time.Second, nil)
 	if err != nil {
 		return err
 	}
@@ -228,13 +232,13 @@
 	return v.request(rtsp.Setup, "Transport", "RTP/AVP/TCP;unicast;interleaved=0-1", "Rung", "1")
 }
 
-// setupLatency is the time of one set-up on a fresh connection.
-func (w endpoint) setupLatency() (time.Duration, error) {
-	v, err := w.connect()
+// setupLatency returns the time of one SETUP on a new connection.
+func (e endpoint) setupLatency() (time.Duration, error) {
+	v, err := e.connect()
 	if err != nil {
 		return 0, err
 	}
-	defer v.c.Close()
+	defer v.conn.Close()
 	sentAt := time.Now()
 	if err := v.setup(); err != nil {
 		return 0, err
@@ -243,15 +247,15 @@
 	return d, v.request(rtsp.TearDown)
 }
 
-// Run measures.
+// Run measures all builds under all numbers of sessions. report, which may be nil, gets each row as it is completed.
 func Run(ctx context.Context, o Options, report func(Row)) ([]Row, error) {
 	startedAt := time.Now()
-	site := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 5000, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.5, NoteInterval: 3,
+	config := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 5000, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.5, NoteInterval: 3,
 		FPS: 25, PayloadScale: 1, Now: func() float64 { return time.Since(startedAt).Seconds() }}
 	rack := box.NewRack(1e9)
 	var addresses []string
 	for i := range 4 {
-		b, err := box.Start(site, i+1, "", 1e9, rack, false)
+		b, err := box.Start(config, i+1, "", 1e9, rack, false)
 		if err != nil {
 			return nil, err
 		}
@@ -274,7 +278,7 @@
 	return rows, nil
 }
 
-// measureRow measures with n sessions playing.
+// measureRow measures one build with n sessions playing.
 func measureRow(ctx context.Context, o Options, b Build, n int, boxes []string) (Row, error) {
 	row := Row{Build: b.Name, Sessions: n}
 	f, err := startFront(ctx, b, boxes)
@@ -293,7 +297,7 @@
 	var playing []*viewer
 	defer func() {
 		for _, v := range playing {
-			v.c.Close()
+			v.conn.Close()
 		}
 		readers.Wait()
 	}()
@@ -311,7 +315,7 @@
 		}
 		readers.Go(func() {
 			for {
-				m, _, err := v.c.Next()
+				m, _, err := v.conn.Next()
 				if err != nil {
 					return
 				}
@@ -332,18 +336,18 @@
 		readers.Go(func() { f.reload(reloadCtx) })
 		defer stopReloads()
 	}
-	direct, through := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
+	directLatencies, frontLatencies := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
 	startedAt, framesBefore := time.Now(), frames.Load()
 	for i := range o.Setups {
-		for _, w := range []struct {
+		for _, path := range []struct {
 			endpoint
-			h *hdrhistogram.Histogram
-		}{{endpoint{boxes[i%len(boxes)], nil}, direct}, {f.endpoint, through}} {
-			d, err := w.setupLatency()
+			latencies *hdrhistogram.Histogram
+		}{{endpoint{boxes[i%len(boxes)], nil}, directLatencies}, {f.endpoint, frontLatencies}} {
+			d, err := path.setupLatency()
 			if err != nil {
 				return row, err
 			}
-			w.h.RecordValue(d.Microseconds())
+			path.latencies.RecordValue(d.Microseconds())
 		}
 		if ctx.Err() != nil {
 			return row, ctx.Err()
@@ -351,8 +355,8 @@
 	}
 	row.FramesPerSecond = float64(frames.Load()-framesBefore) / time.Since(startedAt).Seconds()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	row.DirectP50, row.DirectP99 = ms(direct, 50), ms(direct, 99)
-	row.FrontP50, row.FrontP99, row.FrontP999 = ms(through, 50), ms(through, 99), ms(through, 99.9)
+	row.DirectP50, row.DirectP99 = ms(directLatencies, 50), ms(directLatencies, 99)
+	row.FrontP50, row.FrontP99, row.FrontP999 = ms(frontLatencies, 50), ms(frontLatencies, 99), ms(frontLatencies, 99.9)
 	count, _ := f.metric("rainhaven_settle_seconds_count")
 	sum, _ := f.metric("rainhaven_settle_seconds_sum")
 	if count > count0 {
@@ -369,30 +373,30 @@
 	return row, o.measureTransfers(ctx, &row, b, min(n, 100))
 }
 
-// measureTransfers compares what comes through at full speed, on so many connections at once.
-func (o Options) measureTransfers(ctx context.Context, row *Row, build Build, conns int) error {
+// measureTransfers compares the throughput at full speed, on several connections at once, and fills it into the row.
+func (o Options) measureTransfers(ctx context.Context, row *Row, build Build, connections int) error {
 	src, err := listenFullSpeed()
 	if err != nil {
 		return err
 	}
 	defer src.close()
-	// Each through a front of its own: at full speed sessions that a busy machine holds up pass for a short link, which a
-	// front remembers for half a minute and rightly turns new ones away.
-	through := func() (float64, error) {
+	// Each transfer uses a new front: at full speed, a front takes sessions that are slowed down by a busy machine for an
+	// overloaded link, remembers that for half a minute and rejects new sessions, as it should.
+	transferViaFront := func() (float64, error) {
 		f, err := startFront(ctx, build, []string{src.address})
 		if err != nil {
 			return 0, err
 		}
 		defer f.stop()
-		return transfer(ctx, f.endpoint, conns, o.TransferSeconds)
+		return transfer(ctx, f.endpoint, connections, o.TransferSeconds)
 	}
 	var directRates, frontRates, ratios []float64
 	for range o.Reps {
-		directRate, err := transfer(ctx, endpoint{src.address, nil}, conns, o.TransferSeconds)
+		directRate, err := transfer(ctx, endpoint{src.address, nil}, connections, o.TransferSeconds)
 		if err != nil {
-			return fmt.Errorf("straight: %w", err)
+			return fmt.Errorf("direct: %w", err)
 		}
-		frontRate, err := through()
+		frontRate, err := transferViaFront()
 		if err != nil {
 			return fmt.Errorf("through the front: %w", err)
 		}
@@ -409,21 +413,21 @@
 	return nil
 }
 
-// transfer is MB a second that come to so many viewers at once.
-func transfer(ctx context.Context, target endpoint, conns int, seconds float64) (float64, error) {
+// transfer returns the total rate in MB/s at which concurrent viewers receive media.
+func transfer(ctx context.Context, target endpoint, connections int, seconds float64) (float64, error) {
 	var viewers []*viewer
 	defer func() {
 		for _, v := range viewers {
-			v.c.Close()
+			v.conn.Close()
 		}
 	}()
-	for range conns {
+	for range connections {
 		v, err := target.connect()
 		if err != nil {
 			return 0, err
 		}
 		viewers = append(viewers, v)
-		// At full speed a box may have been set aside for an answer that came too late; probes bring it back.
+		// At full speed a box may have been ejected for a late reply; probes reinstate it.
 		for n := 0; ; n++ {
 			if err = v.setup(); err == nil || n == 20 {
 				break
@@ -436,7 +440,7 @@
 			return 0, err
 		}
 	}
-	var bytes atomic.Int64
+	var received atomic.Int64
 	var readers sync.WaitGroup
 	for _, v := range viewers {
 		readers.Go(func() {
@@ -444,12 +448,12 @@
 				return
 			}
 			for {
-				m, f, err := v.c.Next()
+				m, f, err := v.conn.Next()
 				if err != nil {
 					return
 				}
 				if m == nil {
-					bytes.Add(int64(len(f.Raw)))
+					received.Add(int64(len(f.Raw)))
 				}
 			}
 		})
@@ -458,15 +462,16 @@
 	if err := sleep(ctx, 300*time.Millisecond); err != nil {
 		return 0, err
 	}
-	bytesBefore, startedAt := bytes.Load(), time.Now()
+	bytesBefore, startedAt := received.Load(), time.Now()
 	err := sleep(ctx, time.Duration(seconds*1e9))
-	rate := float64(bytes.Load()-bytesBefore) / time.Since(startedAt).Seconds() / 1e6
+	rate := float64(received.Load()-bytesBefore) / time.Since(startedAt).Seconds() / 1e6
 	for _, v := range viewers {
-		v.c.Close()
+		v.conn.Close()
 	}
 	return rate, err
 }
 
+// sleep waits for d or until the context is done.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -10,7 +10,7 @@
 	"rainhaven/internal/settings"
 )
 
-// BenchmarkTransfer is media at full speed, straight and through a front in this process.
+// BenchmarkTransfer measures media transfer at full speed, direct and through a front in this process.
 func BenchmarkTransfer(b *testing.B) {
 	src, err := listenFullSpeed()
 	if err != nil {
--- a/internal/lab/measure/source.go
+++ b/internal/lab/measure/source.go
@@ -9,15 +9,16 @@
 	"rainhaven/internal/rtsp"
 )
 
-// fullSpeedSource is a source that sends frames as fast as they are taken.
+// fullSpeedSource is an RTSP server that sends frames as fast as its clients read them.
 type fullSpeedSource struct {
 	listener   net.Listener
 	address    string
 	goroutines sync.WaitGroup
 	mu         sync.Mutex
-	conns      map[net.Conn]struct{} // emptied as they end
+	conns      map[net.Conn]struct{} // removed as they close
 }
 
+// listenFullSpeed starts a source on a free port of 127.0.0.1.
 func listenFullSpeed() (*fullSpeedSource, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,6 +46,7 @@
 	return f, nil
 }
 
+// close closes the listener and all connections and waits for them.
 func (f *fullSpeedSource) close() {
 	f.listener.Close()
 	f.mu.Lock()
@@ -55,7 +57,7 @@
 	f.goroutines.Wait()
 }
 
-// serve answers all requests and, between PLAY and TEARDOWN, sends frames of 1,400 bytes.
+// serve answers all requests and sends frames of 1,400 bytes from a PLAY to the next request.
 func (f *fullSpeedSource) serve(n net.Conn) {
 	c := rtsp.NewConn(n, rtsp.Limits{})
 	var stop, stopped chan struct{}
@@ -76,7 +78,7 @@
 		if m == nil {
 			continue
 		}
-		stopSending() // one writes at a time
+		stopSending() // there is only one writer at a time
 		r := rtsp.NewResponse(m, rtsp.OK).WithHeader("Session", "flat").WithHeader("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
 		if _, err := n.Write(r.Append(nil)); err != nil {
 			return
@@ -88,6 +90,7 @@
 	}
 }
 
+// sendFrames sends frames until stop is closed or the connection fails, and closes stopped when it returns.
 func sendFrames(n net.Conn, stop, stopped chan struct{}) {
 	defer close(stopped)
 	var buf []byte
@@ -112,7 +115,7 @@
 	}
 }
 
-// String is the row on one line.
+// String returns a one-line summary of the row.
 func (r Row) String() string {
 	return fmt.Sprintf("%d playing: +%.2f ms at the median, relay %.2f of direct", r.Sessions, r.FrontP50-r.DirectP50, r.ThroughputRatio)
 }
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -1,5 +1,5 @@
-// Package player is a stand-in for a viewer: it asks a front for a session over RTSP, plays it and looks at every frame,
-// gives up at its setup timeout, leaves early, and comes again after a busy reply or a break.
+// Package player simulates a viewer: it sets up a session at a front over RTSP, plays it and checks every frame. It gives
+// up at its setup timeout and may disconnect early.
 package player
 
 import (
@@ -20,49 +20,49 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Options is what one viewer wants.
+// Options describes the session that a viewer requests and how it behaves.
 type Options struct {
-	Address         string // of the front, host and port
-	Front           string // its name, for the witness
+	Address         string // host and port of the front
+	Front           string // the front's name, for the witness
 	Group, Title    string
-	Token           string  // put into the URL; empty is none
-	SetupTimeout    float64 // seconds
-	WatchSeconds    float64 // seconds of media after which it leaves; 0 is to the end
-	DisconnectAfter float64 // seconds after the SETUP left at which it just disconnects; 0 is never
-	Bandwidth       float64 // bits a second; 0 is not told
-	Tracks          int     // 1 or 2
-	Describe        bool
-	TLS             *tls.Config // for a front over TLS
-	User            *auth.User  // for a front that asks who it is; DESCRIBE comes first then
-	DigestAlgorithm string      // of the digest; the first one offered where empty
-	PayloadWriter   io.Writer   // where the first track's payloads go; may be nil
-	OnProgress      func(Result)
-	Now             func() float64
-	Witness         *witness.Witness // may be nil
+	Token           string           // identifies the viewer in the URL's query and to the witness; optional
+	SetupTimeout    float64          // seconds; 0 means 10
+	WatchSeconds    float64          // seconds of media after which it sends TEARDOWN; 0 plays to the end
+	DisconnectAfter float64          // seconds after SETUP at which it disconnects without TEARDOWN; 0 disables this
+	Bandwidth       float64          // bit/s, sent in the Bandwidth header; 0 omits it
+	Tracks          int              // 1 or 2; 0 means 1
+	Describe        bool             // send DESCRIBE before SETUP
+	TLS             *tls.Config      // nil means plain TCP
+	User            *auth.User       // credentials for a front that requires authentication; implies Describe
+	DigestAlgorithm string           // required digest algorithm; if empty, the first one offered
+	PayloadWriter   io.Writer        // receives the payloads of the first track; may be nil
+	OnProgress      func(Result)     // called about once a second while playing; may be nil
+	Now             func() float64   // current time, seconds, for the witness
+	Witness         *witness.Witness // optional recorder of the session
 }
 
-// Result is what it saw.
+// Result holds what a viewer observed. The JSON names are part of the output of `rainhaven play --json`.
 type Result struct {
-	Status            int     `json:"Status"` // of the final answer; 0 is none
-	RetryAfter        float64 `json:"RetryAfter"`
-	AnswerSeconds     float64 `json:"AnswerIn"`   // seconds from SETUP to its answer
-	FirstFrameSeconds float64 `json:"FirstFrame"` // seconds from SETUP to the first frame; 0 is none
-	Frames            int     `json:"Frames"`
-	Bytes             int64   `json:"Bytes"`
-	LostPackets       int     `json:"Lost"`     // sequence numbers missing
-	RepeatedPackets   int     `json:"Doubled"`  // or out of order
-	TimestampJumps    int     `json:"Jumps"`    // timestamps that leap or run back
-	MaxFrameGap       float64 `json:"WorstGap"` // seconds between two frames
-	MediaSeconds      float64 `json:"Media"`    // seconds of media received
-	PlayedSeconds     float64 `json:"Played"`   // seconds from the first to the last frame
-	RungChanges       int     `json:"Rungs"`    // changes of rung seen
-	LastRung          int     `json:"Rung"`     // the last
-	Ended             bool    `json:"Ended"`    // by the title's end or the viewer's own wish
-	Interrupted       bool    `json:"Broke"`    // by the other side
-	RedirectedTo      string  `json:"SentTo"`   // where the front asked it to go on; it has left then
+	Status            int     `json:"Status"`     // of the reply to SETUP, or of a failed DESCRIBE; 0 if there was none
+	RetryAfter        float64 `json:"RetryAfter"` // seconds
+	AnswerSeconds     float64 `json:"AnswerIn"`   // from SETUP to its reply
+	FirstFrameSeconds float64 `json:"FirstFrame"` // from SETUP to the first frame; 0 if there was none
+	Frames            int     `json:"Frames"`     // RTP packets of the first track
+	Bytes             int64   `json:"Bytes"`      // RTP bytes of all tracks
+	LostPackets       int     `json:"Lost"`       // missing sequence numbers
+	RepeatedPackets   int     `json:"Doubled"`    // duplicate or out-of-order packets
+	TimestampJumps    int     `json:"Jumps"`      // timestamps that go back or advance by more than 5 s
+	MaxFrameGap       float64 `json:"WorstGap"`   // longest time between two frames, seconds
+	MediaSeconds      float64 `json:"Media"`      // of media received, by RTP timestamps
+	PlayedSeconds     float64 `json:"Played"`     // from the first to the last frame
+	RungChanges       int     `json:"Rungs"`
+	LastRung          int     `json:"Rung"`
+	Ended             bool    `json:"Ended"`  // ended by BYE, by redirection or by the viewer
+	Interrupted       bool    `json:"Broke"`  // ended by an error or a stall
+	RedirectedTo      string  `json:"SentTo"` // host and port from the front's REDIRECT
 }
 
-// DeliveredShare is what was delivered of the rate.
+// DeliveredShare returns the ratio of media time received to playing time, at most 1.
 func (s Result) DeliveredShare() float64 {
 	if s.PlayedSeconds <= 0 {
 		return 0
@@ -70,9 +70,10 @@
 	return min(s.MediaSeconds/s.PlayedSeconds, 1)
 }
 
-// ErrNotServed is a final answer other than 200.
+// ErrNotServed reports a reply to SETUP other than 200.
 var ErrNotServed = errors.New("not served")
 
+// player is the state of one session.
 type player struct {
 	opts          Options
 	conn          *rtsp.Conn
@@ -84,12 +85,13 @@
 	lastSeq       [2]uint16
 	lastTimestamp uint32
 	gotBye        bool
-	redirect      string // the front's Location, to go on at
-	packets       [2]int
-	challenge     map[string]string // the front's challenge, once it came
+	redirect      string            // host and port from a REDIRECT's Location
+	packets       [2]int            // received, by track
+	challenge     map[string]string // the front's digest challenge; nil until received
 }
 
-// Watch plays a session as wanted. The error tells why it did not go to its end; what was seen counts all the same.
+// Watch plays a session as described by opts. The error says why it did not reach its end; the result is valid in either
+// case.
 func Watch(ctx context.Context, opts Options) (Result, error) {
 	if opts.Now == nil {
 		start := time.Now()
@@ -101,18 +103,18 @@
 	if opts.SetupTimeout == 0 {
 		opts.SetupTimeout = 10
 	}
-	d := net.Dialer{Timeout: 2 * time.Second}
-	raw, err := d.DialContext(ctx, "tcp", opts.Address)
+	dialer := net.Dialer{Timeout: 2 * time.Second}
+	conn, err := dialer.DialContext(ctx, "tcp", opts.Address)
 	if err != nil {
 		return Result{}, fmt.Errorf("connecting to the front: %w", err)
 	}
-	defer raw.Close()
+	defer conn.Close()
 	if opts.TLS != nil {
-		raw = tls.Client(raw, opts.TLS)
+		conn = tls.Client(conn, opts.TLS)
 	}
-	stop := context.AfterFunc(ctx, func() { raw.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	p := &player{opts: opts, conn: rtsp.NewConn(raw, rtsp.Limits{})}
+	p := &player{opts: opts, conn: rtsp.NewConn(conn, rtsp.Limits{})}
 	err = p.run(ctx)
 	if opts.Witness != nil && opts.Token != "" {
 		opts.Witness.Left(opts.Token, opts.Now())
@@ -123,6 +125,7 @@
 	return p.result, err
 }
 
+// url returns the URL of a track, or of the title if track is -1.
 func (p *player) url(track int) string {
 	resource := rtsp.Resource{Host: p.opts.Address, Group: p.opts.Group, Title: p.opts.Title, Track: track}
 	if p.opts.Token != "" {
@@ -131,6 +134,7 @@
 	return resource.URL()
 }
 
+// request returns the next request, with credentials if the front has sent a challenge.
 func (p *player) request(method, url string) *rtsp.Message {
 	p.cseq++
 	m := rtsp.NewRequest(method, url).WithHeader("CSeq", strconv.Itoa(p.cseq)).WithHeader("User-Agent", "rainhaven-play")
@@ -143,7 +147,7 @@
 	return m
 }
 
-// acceptChallenge keeps the challenge that suits.
+// acceptChallenge stores the first digest challenge with a suitable algorithm and reports whether there is one.
 func (p *player) acceptChallenge(r *rtsp.Message) bool {
 	for _, v := range r.Header["Www-Authenticate"] {
 		if scheme, q, err := auth.ParseHeader(v); err == nil && scheme == "Digest" && (p.opts.DigestAlgorithm == "" || p.opts.DigestAlgorithm == q["algorithm"]) {
@@ -154,12 +158,14 @@
 	return false
 }
 
+// handleInterleaved handles frames that arrive while a reply is awaited.
 func (p *player) handleInterleaved(m *rtsp.Message, f rtsp.Frame) {
 	if m == nil {
 		p.handleFrame(f)
 	}
 }
 
+// run sets the session up and plays it.
 func (p *player) run(ctx context.Context) error {
 	if p.opts.Describe || p.opts.User != nil {
 		describe := func() (*rtsp.Message, error) {
@@ -205,7 +211,7 @@
 	return p.receive(ctx, session)
 }
 
-// setup sends the first SETUP and waits for its answer until the setup timeout.
+// setup sends the first SETUP and waits for its reply until the setup timeout.
 func (p *player) setup(m *rtsp.Message) (session string, err error) {
 	p.setupSentAt = time.Now()
 	w := p.opts.Witness
@@ -219,7 +225,7 @@
 	if p.opts.DisconnectAfter > 0 {
 		wait = min(wait, p.opts.DisconnectAfter)
 	} else {
-		wait += 0.1 // to see an answer that is late
+		wait += 0.1 // so that late replies are recorded
 	}
 	p.conn.SetReadDeadline(p.setupSentAt.Add(time.Duration(wait * 1e9)))
 	for {
@@ -247,21 +253,22 @@
 	}
 }
 
+// interrupted records that the session ended by an error, and wraps the error.
 func (p *player) interrupted(err error) error {
 	p.result.Interrupted = true
 	if w := p.opts.Witness; w != nil && p.opts.Token != "" {
 		w.Broke(p.opts.Token, p.opts.Now())
 	}
-	return fmt.Errorf("the session broke: %w", err)
+	return fmt.Errorf("session interrupted: %w", err)
 }
 
-// keepAliveInterval is the pace of a viewer's signs of life, under half of the usual session timeout.
+// keepAliveInterval is less than half of the usual session timeout of 60 s.
 const keepAliveInterval = 20 * time.Second
 
-// stallTimeout is how long a viewer looks at a still picture.
+// stallTimeout is how long a viewer waits for the next frame.
 const stallTimeout = 20 * time.Second
 
-// lastActivity is when the newest frame came, or the SETUP left.
+// lastActivity returns the time of the latest frame, or of the SETUP if there was none.
 func (p *player) lastActivity() time.Time {
 	if p.lastFrameAt.IsZero() {
 		return p.setupSentAt
@@ -269,13 +276,13 @@
 	return p.lastFrameAt
 }
 
-// receive takes frames until the end.
+// receive handles frames and messages and sends keep-alives until the session ends, then sends TEARDOWN.
 func (p *player) receive(ctx context.Context, session string) error {
 	lastKeepAlive := time.Now()
 	lastProgress := time.Now()
 	for !p.gotBye && p.redirect == "" && (p.opts.WatchSeconds == 0 || p.result.MediaSeconds < p.opts.WatchSeconds) && ctx.Err() == nil {
 		if p.opts.DisconnectAfter > 0 && time.Since(p.setupSentAt).Seconds() >= p.opts.DisconnectAfter {
-			return nil // just gone
+			return nil // without TEARDOWN
 		}
 		p.conn.SetReadDeadline(time.Now().Add(time.Second))
 		if ctx.Err() != nil {
@@ -286,7 +293,7 @@
 		switch {
 		case err != nil && errors.As(err, &netErr) && netErr.Timeout():
 			if p.conn.Buffered() > 0 {
-				return p.interrupted(fmt.Errorf("half a frame and no more within a second"))
+				return p.interrupted(fmt.Errorf("incomplete frame, no more data within a second"))
 			}
 			if time.Since(p.lastActivity()) > stallTimeout {
 				return p.interrupted(fmt.Errorf("no frame for %v", stallTimeout))
@@ -304,7 +311,7 @@
 				return p.interrupted(err)
 			}
 		case !m.IsRequest() && m.Status != rtsp.OK:
-			return p.interrupted(fmt.Errorf("the front answers %d %s", m.Status, m.Reason))
+			return p.interrupted(fmt.Errorf("the front replied %d %s", m.Status, m.Reason))
 		}
 		now := time.Now()
 		if now.Sub(lastKeepAlive) > keepAliveInterval {
@@ -324,12 +331,12 @@
 	p.conn.SetDeadline(time.Time{})
 	_, err := p.conn.RoundTrip(p.request(rtsp.TearDown, p.url(-1)).WithHeader("Session", session), 3*time.Second, func(*rtsp.Message, rtsp.Frame) {})
 	if err != nil && !p.gotBye {
-		return fmt.Errorf("leaving: %w", err)
+		return fmt.Errorf("TEARDOWN: %w", err)
 	}
 	return nil
 }
 
-// handleFrame looks at one handleFrame.
+// handleFrame checks one interleaved frame and updates the result.
 func (p *player) handleFrame(f rtsp.Frame) {
 	b, now := f.Payload(), time.Now()
 	if f.Channel%2 == 1 {
