--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -41,7 +41,7 @@
 		want++
 	}
 	b.checkRules()
-	if n := b.boxes[0].Count().Setups; n != 1 {
+	if n := b.boxes[0].Counts().Setups; n != 1 {
 		t.Errorf("%d SETUPs for one session", n)
 	}
 }
@@ -118,7 +118,7 @@
 // RTP-Info in the response to a seek names the first frame after it by the sequence number and timestamp that the viewer
 // receives, even with earlier frames still in flight.
 func TestSeekNamesItsFirstFrame(t *testing.T) {
-	b := newHarness(t, 1, func(_ *settings.Config, site *box.Site) { site.FPS = 1000 })
+	b := newHarness(t, 1, func(_ *settings.Config, site *box.Config) { site.FPS = 1000 })
 	c := b.dial()
 	url := "rtsp://" + b.addr + "/clips/vents"
 	r, err := c.RoundTrip(b.setup("1", ""), 5*time.Second, nil)
@@ -206,10 +206,10 @@
 		status int
 	}{
 		"both well":               {func(*harness) {}, 200},
-		"one lies":                {func(b *harness) { b.boxes[0].Lie(true) }, 200},
+		"one lies":                {func(b *harness) { b.boxes[0].InvalidDescriptions(true) }, 200},
 		"one hangs":               {func(b *harness) { b.boxes[1].HoldAnswers() }, 200},
 		"one is down":             {func(b *harness) { b.boxes[0].Kill() }, 200},
-		"one lies, another hangs": {func(b *harness) { b.boxes[0].Lie(true); b.boxes[1].HoldAnswers() }, 504},
+		"one lies, another hangs": {func(b *harness) { b.boxes[0].InvalidDescriptions(true); b.boxes[1].HoldAnswers() }, 504},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t, 2, nil)
@@ -230,7 +230,7 @@
 				t.Errorf("%v descriptions fetched for four viewers, want 1", n)
 			}
 			for _, x := range b.boxes {
-				x.Unhang()
+				x.Resume()
 			}
 			b.checkRules()
 		})
@@ -252,17 +252,17 @@
 	}
 	rr := []byte{0x80, 201, 0, 1, 0, 0, 0, 9}
 	c.Write(rtsp.AppendFrame(nil, 1, rr))
-	b.eventually("the report has reached the box", func() bool { return b.boxes[0].Count().Reports == 1 })
+	b.eventually("the report has reached the box", func() bool { return b.boxes[0].Counts().ReceivedFrames == 1 })
 	var flood []byte
 	for range 20000 {
 		flood = rtsp.AppendFrame(flood, 1, rr)
 	}
 	go c.Write(flood)
-	if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil || seen.AnswerIn > 1 {
+	if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil || seen.AnswerSeconds > 1 {
 		t.Errorf("%+v %v", seen, err)
 	}
 	b.eventually("the flood is counted", func() bool { return metric(b, "rainhaven_stray_total", "") > 15000 })
-	if n := b.boxes[0].Count().Reports; n > 200 {
+	if n := b.boxes[0].Counts().ReceivedFrames; n > 200 {
 		t.Errorf("%d frames reached the box", n)
 	}
 	c.Close()
@@ -270,12 +270,12 @@
 }
 
 func TestOnlyUsersEnter(t *testing.T) {
-	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) {
+	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Config) {
 		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
 		w := b.request("clips")
-		w.User, w.Algorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
+		w.User, w.DigestAlgorithm, w.Tracks = &auth.User{Name: "lena", Password: "pw"}, alg, 2
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%s: %+v %v", alg, seen, err)
 		}
@@ -296,7 +296,7 @@
 			t.Fatalf("attempt %d: status %d", n, r.Status)
 		}
 	}
-	if n := b.boxes[0].Count().Setups; n != 2 {
+	if n := b.boxes[0].Counts().Setups; n != 2 {
 		t.Errorf("%d SETUPs at the box", n)
 	}
 	b.checkRules()
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -15,15 +15,15 @@
 // Reloads settings under load: every request is answered, playing sessions continue without a gap under the new limits,
 // SETUPs pending at boxes are answered, and a change that needs a restart is rejected as a whole.
 func TestReloadUnderLoad(t *testing.T) {
-	b := newHarness(t, 3, func(terms *settings.Config, _ *box.Site) { terms.Choice.Probes = true })
-	ends := make(chan player.Seen, 40)
+	b := newHarness(t, 3, func(terms *settings.Config, _ *box.Config) { terms.Choice.Probes = true })
+	ends := make(chan player.Result, 40)
 	playing := make(chan struct{}, 40)
 	for i := range 20 {
 		go func() {
 			w := b.request([]string{"clips", "exam"}[i%2])
-			w.Watch = 2.5
+			w.WatchSeconds = 2.5
 			started := false
-			w.Live = func(player.Seen) {
+			w.OnProgress = func(player.Result) {
 				if !started {
 					started = true
 					playing <- struct{}{}
@@ -67,7 +67,7 @@
 		t.Errorf("change of the listen address: %+v %v", plan, err)
 	}
 	for _, x := range b.boxes {
-		x.Unhang()
+		x.Resume()
 	}
 	for range 6 {
 		if s := <-lateStatuses; s != 200 {
@@ -77,7 +77,7 @@
 	rungs := 0
 	for range 20 {
 		s := <-ends
-		if rungs += s.Rungs; s.Lost+s.Doubled+s.Jumps > 0 || !s.Ended {
+		if rungs += s.RungChanges; s.LostPackets+s.RepeatedPackets+s.TimestampJumps > 0 || !s.Ended {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -102,12 +102,12 @@
 	b.witness.Told("front-0", 2, false, b.now())
 	for range 6 {
 		w := b.request("clips")
-		w.Title, w.Watch = "fans", 0.1
+		w.Title, w.WatchSeconds = "fans", 0.1
 		if seen, err := player.Watch(context.Background(), w); err != nil || seen.Status != 200 {
 			t.Errorf("%+v %v", seen, err)
 		}
 	}
-	if n := b.boxes[1].Count().Setups; n != 0 {
+	if n := b.boxes[1].Counts().Setups; n != 0 {
 		t.Errorf("%d SETUPs at a removed box", n)
 	}
 	b.checkRules()
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -90,8 +90,8 @@
 	roots.AppendCertsFromPEM(cert1)
 	playing, done := make(chan struct{}), make(chan error, 1)
 	w := b.request("clips")
-	w.Address, w.TLS, w.Watch = addr, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}, 1.6
-	w.Live = closeOnce(playing)
+	w.Address, w.TLS, w.WatchSeconds = addr, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"}, 1.6
+	w.OnProgress = closeOnce(playing)
 	go func() {
 		_, err := player.Watch(context.Background(), w)
 		done <- err
@@ -150,13 +150,13 @@
 		current.Store(&c)
 	}
 	setCertificate(cert1, key1)
-	b := newHarness(t, 1, func(terms *settings.Config, site *box.Site) {
+	b := newHarness(t, 1, func(terms *settings.Config, site *box.Config) {
 		terms.BoxTLS, terms.Choice.Probes = settings.TLSTrust{RootsFile: file}, true
 		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return current.Load(), nil }}
 	})
 	playing, done := make(chan struct{}), make(chan error, 1)
 	w := b.request("clips")
-	w.Watch, w.Live = 1.6, closeOnce(playing)
+	w.WatchSeconds, w.OnProgress = 1.6, closeOnce(playing)
 	go func() {
 		seen, err := player.Watch(context.Background(), w)
 		if err == nil && seen.Frames < 20 {
@@ -176,8 +176,8 @@
 			t.Errorf("%s: accepted, or no problem reported: %q", name, problem)
 		}
 	}
-	if seen, _ := player.Watch(context.Background(), b.request("exam")); seen.Status != 503 || b.boxes[0].Count().Setups != 1 {
-		t.Errorf("untrusted box: %+v, %d SETUPs", seen, b.boxes[0].Count().Setups)
+	if seen, _ := player.Watch(context.Background(), b.request("exam")); seen.Status != 503 || b.boxes[0].Counts().Setups != 1 {
+		t.Errorf("untrusted box: %+v, %d SETUPs", seen, b.boxes[0].Counts().Setups)
 	}
 	write(append(slices.Clone(cert1), cert2...))
 	if reloaded, problem := b.roots.Reload(time.Now()); !reloaded {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure compares viewers that go through a front with the same ones straight at the boxes, in one run and in
-// turns: what a front adds to a set-up, what its relay carries, what a session takes of its memory. The front is a
-// process of its own; boxes and viewers share the measuring one.
+// Package measure compares viewers that connect through a front with viewers that connect to the boxes directly, alternating
+// between the two in one run: the latency that a front adds to a SETUP, the throughput of its relay, and the memory that
+// it needs per session. The front runs in its own process; boxes and viewers run in the measuring process.
 package measure
 
 import (
@@ -29,41 +29,49 @@
 	"rainhaven/internal/rtsp"
 )
 
-// Build is a rainhaven program that runs as front, and whether viewers come to it over TLS.
+// Build is a rainhaven program to run as front, and the conditions to measure it under.
 type Build struct {
 	Name, Program string
-	TLS           bool
-	Reloads       bool // it is told new settings, over and over, while set-ups are timed
+	TLS           bool // viewers connect over TLS
+	Reloads       bool // its settings are reloaded continually while SETUPs are timed
 }
 
-// Options say what is measured.
+// Options controls what is measured.
 type Options struct {
-	Builds   []Build // measured in turns
-	Sessions []int   // playing sessions to measure under
-	Setups   int     // samples of set-ups, each way
-	Reps     int     // repetitions of a transfer, each way in turns
-	Seconds  float64
+	Builds          []Build // measured alternately
+	Sessions        []int   // numbers of playing sessions to measure under
+	Setups          int     // SETUPs to time, direct and through the front each
+	Reps            int     // repetitions of the transfer, direct and through the front alternately
+	TransferSeconds float64 // length of a transfer
 }
 
-// Row is what was measured under so many playing sessions.
+// Row holds the results for one build and one number of playing sessions. The JSON names are part of the output of
+// `rainhaven measure --json`.
 type Row struct {
-	Build                         string
-	Sessions                      int
-	DirectP50, DirectP99          float64 // ms from SETUP to its answer, straight at a box
-	FrontP50, FrontP99, FrontP999 float64 // the same through the front
-	HeapPerSession, RSSPerSession float64 // bytes of the front's
-	Allocations                   float64 // for each set-up from connection to TEARDOWN, media under way included
-	SettleMean                    float64 // microseconds to settle a batch of events, the module's decisions included
-	DirectMB, FrontMB, Ratio      float64 // transfer at full speed, MB a second, medians over repetitions
-	RatioLow, RatioHigh           float64
-	Renewals                      float64 // new settings taken meanwhile
-	Frames                        float64 // a second, of the playing sessions together
+	Build               string  `json:"Build"`
+	Sessions            int     `json:"Sessions"`
+	DirectP50           float64 `json:"DirectP50"` // ms from SETUP to its reply, directly at a box
+	DirectP99           float64 `json:"DirectP99"`
+	FrontP50            float64 `json:"FrontP50"` // ms from SETUP to its reply, through the front
+	FrontP99            float64 `json:"FrontP99"`
+	FrontP999           float64 `json:"FrontP999"`
+	HeapBytesPerSession float64 `json:"HeapPerSession"` // growth of the front's heap and stacks
+	RSSBytesPerSession  float64 `json:"RSSPerSession"`
+	AllocsPerSetup      float64 `json:"Allocations"` // heap allocations from connection to TEARDOWN, including relayed media
+	MeanSettleMicros    float64 `json:"SettleMean"`  // mean time to process a batch of events, including the module's decisions
+	DirectMBps          float64 `json:"DirectMB"`    // transfer at full speed, MB/s; this and the next two are medians over repetitions
+	FrontMBps           float64 `json:"FrontMB"`
+	ThroughputRatio     float64 `json:"Ratio"` // front to direct
+	MinThroughputRatio  float64 `json:"RatioLow"`
+	MaxThroughputRatio  float64 `json:"RatioHigh"`
+	SettingsReloads     float64 `json:"Renewals"` // reloads of settings during the measurement
+	FramesPerSecond     float64 `json:"Frames"`   // received by all playing sessions together
 }
 
-// groupsFor is the part of the settings that is alike for any number of boxes.
-func groupsFor(boxes int) string { return fmt.Sprintf(groups, boxes, boxes) }
+// fleetSettings returns the settings that every measured front has, for a number of boxes.
+func fleetSettings(boxes int) string { return fmt.Sprintf(fleetSettingsFormat, boxes, boxes) }
 
-const groups = `
+const fleetSettingsFormat = `
 kind(name = "large", places = 5000)
 ladder(rates = [100, 200])
 group(name = "clips", start_target = 2, setup_timeout = 5)
@@ -73,41 +81,41 @@
 limits(connections = 20000, sessions = 20000, box_connections = 5000)
 `
 
-// front is a front's process.
-type front struct {
+// frontProcess is a running front.
+type frontProcess struct {
 	cmd        *exec.Cmd
-	way        // for viewers
+	endpoint   // of its viewers
 	admin, dir string
-	script     string
+	settings   string
 }
 
-// way is how viewers come to something.
-type way struct {
+// endpoint is an address that viewers connect to.
+type endpoint struct {
 	address string
-	over    *tls.Config // nil is plain
+	tls     *tls.Config // nil means plain TCP
 }
 
-// start runs a front before boxes.
-func start(ctx context.Context, b Build, boxes []string) (*front, error) {
+// startFront starts a front for the given boxes and waits until it serves.
+func startFront(ctx context.Context, b Build, boxes []string) (*frontProcess, error) {
 	dir, err := os.MkdirTemp("", "rainhaven-measure")
 	if err != nil {
 		return nil, err
 	}
-	f := &front{dir: dir}
-	more := ""
+	f := &frontProcess{dir: dir}
+	tlsSettings := ""
 	if b.TLS {
-		if f.over, err = selfSigned(dir); err != nil {
+		if f.tls, err = selfSigned(dir); err != nil {
 			return nil, err
 		}
-		more = fmt.Sprintf(`, tls_listen = "127.0.0.1:0", cert = %q, key = %q`, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
+		tlsSettings = fmt.Sprintf(`, tls_listen = "127.0.0.1:0", cert = %q, key = %q`, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
 	}
-	script := `front(name = "measured", listen = "127.0.0.1:0", admin = "127.0.0.1:0"` + more + `)` + groupsFor(len(boxes))
-	for i, at := range boxes {
-		script += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, at)
+	settings := `front(name = "measured", listen = "127.0.0.1:0", admin = "127.0.0.1:0"` + tlsSettings + `)` + fleetSettings(len(boxes))
+	for i, address := range boxes {
+		settings += fmt.Sprintf("box(id = %d, cell = %d, address = %q)\n", i+1, i, address)
 	}
 	file := filepath.Join(dir, "front.star")
-	f.script = script
-	if err := os.WriteFile(file, []byte(script), 0o600); err != nil {
+	f.settings = settings
+	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		return nil, err
 	}
 	f.cmd = exec.CommandContext(ctx, b.Program, "front", "--config", file, "--drain", "1s")
@@ -133,13 +141,13 @@
 		}
 	}
 	f.stop()
-	return nil, fmt.Errorf("the front said nothing of serving")
+	return nil, fmt.Errorf("the front's log ended without the message \"serving\"")
 }
 
-// reload has the front take settings that need a new module, a little over a second apart, until the context is done.
-func (f *front) reload(ctx context.Context) {
-	for n := 1; pause(ctx, 1100*time.Millisecond) == nil; n++ {
-		s := strings.Replace(f.script, "setups(window = 0)", fmt.Sprintf("setups(window = 0, advice = %d)", 1+n%2), 1)
+// reload makes the front reload settings that need a new module, every 1.1 s until the context is done.
+func (f *frontProcess) reload(ctx context.Context) {
+	for n := 1; sleep(ctx, 1100*time.Millisecond) == nil; n++ {
+		s := strings.Replace(f.settings, "setups(window = 0)", fmt.Sprintf("setups(window = 0, advice = %d)", 1+n%2), 1)
 		if os.WriteFile(filepath.Join(f.dir, "front.star"), []byte(s), 0o600) != nil {
 			return
 		}
@@ -147,14 +155,15 @@
 	}
 }
 
-func (f *front) stop() {
+// stop terminates the front and removes its folder.
+func (f *frontProcess) stop() {
 	f.cmd.Process.Signal(syscall.SIGTERM)
 	f.cmd.Wait()
 	os.RemoveAll(f.dir)
 }
 
-// metric reads one figure of the front's.
-func (f *front) metric(name string) (float64, error) {
+// metric reads the value of a metric from the front.
+func (f *frontProcess) metric(name string) (float64, error) {
 	r, err := http.Get("http://" + f.admin + "/metrics")
 	if err != nil {
 		return 0, err
@@ -166,24 +175,25 @@
 			return strconv.ParseFloat(v, 64)
 		}
 	}
-	return 0, fmt.Errorf("the front tells no %s", name)
+	return 0, fmt.Errorf("the front exports no metric %s", name)
 }
 
-// viewer is one that measures.
+// viewer is an RTSP client.
 type viewer struct {
-	c       *rtsp.Conn
+	conn    *rtsp.Conn
 	url     string
 	session string
 	cseq    int
 }
 
-func (w way) connect() (*viewer, error) {
-	n, err := net.DialTimeout("tcp", w.address, 2*time.Second)
+// connect opens a connection, including the TLS handshake.
+func (e endpoint) connect() (*viewer, error) {
+	n, err := net.DialTimeout("tcp", e.address, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	if w.over != nil {
-		t := tls.Client(n, w.over)
+	if e.tls != nil {
+		t := tls.Client(n, e.tls)
 		t.SetDeadline(time.Now().Add(10 * time.Second))
 		if err := t.Handshake(); err != nil {
 			n.Close()
@@ -192,19 +202,20 @@
 		t.SetDeadline(time.Time{})
 		n = t
 	}
-	return &viewer{c: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + w.address + "/clips/vents"}, nil
+	return &viewer{conn: rtsp.NewConn(n, rtsp.Limits{}), url: "rtsp://" + e.address + "/clips/vents"}, nil
 }
 
-func (v *viewer) ask(method string, with ...string) error {
+// request sends a request with pairs of header names and values and waits for a reply of 200.
+func (v *viewer) request(method string, headers ...string) error {
 	v.cseq++
 	m := rtsp.NewRequest(method, v.url).WithHeader("CSeq", strconv.Itoa(v.cseq))
 	if v.session != "" {
 		m.WithHeader("Session", v.session)
 	}
-	for i := 0; i < len(with); i += 2 {
-		m.WithHeader(with[i], with[i+1])
+	for i := 0; i < len(headers); i += 2 {
+		m.WithHeader(headers[i], headers[i+1])
 	}
-	r, err := v.c.RoundTrip(m, 10*time.Second, nil)
+	r, err := v.conn.RoundTrip(m, 10*time.Second, nil)
 	if err != nil {
 		return err
 	}
@@ -218,33 +229,33 @@
 }
 
 func (v *viewer) setup() error {
-	return v.ask(rtsp.Setup, "Transport", "RTP/AVP/TCP;unicast;interleaved=0-1", "Rung", "1")
+	return v.request(rtsp.Setup, "Transport", "RTP/AVP/TCP;unicast;interleaved=0-1", "Rung", "1")
 }
 
-// latency is the time of one set-up on a fresh connection.
-func (w way) latency() (time.Duration, error) {
-	v, err := w.connect()
+// setupLatency returns the time of one SETUP on a new connection.
+func (e endpoint) setupLatency() (time.Duration, error) {
+	v, err := e.connect()
 	if err != nil {
 		return 0, err
 	}
-	defer v.c.Close()
-	from := time.Now()
+	defer v.conn.Close()
+	sentAt := time.Now()
 	if err := v.setup(); err != nil {
 		return 0, err
 	}
-	d := time.Since(from)
-	return d, v.ask(rtsp.TearDown)
+	d := time.Since(sentAt)
+	return d, v.request(rtsp.TearDown)
 }
 
-// Run measures.
-func Run(ctx context.Context, o Options, tell func(Row)) ([]Row, error) {
-	begin := time.Now()
-	site := &box.Site{Ladder: []float64{100, 200}, Places: 5000, Length: func(string) float64 { return 0 }, ReportEvery: 0.5, NoteEvery: 3,
-		FPS: 25, Thin: 1, Now: func() float64 { return time.Since(begin).Seconds() }}
+// Run measures all builds under all numbers of sessions. report, which may be nil, gets each row as it is completed.
+func Run(ctx context.Context, o Options, report func(Row)) ([]Row, error) {
+	startedAt := time.Now()
+	config := &box.Config{Ladder: []float64{100, 200}, MaxSessions: 5000, TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.5, NoteInterval: 3,
+		FPS: 25, PayloadScale: 1, Now: func() float64 { return time.Since(startedAt).Seconds() }}
 	rack := box.NewRack(1e9)
 	var addresses []string
 	for i := range 4 {
-		b, err := box.Start(site, i+1, "", 1e9, rack, false)
+		b, err := box.Start(config, i+1, "", 1e9, rack, false)
 		if err != nil {
 			return nil, err
 		}
@@ -254,23 +265,23 @@
 	var rows []Row
 	for _, n := range o.Sessions {
 		for _, b := range o.Builds {
-			row, err := under(ctx, o, b, n, addresses)
+			row, err := measureRow(ctx, o, b, n, addresses)
 			if err != nil {
 				return rows, fmt.Errorf("%s under %d sessions: %w", b.Name, n, err)
 			}
 			rows = append(rows, row)
-			if tell != nil {
-				tell(row)
+			if report != nil {
+				report(row)
 			}
 		}
 	}
 	return rows, nil
 }
 
-// under measures with n sessions playing.
-func under(ctx context.Context, o Options, b Build, n int, boxes []string) (Row, error) {
+// measureRow measures one build with n sessions playing.
+func measureRow(ctx context.Context, o Options, b Build, n int, boxes []string) (Row, error) {
 	row := Row{Build: b.Name, Sessions: n}
-	f, err := start(ctx, b, boxes)
+	f, err := startFront(ctx, b, boxes)
 	if err != nil {
 		return row, err
 	}
@@ -286,7 +297,7 @@
 	var playing []*viewer
 	defer func() {
 		for _, v := range playing {
-			v.c.Close()
+			v.conn.Close()
 		}
 		readers.Wait()
 	}()
@@ -299,12 +310,12 @@
 		if err := v.setup(); err != nil {
 			return row, err
 		}
-		if err := v.ask(rtsp.Play); err != nil {
+		if err := v.request(rtsp.Play); err != nil {
 			return row, err
 		}
 		readers.Go(func() {
 			for {
-				m, _, err := v.c.Next()
+				m, _, err := v.conn.Next()
 				if err != nil {
 					return
 				}
@@ -314,114 +325,114 @@
 			}
 		})
 	}
-	if err := pause(ctx, time.Second); err != nil {
+	if err := sleep(ctx, time.Second); err != nil {
 		return row, err
 	}
 	count0, _ := f.metric("rainhaven_settle_seconds_count")
 	sum0, _ := f.metric("rainhaven_settle_seconds_sum")
 	mallocs0, _ := f.metric("go_memstats_mallocs_total")
 	if b.Reloads {
-		again, stop := context.WithCancel(ctx)
-		readers.Go(func() { f.reload(again) })
-		defer stop()
+		reloadCtx, stopReloads := context.WithCancel(ctx)
+		readers.Go(func() { f.reload(reloadCtx) })
+		defer stopReloads()
 	}
-	direct, through := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
-	from, was := time.Now(), frames.Load()
+	directLatencies, frontLatencies := hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
+	startedAt, framesBefore := time.Now(), frames.Load()
 	for i := range o.Setups {
-		for _, w := range []struct {
-			way
-			h *hdrhistogram.Histogram
-		}{{way{boxes[i%len(boxes)], nil}, direct}, {f.way, through}} {
-			d, err := w.latency()
+		for _, path := range []struct {
+			endpoint
+			latencies *hdrhistogram.Histogram
+		}{{endpoint{boxes[i%len(boxes)], nil}, directLatencies}, {f.endpoint, frontLatencies}} {
+			d, err := path.setupLatency()
 			if err != nil {
 				return row, err
 			}
-			w.h.RecordValue(d.Microseconds())
+			path.latencies.RecordValue(d.Microseconds())
 		}
 		if ctx.Err() != nil {
 			return row, ctx.Err()
 		}
 	}
-	row.Frames = float64(frames.Load()-was) / time.Since(from).Seconds()
+	row.FramesPerSecond = float64(frames.Load()-framesBefore) / time.Since(startedAt).Seconds()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	row.DirectP50, row.DirectP99 = ms(direct, 50), ms(direct, 99)
-	row.FrontP50, row.FrontP99, row.FrontP999 = ms(through, 50), ms(through, 99), ms(through, 99.9)
+	row.DirectP50, row.DirectP99 = ms(directLatencies, 50), ms(directLatencies, 99)
+	row.FrontP50, row.FrontP99, row.FrontP999 = ms(frontLatencies, 50), ms(frontLatencies, 99), ms(frontLatencies, 99.9)
 	count, _ := f.metric("rainhaven_settle_seconds_count")
 	sum, _ := f.metric("rainhaven_settle_seconds_sum")
 	if count > count0 {
-		row.SettleMean = (sum - sum0) / (count - count0) * 1e6
+		row.MeanSettleMicros = (sum - sum0) / (count - count0) * 1e6
 	}
 	mallocs, _ := f.metric("go_memstats_mallocs_total")
-	row.Allocations = (mallocs - mallocs0) / float64(o.Setups)
-	row.Renewals, _ = f.metric("rainhaven_renewals_total")
+	row.AllocsPerSetup = (mallocs - mallocs0) / float64(o.Setups)
+	row.SettingsReloads, _ = f.metric("rainhaven_renewals_total")
 	heap, _ := f.metric("go_memstats_heap_inuse_bytes")
 	stack, _ := f.metric("go_memstats_stack_inuse_bytes")
 	rss, _ := f.metric("process_resident_memory_bytes")
-	row.HeapPerSession = (heap + stack - heap0 - stack0) / float64(n)
-	row.RSSPerSession = (rss - rss0) / float64(n)
-	return row, o.transfers(ctx, &row, b, min(n, 100))
+	row.HeapBytesPerSession = (heap + stack - heap0 - stack0) / float64(n)
+	row.RSSBytesPerSession = (rss - rss0) / float64(n)
+	return row, o.measureTransfers(ctx, &row, b, min(n, 100))
 }
 
-// transfers compares what comes through at full speed, on so many connections at once.
-func (o Options) transfers(ctx context.Context, row *Row, build Build, conns int) error {
-	src, err := listenFlat()
+// measureTransfers compares the throughput at full speed, on several connections at once, and fills it into the row.
+func (o Options) measureTransfers(ctx context.Context, row *Row, build Build, connections int) error {
+	src, err := listenFullSpeed()
 	if err != nil {
 		return err
 	}
 	defer src.close()
-	// Each through a front of its own: at full speed sessions that a busy machine holds up pass for a short link, which a
-	// front remembers for half a minute and rightly turns new ones away.
-	through := func() (float64, error) {
-		f, err := start(ctx, build, []string{src.address})
+	// Each transfer uses a new front: at full speed, a front takes sessions that are slowed down by a busy machine for an
+	// overloaded link, remembers that for half a minute and rejects new sessions, as it should.
+	transferViaFront := func() (float64, error) {
+		f, err := startFront(ctx, build, []string{src.address})
 		if err != nil {
 			return 0, err
 		}
 		defer f.stop()
-		return transfer(ctx, f.way, conns, o.Seconds)
+		return transfer(ctx, f.endpoint, connections, o.TransferSeconds)
 	}
-	var d, t, ratios []float64
+	var directRates, frontRates, ratios []float64
 	for range o.Reps {
-		a, err := transfer(ctx, way{src.address, nil}, conns, o.Seconds)
+		directRate, err := transfer(ctx, endpoint{src.address, nil}, connections, o.TransferSeconds)
 		if err != nil {
-			return fmt.Errorf("straight: %w", err)
+			return fmt.Errorf("direct: %w", err)
 		}
-		b, err := through()
+		frontRate, err := transferViaFront()
 		if err != nil {
 			return fmt.Errorf("through the front: %w", err)
 		}
-		d, t, ratios = append(d, a), append(t, b), append(ratios, b/a)
+		directRates, frontRates, ratios = append(directRates, directRate), append(frontRates, frontRate), append(ratios, frontRate/directRate)
 	}
 	if len(ratios) == 0 {
 		return nil
 	}
-	slices.Sort(d)
-	slices.Sort(t)
+	slices.Sort(directRates)
+	slices.Sort(frontRates)
 	slices.Sort(ratios)
-	row.DirectMB, row.FrontMB, row.Ratio = d[len(d)/2], t[len(t)/2], ratios[len(ratios)/2]
-	row.RatioLow, row.RatioHigh = ratios[0], ratios[len(ratios)-1]
+	row.DirectMBps, row.FrontMBps, row.ThroughputRatio = directRates[len(directRates)/2], frontRates[len(frontRates)/2], ratios[len(ratios)/2]
+	row.MinThroughputRatio, row.MaxThroughputRatio = ratios[0], ratios[len(ratios)-1]
 	return nil
 }
 
-// transfer is MB a second that come to so many viewers at once.
-func transfer(ctx context.Context, w way, conns int, seconds float64) (float64, error) {
-	var list []*viewer
+// transfer returns the total rate in MB/s at which concurrent viewers receive media.
+func transfer(ctx context.Context, target endpoint, connections int, seconds float64) (float64, error) {
+	var viewers []*viewer
 	defer func() {
-		for _, v := range list {
-			v.c.Close()
+		for _, v := range viewers {
+			v.conn.Close()
 		}
 	}()
-	for range conns {
-		v, err := w.connect()
+	for range connections {
+		v, err := target.connect()
 		if err != nil {
 			return 0, err
 		}
-		list = append(list, v)
-		// At full speed a box may have been set aside for an answer that came too late; probes bring it back.
+		viewers = append(viewers, v)
+		// At full speed a box may have been ejected for a late reply; probes reinstate it.
 		for n := 0; ; n++ {
 			if err = v.setup(); err == nil || n == 20 {
 				break
 			}
-			if err := pause(ctx, 250*time.Millisecond); err != nil {
+			if err := sleep(ctx, 250*time.Millisecond); err != nil {
 				return 0, err
 			}
 		}
@@ -429,38 +440,39 @@
 			return 0, err
 		}
 	}
-	var bytes atomic.Int64
-	var all sync.WaitGroup
-	for _, v := range list {
-		all.Go(func() {
-			if v.ask(rtsp.Play) != nil {
+	var received atomic.Int64
+	var readers sync.WaitGroup
+	for _, v := range viewers {
+		readers.Go(func() {
+			if v.request(rtsp.Play) != nil {
 				return
 			}
 			for {
-				m, f, err := v.c.Next()
+				m, f, err := v.conn.Next()
 				if err != nil {
 					return
 				}
 				if m == nil {
-					bytes.Add(int64(len(f.Raw)))
+					received.Add(int64(len(f.Raw)))
 				}
 			}
 		})
 	}
-	defer all.Wait()
-	if err := pause(ctx, 300*time.Millisecond); err != nil {
+	defer readers.Wait()
+	if err := sleep(ctx, 300*time.Millisecond); err != nil {
 		return 0, err
 	}
-	was, from := bytes.Load(), time.Now()
-	err := pause(ctx, time.Duration(seconds*1e9))
-	rate := float64(bytes.Load()-was) / time.Since(from).Seconds() / 1e6
-	for _, v := range list {
-		v.c.Close()
+	bytesBefore, startedAt := received.Load(), time.Now()
+	err := sleep(ctx, time.Duration(seconds*1e9))
+	rate := float64(received.Load()-bytesBefore) / time.Since(startedAt).Seconds() / 1e6
+	for _, v := range viewers {
+		v.conn.Close()
 	}
 	return rate, err
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until the context is done.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -471,13 +483,13 @@
 	}
 }
 
-// Write prints rows as a table.
-func Write(w io.Writer, rows []Row) {
+// WriteTable prints rows as a table.
+func WriteTable(w io.Writer, rows []Row) {
 	fmt.Fprintf(w, "%-10s %7s %10s %10s %9s %9s %11s %9s %7s %9s %9s %8s %8s %17s\n", "build", "playing", "direct p50", "direct p99", "front p50",
 		"front p99", "front p99.9", "allocs", "settle", "heap/sess", "rss/sess", "direct", "front", "front/direct")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%-10s %7d %8.2fms %8.2fms %7.2fms %7.2fms %9.2fms %9.0f %5.1fus %7.1fkB %7.1fkB %4.0fMB/s %4.0fMB/s %5.2f (%.2f-%.2f)\n", r.Build,
-			r.Sessions, r.DirectP50, r.DirectP99, r.FrontP50, r.FrontP99, r.FrontP999, r.Allocations, r.SettleMean, r.HeapPerSession/1024,
-			r.RSSPerSession/1024, r.DirectMB, r.FrontMB, r.Ratio, r.RatioLow, r.RatioHigh)
+			r.Sessions, r.DirectP50, r.DirectP99, r.FrontP50, r.FrontP99, r.FrontP999, r.AllocsPerSetup, r.MeanSettleMicros, r.HeapBytesPerSession/1024,
+			r.RSSBytesPerSession/1024, r.DirectMBps, r.FrontMBps, r.ThroughputRatio, r.MinThroughputRatio, r.MaxThroughputRatio)
 	}
 }
