--- a/cmd/rainhaven/soak.go
+++ b/cmd/rainhaven/soak.go
@@ -15,7 +15,7 @@
 )
 
 func soakCommand() *cobra.Command {
-	o := soak.Usual()
+	o := soak.DefaultOptions()
 	var sabotage, folder string
 	var quiet, dense bool
 	var names []string
@@ -37,7 +37,7 @@
 			if o.Sabotage, err = node.ParseSabotage(sabotage); err != nil {
 				return err
 			}
-			if o.Nodes < 1 || o.Servers < 2 || o.Long < 8*time.Second || o.Rate <= 0 {
+			if o.Nodes < 1 || o.Servers < 2 || o.Duration < 8*time.Second || o.Rate <= 0 {
 				return fmt.Errorf("at least one node, two servers, 8s and a rate above 0 would be right")
 			}
 			if o.Program, err = os.Executable(); err != nil {
@@ -52,7 +52,7 @@
 				return failure{exitFailed, err}
 			}
 			if !quiet {
-				o.Tell = func(at time.Duration, what string) { fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), what) }
+				o.OnFault = func(at time.Duration, what string) { fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), what) }
 			}
 			r, err := soak.Run(c.Context(), o)
 			if err != nil {
@@ -68,21 +68,21 @@
 	c.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "front nodes")
 	c.Flags().IntVar(&o.Servers, "servers", o.Servers, "streaming servers")
 	c.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "faults and traffic follow from it")
-	c.Flags().DurationVar(&o.Long, "for", o.Long, "how long")
+	c.Flags().DurationVar(&o.Duration, "for", o.Duration, "how long")
 	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "requests a second at each node, in the mean")
-	c.Flags().BoolVar(&o.Clocks, "clocks", o.Clocks, "start processes by wall clocks that are off by seconds or an hour")
+	c.Flags().BoolVar(&o.SkewClocks, "clocks", o.SkewClocks, "start processes by wall clocks that are off by seconds or an hour")
 	c.Flags().BoolVar(&o.NetworkFaults, "network-faults", o.NetworkFaults, "have system calls of the nodes' network fail")
 	c.Flags().StringVar(&sabotage, "sabotage", "", "have the nodes break a rule: "+strings.Join(names, ", "))
 	c.Flags().StringVar(&folder, "keep", "", "a folder in which the nodes' configurations and logs are kept")
-	c.Flags().StringVar(&o.Log, "log", o.Log, "least level that the nodes log: debug, info, warn, error")
+	c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "least level that the nodes log: debug, info, warn, error")
 	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "the report only")
 	return c
 }
 
 // denseOptions are those of a dense soak, with what was asked for by flags.
 func denseOptions(c *cobra.Command, asked soak.Options) soak.Options {
-	o := soak.Dense()
-	o.Seed, o.Log, o.Clocks, o.NetworkFaults = asked.Seed, asked.Log, asked.Clocks, asked.NetworkFaults
+	o := soak.DenseOptions()
+	o.Seed, o.LogLevel, o.SkewClocks, o.NetworkFaults = asked.Seed, asked.LogLevel, asked.SkewClocks, asked.NetworkFaults
 	if c.Flags().Changed("nodes") {
 		o.Nodes = asked.Nodes
 	}
@@ -90,7 +90,7 @@
 		o.Servers = asked.Servers
 	}
 	if c.Flags().Changed("for") {
-		o.Long = asked.Long
+		o.Duration = asked.Duration
 	}
 	if c.Flags().Changed("rate") {
 		o.Rate = asked.Rate
--- a/internal/lab/soak/dense.go
+++ b/internal/lab/soak/dense.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Dense are the options of a short soak of a handful of processes under many faults at once.
-func Dense() Options {
-	return Options{Dense: true, Nodes: 4, Servers: 8, Seed: 1, Long: 30 * time.Second, Rate: 25, Clocks: true, NetworkFaults: true, Log: "info"}
+// DenseOptions are the options of a short soak of a handful of processes under many faults at once.
+func DenseOptions() Options {
+	return Options{Dense: true, Nodes: 4, Servers: 8, Seed: 1, Duration: 30 * time.Second, Rate: 25, SkewClocks: true, NetworkFaults: true, LogLevel: "info"}
 }
 
 const (
@@ -239,7 +239,7 @@
 
 // playStories plays stories one into another, in an order that the seed gives; each is told by its name.
 func (s *soak) playStories(ctx context.Context) {
-	for _, p := range storyOrder(s.o.Seed, s.o.Long) {
+	for _, p := range storyOrder(s.o.Seed, s.o.Duration) {
 		if !pause(ctx, p.at-s.log.now()) {
 			return
 		}
@@ -253,10 +253,10 @@
 	if s.o.Seed%crowdedRuns != 0 {
 		return
 	}
-	if !pause(ctx, s.o.Long/3) {
+	if !pause(ctx, s.o.Duration/3) {
 		return
 	}
-	long := time.Duration(crowdShare * float64(s.o.Long))
+	long := time.Duration(crowdShare * float64(s.o.Duration))
 	s.tellFault(fmt.Sprintf("a crowd everywhere for %v", long))
 	for k := range s.nodes {
 		s.crowd(k, long)
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -56,17 +56,17 @@
 	Invariant Invariant
 	Request   string // the request at fault, where there is one
 	At        time.Duration
-	What      string
+	Detail    string
 }
 
 // Report is a soak's outcome.
 type Report struct {
 	Requests, Answers, Served, Refused, Failed, Attempts int
-	Cancelled, Excused                                   int // requests that were cancelled; at nodes that were killed
-	Cut, Resent                                          int // requests cut by a close that they crossed; sent once more for that
+	Cancelled, AtKilledNodes                             int // requests that were cancelled; at nodes that were killed
+	CrossedClose, Resent                                 int // requests cut by a close that they crossed; sent once more for that
 	Starts, Faults                                       int
-	Descriptors                                          int     // most of one process
-	Megabytes                                            float64 // the same
+	MaxDescriptors                                       int     // most of one process
+	MaxMemoryMB                                          float64 // the same
 	Violations                                           []Violation
 	list                                                 []record
 }
@@ -81,7 +81,7 @@
 			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "violated: %s, at %.3f s: %s %s\n", v.Invariant, v.At.Seconds(), v.Request, v.What)
+		fmt.Fprintf(w, "violated: %s, at %.3f s: %s %s\n", v.Invariant, v.At.Seconds(), v.Request, v.Detail)
 		if v.Request != "" {
 			trace(w, r.list, v.Request)
 		}
@@ -91,7 +91,7 @@
 		broken[v.Invariant]++
 	}
 	fmt.Fprintf(w, "requests %d answers %d (served %d refused %d failed %d) attempts %d cancelled %d crossed a close %d sent once more %d at killed nodes %d; starts %d faults %d; at most %d descriptors and %.0f MB a process\n",
-		r.Requests, r.Answers, r.Served, r.Refused, r.Failed, r.Attempts, r.Cancelled, r.Cut, r.Resent, r.Excused, r.Starts, r.Faults, r.Descriptors, r.Megabytes)
+		r.Requests, r.Answers, r.Served, r.Refused, r.Failed, r.Attempts, r.Cancelled, r.CrossedClose, r.Resent, r.AtKilledNodes, r.Starts, r.Faults, r.MaxDescriptors, r.MaxMemoryMB)
 	var line []string
 	for _, i := range Invariants {
 		line = append(line, fmt.Sprintf("%s %d", i, broken[i]))
@@ -282,9 +282,9 @@
 	case h.cancelled > 0:
 		j.report.Cancelled++
 	case j.killedWithin(h.sent.node, h.sent.at-busyMachine, limit):
-		j.report.Excused++
+		j.report.AtKilledNodes++
 	case h.cut > 0 && !h.cutRead && h.cut-h.sent.at <= slack+busyMachine+j.stood(h.sent.node, h.sent.at, h.cut) && len(h.attempts) == 0:
-		j.report.Cut++ // it crossed a close
+		j.report.CrossedClose++ // it crossed a close
 	case h.cut > 0:
 		j.broken(Answered, id, h.cut, "was read and its connection closed without an answer")
 	default:
--- a/internal/lab/soak/judgeend.go
+++ b/internal/lab/soak/judgeend.go
@@ -49,7 +49,7 @@
 		}
 		limit := end + within + slack + busyMachine
 		limit += j.stood(h.sent.node, end, limit)
-		if limit > j.o.Long || j.nextExit(h.sent.node, h.sent.at) < limit {
+		if limit > j.o.Duration || j.nextExit(h.sent.node, h.sent.at) < limit {
 			continue
 		}
 		if len(h.released) == 0 {
@@ -79,8 +79,8 @@
 	for _, r := range j.report.list {
 		switch r.kind {
 		case nodeMeasured:
-			j.report.Descriptors = max(j.report.Descriptors, r.descriptors)
-			j.report.Megabytes = max(j.report.Megabytes, r.megabytes)
+			j.report.MaxDescriptors = max(j.report.MaxDescriptors, r.descriptors)
+			j.report.MaxMemoryMB = max(j.report.MaxMemoryMB, r.megabytes)
 			if !over[r.node] && (r.descriptors > sockets || r.megabytes > memoryMB) {
 				over[r.node] = true
 				j.broken(Limits, "", r.at, "node %d holds %d descriptors of %d and %.0f MB of %d", r.node, r.descriptors, sockets, r.megabytes, memoryMB)
--- a/internal/lab/soak/judgefleet.go
+++ b/internal/lab/soak/judgefleet.go
@@ -175,7 +175,7 @@
 		case nodeExited:
 			_, asked := ending[r.node]
 			wrong := !asked || r.status != 0 && !hurried[r.node]
-			if !killed[r.node] && wrong && r.at < j.o.Long+2*time.Second {
+			if !killed[r.node] && wrong && r.at < j.o.Duration+2*time.Second {
 				j.broken(Ended, "", r.at, "node %d ends with %s, SIGTERM %v", r.node, r.detail, asked)
 			}
 			neverReady(r.node, r.at)
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -63,7 +63,7 @@
 		return nil
 	}
 	n.starts++
-	args := []string{"node", "--log", n.o.Log, "--clock-offset", offset.String(), "--sabotage", string(n.o.Sabotage)}
+	args := []string{"node", "--log", n.o.LogLevel, "--clock-offset", offset.String(), "--sabotage", string(n.o.Sabotage)}
 	if n.o.NetworkFaults {
 		args = append(args, "--network-faults", strconv.FormatUint(n.o.Seed*1000+uint64(n.index*100+n.starts), 10))
 	}
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -98,7 +98,7 @@
 	if o.Dense {
 		every = denseFaultEvery
 	}
-	for at := quietStart; at < o.Long-quietEnd; at += time.Duration(r.ExpFloat64() * float64(every)) {
+	for at := quietStart; at < o.Duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(every)) {
 		k := faultKinds[r.IntN(len(faultKinds))]
 		f := fault{at: at, name: k.name, do: k.do}
 		if k.longest > 0 {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -21,18 +21,18 @@
 	Nodes         int
 	Servers       int
 	Seed          uint64
-	Long          time.Duration
+	Duration      time.Duration
 	Rate          float64 // requests a second at one node, in the mean
 	Sabotage      frontnode.Sabotage
-	Clocks        bool // nodes start by wall clocks that are off
+	SkewClocks    bool // nodes start by wall clocks that are off
 	NetworkFaults bool // the nodes' own network fails as the system may
-	Log           string
-	Tell          func(at time.Duration, what string) // hears of each fault
+	LogLevel      string
+	OnFault       func(at time.Duration, what string) // hears of each fault
 }
 
-// Usual are the options of a soak where nothing else is asked for.
-func Usual() Options {
-	return Options{Nodes: 30, Servers: 12, Seed: 1, Long: time.Minute, Rate: 8, Clocks: true, NetworkFaults: true, Log: "info"}
+// DefaultOptions are the options of a soak where nothing else is asked for.
+func DefaultOptions() Options {
+	return Options{Nodes: 30, Servers: 12, Seed: 1, Duration: time.Minute, Rate: 8, SkewClocks: true, NetworkFaults: true, LogLevel: "info"}
 }
 
 type soak struct {
@@ -82,7 +82,7 @@
 	if err := s.startNodes(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Long)
+	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, c := range s.clients {
@@ -151,7 +151,7 @@
 	if r.IntN(2) == 0 {
 		step = -step
 	}
-	if !s.o.Clocks {
+	if !s.o.SkewClocks {
 		return 0
 	}
 	return step
@@ -191,8 +191,8 @@
 // tellFault records a fault, and tells whoever follows the soak.
 func (s *soak) tellFault(what string) {
 	at := s.log.add(record{kind: faultBegan, node: -1, detail: what})
-	if s.o.Tell != nil {
-		s.o.Tell(at, what)
+	if s.o.OnFault != nil {
+		s.o.OnFault(at, what)
 	}
 }
 
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -27,8 +27,8 @@
 
 // short is a soak that takes little time.
 func short(t *testing.T, program string, seed uint64) Options {
-	o := Usual()
-	o.Program, o.Folder, o.Seed, o.Nodes, o.Long = program, t.TempDir(), seed, 12, 12*time.Second
+	o := DefaultOptions()
+	o.Program, o.Folder, o.Seed, o.Nodes, o.Duration = program, t.TempDir(), seed, 12, 12*time.Second
 	return o
 }
 
@@ -52,7 +52,7 @@
 func TestDenseSoak(t *testing.T) {
 	p := program(t)
 	for _, seed := range []uint64{1, 3} { // without a crowd, and with one
-		o := Dense()
+		o := DenseOptions()
 		o.Program, o.Folder, o.Seed = p, t.TempDir(), seed
 		r, err := Run(context.Background(), o)
 		if err != nil {
@@ -75,7 +75,7 @@
 		}
 		seen[s.name] = true
 	}
-	if a, b := storyOrder(7, Dense().Long), storyOrder(7, Dense().Long); !slices.Equal(a, b) || len(a) < 10 {
+	if a, b := storyOrder(7, DenseOptions().Duration), storyOrder(7, DenseOptions().Duration); !slices.Equal(a, b) || len(a) < 10 {
 		t.Errorf("seed 7 plays %v, then %v", a, b)
 	}
 }
@@ -221,7 +221,7 @@
 		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3, detail: detailRead}}, Answered},
 		{"drained", []record{sent, {at: 100 * ms, kind: entryTold, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
 	} {
-		r := judge(c.list, Usual())
+		r := judge(c.list, DefaultOptions())
 		found := c.want == ""
 		for _, v := range r.Violations {
 			found = found || v.Invariant == c.want
