--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -17,65 +17,65 @@
 )
 
 const (
-	// perNode is how many connections of usual clients a node has.
-	perNode = 3
-	// clientIdle is how long a client keeps a connection without sessions.
-	clientIdle = 4 * time.Second
-	// crossing is how long before a close a request may have been sent that is then sent once more.
-	crossing = 50 * time.Millisecond
-	// nodeIdle is how long a node keeps a connection without sessions; a client at rest sends between so long before and
+	// connsPerNode is how many connections of usual clients a node has.
+	connsPerNode = 3
+	// clientIdleTimeout is how long a client keeps a connection without sessions.
+	clientIdleTimeout = 4 * time.Second
+	// crossingWindow is how long before a close a request may have been sent that is then sent once more.
+	crossingWindow = 50 * time.Millisecond
+	// nodeIdleTimeout is how long a node keeps a connection without sessions; a client at rest sends between so long before and
 	// so long after that.
-	nodeIdle, restEarly, restSpan = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
-	// resetComes is within how long after a connection's end its reset comes, if one does.
-	resetComes = 30 * time.Millisecond
-	// Shares of requests whose client cancels early, closes its connection early, or sends in pieces.
-	cancels, closes, pieces = 0.06, 0.03, 0.15
+	nodeIdleTimeout, idleSendLead, idleSendWindow = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
+	// resetWait is within how long after a connection's end its reset comes, if one does.
+	resetWait = 30 * time.Millisecond
+	// Shares of requests whose client cancelShare early, closeShare its connection early, or sends in splitShare.
+	cancelShare, closeShare, splitShare = 0.06, 0.03, 0.15
 	// earliest is the least time after which a client cancels, and span how much longer it may be.
-	earliestCancel, cancelSpan = 5 * time.Millisecond, 400 * time.Millisecond
-	// titles is how many titles a class has.
-	titles = 8
+	minCancelDelay, cancelDelayRange = 5 * time.Millisecond, 400 * time.Millisecond
+	// titlesPerClass is how many titlesPerClass a class has.
+	titlesPerClass = 8
 	// classTitles is how many titles of a class with seats each node is asked for, so that the seats bind.
 	seatedTitles = 2
 )
 
 // clients are the clients of one node.
 type clients struct {
-	node  *node
-	log   *log
-	rand  *rand.Rand
-	next  *atomic.Uint64
-	mu    sync.Mutex
-	conns [perNode]*clientConn
+	node   *node
+	log    *log
+	rand   *rand.Rand
+	nextID *atomic.Uint64
+	mu     sync.Mutex
+	conns  [connsPerNode]*clientConn
 
-	dense      bool
-	hastyUntil time.Duration // requests are cancelled as they are answered, until then
-	againRand  *rand.Rand    // for refused requests that come again; used with the lock held
+	dense            bool
+	cancelEarlyUntil time.Duration // requests are cancelled as they are answered, until then
+	retryRand        *rand.Rand    // for refused requests that come again; used with the lock held
 }
 
 // clientConn is one connection of a client's.
 type clientConn struct {
 	net.Conn
-	log   *log
-	node  int
-	write sync.Mutex
+	log     *log
+	node    int
+	writeMu sync.Mutex
 
 	mu       sync.Mutex
-	open     map[string]*request // without their answers
+	pending  map[string]*request // without their answers
 	sessions int
-	used     time.Time
+	lastUsed time.Time
 	closed   bool
 	closedAt chan time.Duration // gets the instant in which the node closed it
 }
 
 // request is one request, as its client has it.
 type request struct {
-	id     string
-	class  int
-	text   []byte
-	sent   time.Duration
-	resent bool
-	over   bool // cancelled
-	again  int  // how many of its viewer's were refused before
+	id        string
+	class     int
+	text      []byte
+	sent      time.Duration
+	resent    bool
+	cancelled bool // cancelled
+	refusals  int  // how many of its viewer's were refused before
 }
 
 // dial opens a connection; nil where the node can't be reached.
@@ -84,23 +84,23 @@
 	if err != nil {
 		return nil
 	}
-	conn := &clientConn{Conn: n, log: c.log, node: c.node.index, open: map[string]*request{}, used: time.Now(), closedAt: make(chan time.Duration, 1)}
-	go c.read(conn)
+	conn := &clientConn{Conn: n, log: c.log, node: c.node.index, pending: map[string]*request{}, lastUsed: time.Now(), closedAt: make(chan time.Duration, 1)}
+	go c.readMessages(conn)
 	return conn
 }
 
-// conn is one of the usual connections, opened where it is not up; fresh tells that it may be.
-func (c *clients) conn(slot int, fresh bool) *clientConn {
+// pooledConn is one of the usual connections, opened where it is not up; fresh tells that it may be.
+func (c *clients) pooledConn(index int, mayDial bool) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if have := c.conns[slot]; have != nil && have.usable() {
-		return have
+	if conn := c.conns[index]; conn != nil && conn.usable() {
+		return conn
 	}
-	c.conns[slot] = nil
-	if fresh {
-		c.conns[slot] = c.dial()
+	c.conns[index] = nil
+	if mayDial {
+		c.conns[index] = c.dial()
 	}
-	return c.conns[slot]
+	return c.conns[index]
 }
 
 // usable tells whether a connection is up; one unused for long is closed.
@@ -110,7 +110,7 @@
 	if c.closed {
 		return false
 	}
-	if len(c.open) == 0 && c.sessions <= 0 && time.Since(c.used) > clientIdle {
+	if len(c.pending) == 0 && c.sessions <= 0 && time.Since(c.lastUsed) > clientIdleTimeout {
 		c.closed = true
 		c.Close()
 		return false
@@ -118,91 +118,91 @@
 	return true
 }
 
-// ask sends one request as chance has it.
-func (c *clients) ask() {
-	if c.dense && c.askOddly(c.rand.Float64()) {
+// sendRandom sends one request as chance has it.
+func (c *clients) sendRandom() {
+	if c.dense && c.sendUnusual(c.rand.Float64()) {
 		return
 	}
 	class := c.rand.IntN(len(classes))
-	title := c.rand.IntN(titles)
+	title := c.rand.IntN(titlesPerClass)
 	if classes[class].seats > 0 {
 		title = c.rand.IntN(seatedTitles)
 	}
-	fate := c.rand.Float64()
-	fresh := c.node.takesNew()
-	var on *clientConn
-	if fate < closes {
-		if !fresh {
+	draw := c.rand.Float64()
+	mayDial := c.node.acceptsConns()
+	var conn *clientConn
+	if draw < closeShare {
+		if !mayDial {
 			return
 		}
-		on = c.dial() // one of its own, which it closes
+		conn = c.dial() // one of its own, which it closes
 	} else {
-		on = c.conn(c.rand.IntN(perNode), fresh)
+		conn = c.pooledConn(c.rand.IntN(connsPerNode), mayDial)
 	}
-	if on == nil {
+	if conn == nil {
 		return
 	}
-	r := c.request(c.rand, class, title)
+	r := c.newRequest(c.rand, class, title)
 	split := 0
-	if c.rand.Float64() < pieces {
+	if c.rand.Float64() < splitShare {
 		split = 1 + c.rand.IntN(len(r.text)-1)
 	}
-	after := earliestCancel + time.Duration(c.rand.Int64N(int64(cancelSpan)))
-	if !on.send(r, split, titleOf(class, title)) {
+	after := minCancelDelay + time.Duration(c.rand.Int64N(int64(cancelDelayRange)))
+	if !conn.send(r, split, titleOf(class, title)) {
 		return
 	}
 	switch {
-	case fate < closes:
-		time.AfterFunc(after, func() { on.leave() })
-	case fate < closes+cancels:
-		time.AfterFunc(after, func() { on.cancel(r) })
+	case draw < closeShare:
+		time.AfterFunc(after, func() { conn.closeByClient() })
+	case draw < closeShare+cancelShare:
+		time.AfterFunc(after, func() { conn.cancel(r) })
 	}
 }
 
 func titleOf(class, title int) string { return fmt.Sprintf("t%d-%d", class, title) }
 
-// request makes a new request.
-func (c *clients) request(r *rand.Rand, class, title int) *request {
-	id := requestID(c.node.index, c.next.Add(1))
+// newRequest makes a new newRequest.
+func (c *clients) newRequest(draws *rand.Rand, class, title int) *request {
+	id := requestID(c.node.index, c.nextID.Add(1))
 	body := "9d41c07a5be2f318\r\nc=IN IP4 127.0.0.1\r\n"
 	return &request{id: id, class: class, text: fmt.Appendf(nil,
 		"SETUP rtsp://media/%s RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nSubject: %s\r\nX-Patience: %d\r\nX-Facts: home:%d;copies:%d;top:%d\r\nContent-Length: %d\r\n\r\n%s",
-		titleOf(class, title), id, classes[class].name, classes[class].deadline.Milliseconds(), r.IntN(cells), copies, rungs-1, len(body), body)}
+		titleOf(class, title), id, classes[class].name, classes[class].deadline.Milliseconds(), draws.IntN(cells), copies, rungs-1, len(body), body)}
 }
 
-// rest keeps one connection that is used rarely: each request comes at about the instant in which the node closes it.
-func (c *clients) rest(ctx context.Context, r *rand.Rand) {
+// sendNearIdleClose keeps one connection that is used rarely: each request comes at about the instant in which the node closes it.
+func (c *clients) sendNearIdleClose(ctx context.Context, r *rand.Rand) {
 	var on *clientConn
 	for {
-		if on != nil && on.sessionsLeft() > 0 {
-			if !pause(ctx, 10*time.Millisecond) {
+		if on != nil && on.inUse() > 0 {
+			if !sleep(ctx, 10*time.Millisecond) {
 				return
 			}
 			continue
 		}
-		if on != nil && !pause(ctx, nodeIdle-restEarly+time.Duration(r.Int64N(int64(restSpan)))) {
+		if on != nil && !sleep(ctx, nodeIdleTimeout-idleSendLead+time.Duration(r.Int64N(int64(idleSendWindow)))) {
 			return
 		}
 		if on == nil || on.isClosed() {
-			if on = nil; c.node.takesNew() {
+			if on = nil; c.node.acceptsConns() {
 				on = c.dial()
 			}
-			if on == nil && !pause(ctx, 100*time.Millisecond) {
+			if on == nil && !sleep(ctx, 100*time.Millisecond) {
 				return
 			}
 		}
-		if on != nil && !on.send(c.request(r, 0, r.IntN(titles)), 0, "at rest") {
+		if on != nil && !on.send(c.newRequest(r, 0, r.IntN(titlesPerClass)), 0, "at rest") {
 			on = nil
 		}
 	}
 }
 
-// pause waits for so long; false where the soak is over.
-func pause(ctx context.Context, long time.Duration) bool {
+// sleep waits for so long; false where the soak is over.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(long):
+	case <-time.After(duration):
 		return true
 	}
 }
@@ -213,32 +213,32 @@
 	return c.closed
 }
 
-// sessionsLeft is how many requests and sessions it has; 0 once it is closed.
-func (c *clientConn) sessionsLeft() int {
+// inUse is how many requests and sessions it has; 0 once it is closed.
+func (c *clientConn) inUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return 0
 	}
-	return len(c.open) + max(c.sessions, 0)
+	return len(c.pending) + max(c.sessions, 0)
 }
 
 // send writes a request; false where its connection is closed already.
 func (c *clientConn) send(r *request, split int, title string) bool {
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	c.open[r.id], c.used = r, time.Now()
+	c.pending[r.id], c.lastUsed = r, time.Now()
 	c.mu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	text := r.text
 	if split > 0 {
 		if _, err := c.Write(text[:split]); err != nil {
-			c.drop(r)
+			c.forget(r)
 			return false
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -247,7 +247,7 @@
 	// Its last byte may be read before the write returns, so it counts from before.
 	at := c.log.now()
 	if _, err := c.Write(text); err != nil {
-		c.drop(r)
+		c.forget(r)
 		return false
 	}
 	c.mu.Lock()
@@ -257,84 +257,84 @@
 	return true
 }
 
-func (c *clientConn) drop(r *request) {
+func (c *clientConn) forget(r *request) {
 	c.mu.Lock()
-	delete(c.open, r.id)
+	delete(c.pending, r.id)
 	c.mu.Unlock()
 }
 
 // cancel gives a request up, unless it has its answer.
 func (c *clientConn) cancel(r *request) {
 	c.mu.Lock()
-	open := c.open[r.id] == r && !c.closed
+	open := c.pending[r.id] == r && !c.closed
 	if open {
-		r.over = true
-		delete(c.open, r.id)
+		r.cancelled = true
+		delete(c.pending, r.id)
 	}
 	c.mu.Unlock()
 	if !open {
 		return
 	}
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	fmt.Fprintf(c.Conn, "TEARDOWN rtsp://media/t RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", r.id)
-	c.log.add(record{kind: requestCanceled, request: r.id, node: c.node, detail: "TEARDOWN"})
+	c.log.add(record{kind: requestCancelled, request: r.id, node: c.node, detail: "TEARDOWN"})
 }
 
-// leave closes a connection, with what is open on it.
-func (c *clientConn) leave() {
+// closeByClient closes a connection, with what is open on it.
+func (c *clientConn) closeByClient() {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
 	c.closed = true
-	open := c.open
-	c.open = map[string]*request{}
+	open := c.pending
+	c.pending = map[string]*request{}
 	c.mu.Unlock()
 	c.log.add(record{kind: connectionEnded, node: c.node, detail: c.LocalAddr().String()})
 	c.Close()
 	for id := range open {
-		c.log.add(record{kind: requestCanceled, request: id, node: c.node, detail: "closed"})
+		c.log.add(record{kind: requestCancelled, request: id, node: c.node, detail: "closed"})
 	}
 }
 
-// read takes what a node sends on a connection until that ends.
-func (c *clients) read(on *clientConn) {
+// readMessages takes what a node sends on a connection until that ends.
+func (c *clients) readMessages(on *clientConn) {
 	in := rtsp.NewConn(on.Conn, rtsp.Limits{})
 	for {
 		m, _, err := in.Next()
 		if err != nil {
-			c.ended(on, err)
+			c.handleClose(on, err)
 			return
 		}
 		if m == nil {
 			continue
 		}
-		if r := on.take(m); r != nil && m.Status == rtsp.ServiceUnavailable {
-			c.again(on, r)
+		if r := on.handle(m); r != nil && m.Status == rtsp.ServiceUnavailable {
+			c.retry(on, r)
 		}
 	}
 }
 
-// take takes a message; it gives the request that it answers, if it does.
-func (c *clientConn) take(m *rtsp.Message) (answered *request) {
+// handle takes a message; it gives the request that it answers, if it does.
+func (c *clientConn) handle(m *rtsp.Message) (answered *request) {
 	id := m.Session()
 	switch {
 	case m.Method == rtsp.TearDown:
 		c.log.add(record{kind: releaseRead, request: id, node: c.node})
 		c.mu.Lock()
 		c.sessions--
-		c.used = time.Now()
+		c.lastUsed = time.Now()
 		c.mu.Unlock()
 	case m.IsRequest() || m.Status < rtsp.OK || m.CSeq() != 1:
 	default:
 		c.log.add(record{kind: answerRead, request: id, node: c.node, status: m.Status, detail: string(m.Body)})
 		c.mu.Lock()
-		answered = c.open[id]
-		delete(c.open, id)
-		c.used = time.Now()
+		answered = c.pending[id]
+		delete(c.pending, id)
+		c.lastUsed = time.Now()
 		if m.Status == rtsp.OK {
 			c.sessions++
 		}
@@ -343,22 +343,22 @@
 	return answered
 }
 
-// ended takes the end of a connection that its client did not close: what crosses such a close is sent once more.
-func (c *clients) ended(on *clientConn, err error) {
-	on.write.Lock() // a request that is being written is among the open ones, and has its instant
-	defer on.write.Unlock()
+// handleClose takes the end of a connection that its client did not close: what crosses such a close is sent once more.
+func (c *clients) handleClose(on *clientConn, err error) {
+	on.writeMu.Lock() // a request that is being written is among the open ones, and has its instant
+	defer on.writeMu.Unlock()
 	now := c.log.now()
 	on.mu.Lock()
 	mine := on.closed
 	on.closed = true
-	open := on.open
-	on.open = map[string]*request{}
+	open := on.pending
+	on.pending = map[string]*request{}
 	on.mu.Unlock()
 	if mine {
 		on.Close()
 		return
 	}
-	read := len(open) > 0 && on.allRead(err)
+	read := len(open) > 0 && on.nodeReadAll(err)
 	on.Close()
 	on.closedAt <- now
 	c.log.add(record{at: now, kind: connectionEnded, node: on.node, detail: on.LocalAddr().String()})
@@ -368,12 +368,12 @@
 			continue
 		}
 		c.log.add(record{at: now, kind: requestCut, request: id, node: on.node, detail: err.Error()})
-		if r.resent || now-r.sent > crossing || !c.node.takesNew() {
+		if r.resent || now-r.sent > crossingWindow || !c.node.acceptsConns() {
 			continue
 		}
 		r.resent = true
-		if again := c.dial(); again != nil {
-			again.send(r, 0, "")
+		if newConn := c.dial(); newConn != nil {
+			newConn.send(r, 0, "")
 		}
 	}
 }
@@ -381,14 +381,14 @@
 // detailRead says of a cut request that its node had read it.
 const detailRead = "read, and closed without an answer"
 
-// allRead tells whether a node that has closed a connection had read all that was sent there: what it had not read, its system
+// nodeReadAll tells whether a node that has closed a connection had read all that was sent there: what it had not read, its system
 // answers with a reset.
-func (c *clientConn) allRead(err error) bool {
+func (c *clientConn) nodeReadAll(err error) bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) {
 		return false
 	}
-	time.Sleep(resetComes)
+	time.Sleep(resetWait)
 	raw, err := t.SyscallConn()
 	if err != nil {
 		return false
@@ -405,9 +405,9 @@
 // tcpClosed is the state of a connection that was reset, in TCP_INFO.
 const tcpClosed = 7
 
-// rude opens connections that are of no use: silent ones, half a request, nonsense. All are closed by the node or in time.
-func (c *clients) rude(r *rand.Rand, many int, long time.Duration) {
-	for range many {
+// openUselessConns opens connections that are of no use: silent ones, half a request, nonsense. All are closed by the node or in time.
+func (c *clients) openUselessConns(r *rand.Rand, count int, lifetime time.Duration) {
+	for range count {
 		n, err := net.DialTimeout("tcp", c.node.listen, 200*time.Millisecond)
 		if err != nil {
 			return
@@ -420,6 +420,6 @@
 		case 2:
 			fmt.Fprint(n, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 		}
-		time.AfterFunc(long, func() { n.Close() })
+		time.AfterFunc(lifetime, func() { n.Close() })
 	}
 }
--- a/internal/lab/soak/coordinator.go
+++ b/internal/lab/soak/coordinator.go
@@ -9,117 +9,117 @@
 )
 
 const (
-	// heartbeat is how often the coordinator tells its last number.
-	heartbeat = time.Second
-	// doors is how many addresses the coordinator has: configurations name one or another.
-	doors = 3
-	// toldWithin is how long after an outage began what would have been told counts as told.
-	toldWithin = 4 * time.Second
-	// reachedAgain is how long after a longer outage nodes may take to ask again: some half a second of pause between
+	// heartbeatInterval is how often the coordinator tells its last number.
+	heartbeatInterval = time.Second
+	// replicaCount is how many addresses the coordinator has: configurations name one or another.
+	replicaCount = 3
+	// notifyTimeout is how long after an outage began what would have been told counts as told.
+	notifyTimeout = 4 * time.Second
+	// reconnectTimeout is how long after a longer outage nodes may take to ask again: some half a second of pause between
 	// calls, and a connection. The platform allows 6 s.
-	reachedAgain = time.Second
+	reconnectTimeout = time.Second
 )
 
 // coordinator is the stand-in for the platform's: numbered changes to the list, told to whoever follows at one of its doors.
 type coordinator struct {
-	doors [doors]*door
-	log   *log
-	mu    sync.Mutex
-	list  []change
-	live  map[string]entry
-	wake  chan struct{} // closed and made anew with each change
-	done  chan struct{}
+	replicas [replicaCount]*replica
+	log      *log
+	mu       sync.Mutex
+	changes  []change
+	entries  map[string]entry
+	changed  chan struct{} // closed and made anew with each change
+	done     chan struct{}
 }
 
-// door is one address of the coordinator's, which fails by itself.
-type door struct {
+// replica is one address of the coordinator's, which fails by itself.
+type replica struct {
 	net.Listener
-	c      *coordinator
-	conns  map[net.Conn]bool
-	began  time.Duration // when its last outage began; 0 is never
-	silent time.Duration // it says nothing and takes nobody until then
+	c           *coordinator
+	conns       map[net.Conn]bool
+	outageStart time.Duration // when its last outage began; 0 is never
+	silentUntil time.Duration // it says nothing and takes nobody until then
 }
 
 func newCoordinator(l *log) (*coordinator, error) {
-	c := &coordinator{log: l, live: map[string]entry{}, wake: make(chan struct{}), done: make(chan struct{})}
-	for k := range c.doors {
+	c := &coordinator{log: l, entries: map[string]entry{}, changed: make(chan struct{}), done: make(chan struct{})}
+	for k := range c.replicas {
 		n, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		c.doors[k] = &door{Listener: n, c: c, conns: map[net.Conn]bool{}}
+		c.replicas[k] = &replica{Listener: n, c: c, conns: map[net.Conn]bool{}}
 	}
-	for _, d := range c.doors {
+	for _, d := range c.replicas {
 		go d.accept()
 	}
 	return c, nil
 }
 
 // address is that of a door.
-func (c *coordinator) address(door int) string { return c.doors[door].Addr().String() }
+func (c *coordinator) address(replica int) string { return c.replicas[replica].Addr().String() }
 
-// toldBy is when a change that the coordinator has now counts as told, whichever door a node follows; the lock is held.
-func (c *coordinator) toldBy(now time.Duration) (told time.Duration) {
-	told = now
-	for _, d := range c.doors {
-		if d.began == 0 || now > d.began+toldWithin && now > d.silent+reachedAgain {
+// notifiedBy is when a change that the coordinator has now counts as told, whichever door a node follows; the lock is held.
+func (c *coordinator) notifiedBy(now time.Duration) (latest time.Duration) {
+	latest = now
+	for _, d := range c.replicas {
+		if d.outageStart == 0 || now > d.outageStart+notifyTimeout && now > d.silentUntil+reconnectTimeout {
 			continue
 		}
-		told = max(told, d.began+toldWithin, d.silent+reachedAgain)
+		latest = max(latest, d.outageStart+notifyTimeout, d.silentUntil+reconnectTimeout)
 	}
-	return told
+	return latest
 }
 
-// tell has a change told.
-func (c *coordinator) tell(entries ...entry) {
+// publish has a change told.
+func (c *coordinator) publish(entries ...entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.log.now()
 	for _, e := range entries {
 		if e.State == "removed" {
-			delete(c.live, e.ID)
+			delete(c.entries, e.ID)
 		} else {
-			c.live[e.ID] = e
+			c.entries[e.ID] = e
 		}
-		c.log.add(record{at: now, kind: entryTold, node: -1, server: e.ID, detail: e.State, wait: c.toldBy(now)})
+		c.log.add(record{at: now, kind: entryPublished, node: -1, server: e.ID, detail: e.State, wait: c.notifiedBy(now)})
 	}
-	c.list = append(c.list, change{int64(len(c.list) + 1), endpoints{1, false, entries}})
-	close(c.wake)
-	c.wake = make(chan struct{})
+	c.changes = append(c.changes, change{int64(len(c.changes) + 1), endpoints{1, false, entries}})
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// whole is the list as one event, for a node that starts.
-func (c *coordinator) whole() change {
+// snapshot is the list as one event, for a node that starts.
+func (c *coordinator) snapshot() change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := change{Index: int64(len(c.list)), Endpoints: endpoints{1, true, []entry{}}}
-	for _, e := range c.live {
-		w.Endpoints.Instances = append(w.Endpoints.Instances, e)
+	event := change{Index: int64(len(c.changes)), Endpoints: endpoints{1, true, []entry{}}}
+	for _, e := range c.entries {
+		event.Endpoints.Instances = append(event.Endpoints.Instances, e)
 	}
-	return w
+	return event
 }
 
 // fail breaks all connections, and has all doors say nothing for so long.
-func (c *coordinator) fail(long time.Duration) { c.outage(long, true, c.doors[:]...) }
+func (c *coordinator) fail(duration time.Duration) { c.outage(duration, true, c.replicas[:]...) }
 
 // mute has all doors say nothing for so long, on connections that stay.
-func (c *coordinator) mute(long time.Duration) { c.outage(long, false, c.doors[:]...) }
+func (c *coordinator) mute(duration time.Duration) { c.outage(duration, false, c.replicas[:]...) }
 
-// muteDoor is mute for one door.
-func (c *coordinator) muteDoor(door int, long time.Duration) {
-	c.outage(long, false, c.doors[door])
+// muteReplica is mute for one door.
+func (c *coordinator) muteReplica(replica int, duration time.Duration) {
+	c.outage(duration, false, c.replicas[replica])
 }
 
-func (c *coordinator) outage(long time.Duration, breaks bool, at ...*door) {
+func (c *coordinator) outage(duration time.Duration, disconnect bool, replicas ...*replica) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.log.now()
-	for _, d := range at {
-		if d.silent <= now {
-			d.began = now
+	for _, d := range replicas {
+		if d.silentUntil <= now {
+			d.outageStart = now
 		}
-		d.silent = max(d.silent, now+long)
-		if !breaks {
+		d.silentUntil = max(d.silentUntil, now+duration)
+		if !disconnect {
 			continue
 		}
 		for n := range d.conns {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (d *door) accept() {
+func (d *replica) accept() {
 	for {
 		n, err := d.Accept()
 		if err != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (d *door) serve(n net.Conn) {
+func (d *replica) serve(n net.Conn) {
 	c := d.c
 	defer func() {
 		n.Close()
@@ -153,16 +153,16 @@
 	if _, err := fmt.Fscanf(n, "follow %d\n", &from); err != nil {
 		return
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		c.mu.Lock()
-		quiet, wake := d.silent-c.log.now(), c.wake
+		quiet, wake := d.silentUntil-c.log.now(), c.changed
 		var list []change
-		if quiet <= 0 && from < int64(len(c.list)) {
-			list = c.list[from:]
+		if quiet <= 0 && from < int64(len(c.changes)) {
+			list = c.changes[from:]
 		}
-		last := len(c.list)
+		last := len(c.changes)
 		c.mu.Unlock()
 		for _, e := range list {
 			b, _ := json.Marshal(e)
@@ -181,7 +181,7 @@
 		}
 		select {
 		case <-wake:
-		case <-beat.C:
+		case <-heartbeat.C:
 			if _, err := fmt.Fprintf(n, "%d\n", last); err != nil {
 				return
 			}
@@ -193,7 +193,7 @@
 
 func (c *coordinator) close() {
 	close(c.done)
-	for _, d := range c.doors {
+	for _, d := range c.replicas {
 		d.Close()
 	}
 }
--- a/internal/lab/soak/dense.go
+++ b/internal/lab/soak/dense.go
@@ -14,251 +14,253 @@
 }
 
 const (
-	// storyEvery is the mean time between two stories, which take some seconds each, and denseFaultEvery that between two
+	// scenarioInterval is the mean time between two stories, which take some seconds each, and denseFaultInterval that between two
 	// faults beside them: four to eight are in force at any moment.
-	storyEvery, denseFaultEvery = 900 * time.Millisecond, 500 * time.Millisecond
-	// crowdedRuns is one of how many seeds plays a crowd, of crowdShare of its time.
-	crowdedRuns, crowdShare = 3, 0.3
-	// longestDeadline is that of all classes.
-	longestDeadline = 1790 * time.Millisecond
+	scenarioInterval, denseFaultInterval = 900 * time.Millisecond, 500 * time.Millisecond
+	// surgeSeedStep is one of how many seeds plays a crowd, of surgeShare of its time.
+	surgeSeedStep, surgeShare = 3, 0.3
+	// maxDeadline is that of all classes.
+	maxDeadline = 1790 * time.Millisecond
 )
 
-// story is a few faults, one of which follows another at a chosen instant.
-type story struct {
+// scenario is a few faults, one of which follows another at a chosen instant.
+type scenario struct {
 	name string
-	play func(s *soak, r *rand.Rand)
+	run  func(s *soak, r *rand.Rand)
 }
 
-// stories are all of them.
-var stories = []story{
-	{"a drain told as discovery returns", drainAsDiscoveryReturns},
+// scenarios are all of them.
+var scenarios = []scenario{
+	{"a drain told as discovery returns", drainAsDiscoveryRecovers},
 	{"a drain told while discovery is silent", drainWhileSilent},
 	{"SIGHUP, then SIGTERM", hangupThenTerm},
-	{"SIGTERM, and servers hang from then on", hangFromTerm},
+	{"SIGTERM, and servers hang from then on", hangServersAfterTerm},
 	{"shutdowns one after another while servers hang", shutdownsInSeries},
 	{"SIGTERM twice", termTwice},
 	{"connections close as attempts arrive", closeAsAttemptsArrive},
 	{"clients cancel as answers come", cancelAsAnswersCome},
 	{"a second configuration before the first one's coordinator speaks", secondConfiguration},
-	{"configurations in a row", configurationsInARow},
-	{"a server vanishes and comes back", vanishAndReturn},
-	{"a server vanishes for good", vanishForGood},
+	{"configurations in a row", successiveConfigurations},
+	{"a server vanishes and comes back", serverUnreachableForAWhile},
+	{"a server vanishes for good", serverUnreachableForGood},
 	{"a server hangs, then drains", hangThenDrain},
-	{"servers full and failing under a crowd", crowdOnFailingServers},
-	{"idle clients fill the descriptors while discovery is down", descriptorsFilled},
+	{"servers full and failing under a crowd", surgeOnFailingServers},
+	{"idle clients fill the descriptors while discovery is down", fillDescriptors},
 	{"a server is replaced while another hangs", replaceWhileHanging},
 	{"a process is killed as its clients cancel", killAsClientsCancel},
 }
 
-// after plays something later; the soak waits for it.
-func (s *soak) after(wait time.Duration, do func()) {
-	s.pending.Go(func() {
-		time.Sleep(wait)
-		do()
+// runAfter plays something later; the soak waits for it.
+func (s *soak) runAfter(delay time.Duration, f func()) {
+	s.background.Go(func() {
+		time.Sleep(delay)
+		f()
 	})
 }
 
-// between draws a time.
-func between(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(most-least)+1))
+// randomDuration draws a time.
+func randomDuration(r *rand.Rand, low, high time.Duration) time.Duration {
+	return low + time.Duration(r.Int64N(int64(high-low)+1))
 }
 
-func (s *soak) anyNode(r *rand.Rand) *node { return s.nodes[r.IntN(len(s.nodes))] }
+func (s *soak) randomNode(r *rand.Rand) *node { return s.nodes[r.IntN(len(s.nodes))] }
 
-// down is how long discovery is out of reach in a story.
-func down(r *rand.Rand) time.Duration { return between(r, 500*time.Millisecond, 3*time.Second) }
+// outageDuration is how long discovery is out of reach in a story.
+func outageDuration(r *rand.Rand) time.Duration {
+	return randomDuration(r, 500*time.Millisecond, 3*time.Second)
+}
 
-func drainAsDiscoveryReturns(s *soak, r *rand.Rand) {
-	long := down(r)
+func drainAsDiscoveryRecovers(s *soak, r *rand.Rand) {
+	long := outageDuration(r)
 	s.coord.fail(long)
-	wait := long + between(r, 0, 200*time.Millisecond)
+	wait := long + randomDuration(r, 0, 200*time.Millisecond)
 	draw := rand.New(rand.NewPCG(r.Uint64(), 1))
-	s.after(wait, func() { s.replace(draw, 500*time.Millisecond, true) })
+	s.runAfter(wait, func() { s.replace(draw, 500*time.Millisecond, true) })
 }
 
 func drainWhileSilent(s *soak, r *rand.Rand) {
-	long := down(r)
+	long := outageDuration(r)
 	s.coord.mute(long)
 	draw := rand.New(rand.NewPCG(r.Uint64(), 2))
-	s.after(between(r, 0, long), func() { s.replace(draw, 500*time.Millisecond, true) })
+	s.runAfter(randomDuration(r, 0, long), func() { s.replace(draw, 500*time.Millisecond, true) })
 	if r.IntN(2) == 0 {
-		n, offset, kill := s.anyNode(r), s.offset(r), r.IntN(2) == 0
-		s.after(between(r, 0, long), func() { s.restart(n, kill, 100*time.Millisecond, offset) })
+		n, offset, kill := s.randomNode(r), s.clockOffset(r), r.IntN(2) == 0
+		s.runAfter(randomDuration(r, 0, long), func() { s.restart(n, kill, 100*time.Millisecond, offset) })
 	}
 }
 
 func hangupThenTerm(s *soak, r *rand.Rand) {
-	n, offset := s.anyNode(r), s.offset(r)
+	n, offset := s.randomNode(r), s.clockOffset(r)
 	n.reload(r.IntN(3) == 0)
-	s.after(between(r, 0, 50*time.Millisecond), func() { s.restart(n, false, 100*time.Millisecond, offset) })
-	s.after(between(r, 60*time.Millisecond, time.Second), func() { n.signal(syscall.SIGHUP) })
+	s.runAfter(randomDuration(r, 0, 50*time.Millisecond), func() { s.restart(n, false, 100*time.Millisecond, offset) })
+	s.runAfter(randomDuration(r, 60*time.Millisecond, time.Second), func() { n.signal(syscall.SIGHUP) })
 }
 
-func hangFromTerm(s *soak, r *rand.Rand) {
-	s.restart(s.anyNode(r), false, 100*time.Millisecond, s.offset(r))
-	s.hangServers(r, 1+r.IntN(s.o.Servers), longestDeadline+killAfter)
+func hangServersAfterTerm(s *soak, r *rand.Rand) {
+	s.restart(s.randomNode(r), false, 100*time.Millisecond, s.clockOffset(r))
+	s.hangServers(r, 1+r.IntN(s.o.Servers), maxDeadline+killGrace)
 }
 
 // hangServers has some servers hang.
-func (s *soak) hangServers(r *rand.Rand, many int, long time.Duration) {
-	for range many {
-		s.server(r).behave(long, hang)
+func (s *soak) hangServers(r *rand.Rand, count int, duration time.Duration) {
+	for range count {
+		s.randomServer(r).addEffect(duration, makeHang)
 	}
 }
 
 func shutdownsInSeries(s *soak, r *rand.Rand) {
 	wait := time.Duration(0)
 	for _, k := range r.Perm(len(s.nodes)) {
-		n, offset := s.nodes[k], s.offset(r)
-		s.after(wait, func() { s.restart(n, false, 100*time.Millisecond, offset) })
-		wait += between(r, 100*time.Millisecond, 700*time.Millisecond)
+		n, offset := s.nodes[k], s.clockOffset(r)
+		s.runAfter(wait, func() { s.restart(n, false, 100*time.Millisecond, offset) })
+		wait += randomDuration(r, 100*time.Millisecond, 700*time.Millisecond)
 	}
 	s.hangServers(r, 1+r.IntN(s.o.Servers/2), wait+time.Second)
 }
 
 func termTwice(s *soak, r *rand.Rand) {
-	n := s.anyNode(r)
-	s.restart(n, false, 100*time.Millisecond, s.offset(r))
-	s.after(between(r, time.Millisecond, 1500*time.Millisecond), func() { n.signalEnding(syscall.SIGTERM) })
+	n := s.randomNode(r)
+	s.restart(n, false, 100*time.Millisecond, s.clockOffset(r))
+	s.runAfter(randomDuration(r, time.Millisecond, 1500*time.Millisecond), func() { n.signalTerminating(syscall.SIGTERM) })
 }
 
 func closeAsAttemptsArrive(s *soak, r *rand.Rand) {
 	for range 1 + r.IntN(s.o.Servers/2) {
-		s.server(r).behave(between(r, time.Second, 2*time.Second), func(b *behavior, _ time.Duration) { b.closed = 0.5 })
+		s.randomServer(r).addEffect(randomDuration(r, time.Second, 2*time.Second), func(b *behavior, _ time.Duration) { b.closeConn = 0.5 })
 	}
 }
 
 func cancelAsAnswersCome(s *soak, r *rand.Rand) {
 	for _, c := range s.clients {
-		c.haste(s.log.now() + between(r, time.Second, 2*time.Second))
+		c.cancelEarly(s.log.now() + randomDuration(r, time.Second, 2*time.Second))
 	}
 }
 
 func secondConfiguration(s *soak, r *rand.Rand) {
-	n, first := s.anyNode(r), r.IntN(doors)
-	s.coord.muteDoor(first, between(r, 300*time.Millisecond, 2*time.Second))
-	n.follow(first)
+	n, first := s.randomNode(r), r.IntN(replicaCount)
+	s.coord.muteReplica(first, randomDuration(r, 300*time.Millisecond, 2*time.Second))
+	n.useReplica(first)
 	n.reload(false)
 	draw := rand.New(rand.NewPCG(r.Uint64(), 3))
-	s.after(between(r, 0, 300*time.Millisecond), func() {
-		n.follow((first + 1) % doors)
+	s.runAfter(randomDuration(r, 0, 300*time.Millisecond), func() {
+		n.useReplica((first + 1) % replicaCount)
 		n.reload(false)
 	})
-	s.after(between(r, 0, 400*time.Millisecond), func() { s.replace(draw, 500*time.Millisecond, true) })
+	s.runAfter(randomDuration(r, 0, 400*time.Millisecond), func() { s.replace(draw, 500*time.Millisecond, true) })
 }
 
-func configurationsInARow(s *soak, r *rand.Rand) {
-	n, term := s.anyNode(r), r.IntN(3) == 0
+func successiveConfigurations(s *soak, r *rand.Rand) {
+	n, term := s.randomNode(r), r.IntN(3) == 0
 	wait := time.Duration(0)
 	for range 10 {
-		door, broken := r.IntN(doors), r.IntN(4) == 0
-		s.after(wait, func() {
-			n.follow(door)
+		door, broken := r.IntN(replicaCount), r.IntN(4) == 0
+		s.runAfter(wait, func() {
+			n.useReplica(door)
 			n.reload(broken)
 		})
-		wait += between(r, 0, 150*time.Millisecond)
+		wait += randomDuration(r, 0, 150*time.Millisecond)
 	}
-	if offset := s.offset(r); term {
-		s.after(wait, func() { s.restart(n, false, 100*time.Millisecond, offset) })
+	if offset := s.clockOffset(r); term {
+		s.runAfter(wait, func() { s.restart(n, false, 100*time.Millisecond, offset) })
 	}
 }
 
-func vanishAndReturn(s *soak, r *rand.Rand) {
-	sv, long := s.server(r), between(r, 300*time.Millisecond, 3*time.Second)
-	sv.behave(long, vanish)
+func serverUnreachableForAWhile(s *soak, r *rand.Rand) {
+	sv, long := s.randomServer(r), randomDuration(r, 300*time.Millisecond, 3*time.Second)
+	sv.addEffect(long, makeUnreachable)
 	if closed := r.IntN(2) == 0; r.IntN(2) == 0 {
-		s.after(long+between(r, 0, 20*time.Millisecond), func() { sv.cutConnections(closed) })
+		s.runAfter(long+randomDuration(r, 0, 20*time.Millisecond), func() { sv.closeConnections(closed) })
 	}
 }
 
-func vanishForGood(s *soak, r *rand.Rand) {
-	sv := s.server(r)
-	sv.behave(2*time.Second, vanish)
+func serverUnreachableForGood(s *soak, r *rand.Rand) {
+	sv := s.randomServer(r)
+	sv.addEffect(2*time.Second, makeUnreachable)
 	draw := rand.New(rand.NewPCG(r.Uint64(), 4))
-	s.after(between(r, 0, time.Second), func() { s.replace(draw, time.Second, false) })
+	s.runAfter(randomDuration(r, 0, time.Second), func() { s.replace(draw, time.Second, false) })
 }
 
 func hangThenDrain(s *soak, r *rand.Rand) {
 	s.hangServers(r, 2, 2*time.Second)
 	draw := rand.New(rand.NewPCG(r.Uint64(), 5))
-	s.after(between(r, 0, 500*time.Millisecond), func() { s.replace(draw, 200*time.Millisecond, true) })
+	s.runAfter(randomDuration(r, 0, 500*time.Millisecond), func() { s.replace(draw, 200*time.Millisecond, true) })
 }
 
-func crowdOnFailingServers(s *soak, r *rand.Rand) {
-	long := between(r, time.Second, 3*time.Second)
+func surgeOnFailingServers(s *soak, r *rand.Rand) {
+	long := randomDuration(r, time.Second, 3*time.Second)
 	for k := range s.nodes {
-		s.crowd(k, long)
+		s.startLoadSurge(k, long)
 	}
 	for range 2 {
-		s.server(r).behave(long, func(b *behavior, _ time.Duration) { b.full, b.failing = 0.5, 0.3 })
+		s.randomServer(r).addEffect(long, func(b *behavior, _ time.Duration) { b.full, b.internalError = 0.5, 0.3 })
 	}
 }
 
-func descriptorsFilled(s *soak, r *rand.Rand) {
-	long := down(r)
+func fillDescriptors(s *soak, r *rand.Rand) {
+	long := outageDuration(r)
 	s.coord.fail(long)
 	c := s.clients[r.IntN(len(s.clients))]
 	draw := rand.New(rand.NewPCG(r.Uint64(), 6))
-	s.after(0, func() { c.rude(draw, sockets, long) })
+	s.runAfter(0, func() { c.openUselessConns(draw, maxDescriptors, long) })
 }
 
 func replaceWhileHanging(s *soak, r *rand.Rand) {
 	s.hangServers(r, 1, 3*time.Second)
-	s.replace(r, between(r, 0, time.Second), r.IntN(2) == 0)
+	s.replace(r, randomDuration(r, 0, time.Second), r.IntN(2) == 0)
 	if r.IntN(2) == 0 {
-		s.server(r).behave(time.Second, func(b *behavior, _ time.Duration) { b.cut = 0.5 })
+		s.randomServer(r).addEffect(time.Second, func(b *behavior, _ time.Duration) { b.resetConn = 0.5 })
 	}
 }
 
 func killAsClientsCancel(s *soak, r *rand.Rand) {
 	cancelAsAnswersCome(s, r)
-	n, offset := s.anyNode(r), s.offset(r)
-	s.after(between(r, 0, 500*time.Millisecond), func() { s.restart(n, true, 100*time.Millisecond, offset) })
+	n, offset := s.randomNode(r), s.clockOffset(r)
+	s.runAfter(randomDuration(r, 0, 500*time.Millisecond), func() { s.restart(n, true, 100*time.Millisecond, offset) })
 }
 
-// plannedStory is a story and when it is played; seed is of what it draws.
-type plannedStory struct {
-	at   time.Duration
-	what int
-	seed uint64
+// plannedScenario is a story and when it is played; seed is of what it draws.
+type plannedScenario struct {
+	at    time.Duration
+	index int
+	seed  uint64
 }
 
-// storyOrder draws when stories are played, each once before any comes again.
-func storyOrder(seed uint64, long time.Duration) (list []plannedStory) {
+// scheduleScenarios draws when stories are played, each once before any comes again.
+func scheduleScenarios(seed uint64, duration time.Duration) (list []plannedScenario) {
 	r := rand.New(rand.NewPCG(seed, 0x5708))
 	var order []int
-	for at := quietStart; at < long-quietEnd; at += time.Duration(r.ExpFloat64() * float64(storyEvery)) {
+	for at := quietStart; at < duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(scenarioInterval)) {
 		if len(order) == 0 {
-			order = r.Perm(len(stories))
+			order = r.Perm(len(scenarios))
 		}
-		list = append(list, plannedStory{at, order[0], r.Uint64()})
+		list = append(list, plannedScenario{at, order[0], r.Uint64()})
 		order = order[1:]
 	}
 	return list
 }
 
-// playStories plays stories one into another, in an order that the seed gives; each is told by its name.
-func (s *soak) playStories(ctx context.Context) {
-	for _, p := range storyOrder(s.o.Seed, s.o.Duration) {
-		if !pause(ctx, p.at-s.log.now()) {
+// runScenarios plays stories one into another, in an order that the seed gives; each is told by its name.
+func (s *soak) runScenarios(ctx context.Context) {
+	for _, p := range scheduleScenarios(s.o.Seed, s.o.Duration) {
+		if !sleep(ctx, p.at-s.log.now()) {
 			return
 		}
-		s.tellFault("story: " + stories[p.what].name)
-		stories[p.what].play(s, rand.New(rand.NewPCG(p.seed, 0x5709)))
+		s.reportFault("story: " + scenarios[p.index].name)
+		scenarios[p.index].run(s, rand.New(rand.NewPCG(p.seed, 0x5709)))
 	}
 }
 
-// playCrowd has all nodes get several times the mean for a part of some runs.
-func (s *soak) playCrowd(ctx context.Context) {
-	if s.o.Seed%crowdedRuns != 0 {
+// runLoadSurge has all nodes get several times the mean for a part of some runs.
+func (s *soak) runLoadSurge(ctx context.Context) {
+	if s.o.Seed%surgeSeedStep != 0 {
 		return
 	}
-	if !pause(ctx, s.o.Duration/3) {
+	if !sleep(ctx, s.o.Duration/3) {
 		return
 	}
-	long := time.Duration(crowdShare * float64(s.o.Duration))
-	s.tellFault(fmt.Sprintf("a crowd everywhere for %v", long))
+	long := time.Duration(surgeShare * float64(s.o.Duration))
+	s.reportFault(fmt.Sprintf("a crowd everywhere for %v", long))
 	for k := range s.nodes {
-		s.crowd(k, long)
+		s.startLoadSurge(k, long)
 	}
 }
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -37,8 +37,8 @@
 const (
 	// slack is what every time limit is longer by on sockets.
 	slack = 50 * time.Millisecond
-	// busyMachine is what a loaded machine may add between a write and the record of it.
-	busyMachine = 60 * time.Millisecond
+	// loadSlack is what a loaded machine may add between a write and the record of it.
+	loadSlack = 60 * time.Millisecond
 	// answerGrace is how long after its deadline an answer still counts as one.
 	answerGrace = 500 * time.Millisecond
 	// cancelGrace is how long after its client has gone an attempt may still begin.
@@ -46,9 +46,9 @@
 	// deadlineSlack is how much longer than its client waits a server may be told.
 	deadlineSlack = 150 * time.Millisecond
 	// The budget of further attempts is widened by so much.
-	budgetWider, budgetMore = 1.15, 1.0
-	// mostTraces is how many violations are reported with their traces.
-	mostTraces = 5
+	budgetFactor, budgetMargin = 1.15, 1.0
+	// maxTraces is how many violations are reported with their traces.
+	maxTraces = 5
 )
 
 // Violation is one broken invariant.
@@ -68,7 +68,7 @@
 	MaxDescriptors                                       int     // most of one process
 	MaxMemoryMB                                          float64 // the same
 	Violations                                           []Violation
-	list                                                 []record
+	records                                              []record
 }
 
 // OK tells whether nothing was broken.
@@ -77,108 +77,108 @@
 // Write writes the report: counts, and the first violations with their requests' traces.
 func (r *Report) Write(w io.Writer) {
 	for i, v := range r.Violations {
-		if i == mostTraces {
+		if i == maxTraces {
 			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintf(w, "violated: %s, at %.3f s: %s %s\n", v.Invariant, v.At.Seconds(), v.Request, v.Detail)
 		if v.Request != "" {
-			trace(w, r.list, v.Request)
+			writeTrace(w, r.records, v.Request)
 		}
 	}
-	broken := map[Invariant]int{}
+	counts := map[Invariant]int{}
 	for _, v := range r.Violations {
-		broken[v.Invariant]++
+		counts[v.Invariant]++
 	}
 	fmt.Fprintf(w, "requests %d answers %d (served %d refused %d failed %d) attempts %d cancelled %d crossed a close %d sent once more %d at killed nodes %d; starts %d faults %d; at most %d descriptors and %.0f MB a process\n",
 		r.Requests, r.Answers, r.Served, r.Refused, r.Failed, r.Attempts, r.Cancelled, r.CrossedClose, r.Resent, r.AtKilledNodes, r.Starts, r.Faults, r.MaxDescriptors, r.MaxMemoryMB)
 	var line []string
 	for _, i := range Invariants {
-		line = append(line, fmt.Sprintf("%s %d", i, broken[i]))
+		line = append(line, fmt.Sprintf("%s %d", i, counts[i]))
 	}
 	fmt.Fprintln(w, "violations:", strings.Join(line, ", "))
 }
 
 // attempt is one attempt, as its server has seen it.
 type attempt struct {
-	read   record
-	until  time.Duration // it was answered or given up then; far off where it was not
-	unrun  bool          // its server said that nothing ran
-	answer bool          // its server answered it
+	read    record
+	endedAt time.Duration // it was answered or given up then; far off where it was not
+	notRun  bool          // its server said that nothing ran
+	answer  bool          // its server answered it
 }
 
 // history is all that was seen of one request.
 type history struct {
-	sent      record
-	answers   []record
-	attempts  []*attempt
-	cancelled time.Duration            // 0 is not
-	cut       time.Duration            // the last connection that it was sent on was closed by the node; 0 is not
-	cutRead   bool                     // the node had read it by then
-	ended     map[string]time.Duration // its sessions' ends, by server
+	sent          record
+	answers       []record
+	attempts      []*attempt
+	cancelledAt   time.Duration            // 0 is not
+	cutAt         time.Duration            // the last connection that it was sent on was closed by the node; 0 is not
+	readBeforeCut bool                     // the node had read it by then
+	endedAt       map[string]time.Duration // its sessions' ends, by server
 
-	cause          int             // of its last session's end
-	releaseWritten time.Duration   // when its server last wrote that end; 0 is never
-	released       []time.Duration // when its client read of it
+	releaseCause     int             // of its last session's end
+	releaseWrittenAt time.Duration   // when its server last wrote that end; 0 is never
+	releasesReadAt   []time.Duration // when its client read of it
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// judgement gathers what is seen, and what is wrong with it.
-type judgement struct {
-	o        Options
-	requests map[string]*history
-	order    []string
-	killed   map[int][]time.Duration // by node, in their order
-	exits    map[int][]time.Duration // the same of all ends of processes
-	stops    map[int][]record        // by node, when it stood still and for how long
-	report   *Report
+// checker gathers what is seen, and what is wrong with it.
+type checker struct {
+	o           Options
+	requests    map[string]*history
+	order       []string
+	kills       map[int][]time.Duration // by node, in their order
+	exits       map[int][]time.Duration // the same of all ends of processes
+	suspensions map[int][]record        // by node, when it stood still and for how long
+	report      *Report
 }
 
-func judge(list []record, o Options) *Report {
-	j := &judgement{o: o, requests: map[string]*history{}, killed: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, stops: map[int][]record{}, report: &Report{list: list}}
-	for _, r := range list {
-		j.take(r)
+func check(records []record, o Options) *Report {
+	j := &checker{o: o, requests: map[string]*history{}, kills: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, suspensions: map[int][]record{}, report: &Report{records: records}}
+	for _, r := range records {
+		j.addRecord(r)
 	}
 	for _, id := range j.order {
-		j.answered(id, j.requests[id])
-		j.attempts(id, j.requests[id])
+		j.checkAnswers(id, j.requests[id])
+		j.checkAttempts(id, j.requests[id])
 	}
-	j.drained()
-	j.slowStart()
-	j.seats()
-	j.budget()
-	j.processes()
-	j.released()
-	j.limits()
+	j.checkDrains()
+	j.checkSlowStart()
+	j.checkSeats()
+	j.checkRetryBudget()
+	j.checkProcesses()
+	j.checkReleases()
+	j.checkLimits()
 	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return j.report
 }
 
-func (j *judgement) broken(i Invariant, id string, at time.Duration, what string, args ...any) {
-	j.report.Violations = append(j.report.Violations, Violation{i, id, at, fmt.Sprintf(what, args...)})
+func (j *checker) violate(i Invariant, id string, at time.Duration, format string, args ...any) {
+	j.report.Violations = append(j.report.Violations, Violation{i, id, at, fmt.Sprintf(format, args...)})
 }
 
-// take adds a record to its request's history.
-func (j *judgement) take(r record) {
+// addRecord adds a record to its request's history.
+func (j *checker) addRecord(r record) {
 	switch r.kind {
 	case requestSent:
 		if h := j.requests[r.request]; h != nil { // sent once more on a new connection
-			h.cut = 0
+			h.cutAt = 0
 			j.report.Resent++
 			return
 		}
-		j.requests[r.request] = &history{sent: r, ended: map[string]time.Duration{}}
+		j.requests[r.request] = &history{sent: r, endedAt: map[string]time.Duration{}}
 		j.order = append(j.order, r.request)
 		j.report.Requests++
 		return
 	case nodeKilled:
-		j.killed[r.node] = append(j.killed[r.node], r.at)
-	case nodeStopped:
-		j.stops[r.node] = append(j.stops[r.node], r)
+		j.kills[r.node] = append(j.kills[r.node], r.at)
+	case nodeSuspended:
+		j.suspensions[r.node] = append(j.suspensions[r.node], r)
 	case nodeExited:
 		j.exits[r.node] = append(j.exits[r.node], r.at)
-	case faultBegan:
+	case faultStarted:
 		j.report.Faults++
 	case nodeStarted:
 		j.report.Starts++
@@ -188,49 +188,49 @@
 		return
 	}
 	switch r.kind {
-	case requestCanceled:
-		h.cancelled = r.at
+	case requestCancelled:
+		h.cancelledAt = r.at
 	case requestCut:
-		h.cut, h.cutRead = r.at, r.detail == detailRead
+		h.cutAt, h.readBeforeCut = r.at, r.detail == detailRead
 	case answerRead:
 		h.answers = append(h.answers, r)
 		j.report.Answers++
 	case attemptRead:
 		j.report.Attempts++
-		a := &attempt{read: r, until: never}
-		if at, known := h.ended[r.server]; known && r.at-at < slack { // its end came over another connection, and was read first
-			a.until = r.at
+		a := &attempt{read: r, endedAt: never}
+		if at, known := h.endedAt[r.server]; known && r.at-at < slack { // its end came over another connection, and was read first
+			a.endedAt = r.at
 		}
 		h.attempts = append(h.attempts, a)
 	case attemptAnswered:
-		if a := h.last(r.server); a != nil {
-			a.until, a.answer = min(a.until, r.at), a.answer || r.status == 200
-			a.unrun = r.status == 453 || r.status == 454
+		if a := h.lastAttempt(r.server); a != nil {
+			a.endedAt, a.answer = min(a.endedAt, r.at), a.answer || r.status == 200
+			a.notRun = r.status == 453 || r.status == 454
 		}
-	case attemptGivenUp:
-		if a := h.last(r.server); a != nil {
-			a.until = min(a.until, max(r.at-r.held, a.read.at))
+	case attemptCancelled:
+		if a := h.lastAttempt(r.server); a != nil {
+			a.endedAt = min(a.endedAt, max(r.at-r.transitDelay, a.read.at))
 		}
-		h.over(r.server, r.at-r.held)
+		h.recordEnd(r.server, r.at-r.transitDelay)
 	case sessionEnded:
-		h.over(r.server, r.at)
-		h.cause = r.status
+		h.recordEnd(r.server, r.at)
+		h.releaseCause = r.status
 	case releaseWritten:
-		h.releaseWritten = max(h.releaseWritten, r.at)
+		h.releaseWrittenAt = max(h.releaseWrittenAt, r.at)
 	case releaseRead:
-		h.released = append(h.released, r.at)
+		h.releasesReadAt = append(h.releasesReadAt, r.at)
 	}
 }
 
-// over takes a session's end at a server: the first one that is seen.
-func (h *history) over(server string, at time.Duration) {
-	if _, known := h.ended[server]; !known {
-		h.ended[server] = at
+// recordEnd takes a session's end at a server: the first one that is seen.
+func (h *history) recordEnd(server string, at time.Duration) {
+	if _, known := h.endedAt[server]; !known {
+		h.endedAt[server] = at
 	}
 }
 
-// last is the request's last attempt at a server.
-func (h *history) last(server string) *attempt {
+// lastAttempt is the request's lastAttempt attempt at a server.
+func (h *history) lastAttempt(server string) *attempt {
 	for _, a := range slices.Backward(h.attempts) {
 		if a.read.server == server {
 			return a
@@ -240,22 +240,22 @@
 }
 
 // killedWithin tells whether a node was killed within a span.
-func (j *judgement) killedWithin(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.killed[node], func(at time.Duration) bool { return at >= from && at <= to })
+func (j *checker) killedWithin(node int, from, to time.Duration) bool {
+	return slices.ContainsFunc(j.kills[node], func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// stood is how long a node stood still near a span: it can't act meanwhile, and what comes waits unread.
-func (j *judgement) stood(node int, from, to time.Duration) (sum time.Duration) {
-	for _, r := range j.stops[node] {
-		if r.at <= to && r.at+r.wait+busyMachine >= from {
-			sum += r.wait + busyMachine
+// suspendedFor is how long a node suspendedFor still near a span: it can't act meanwhile, and what comes waits unread.
+func (j *checker) suspendedFor(node int, from, to time.Duration) (sum time.Duration) {
+	for _, r := range j.suspensions[node] {
+		if r.at <= to && r.at+r.wait+loadSlack >= from {
+			sum += r.wait + loadSlack
 		}
 	}
 	return sum
 }
 
 // nextExit is when the process that ran at an instant ended.
-func (j *judgement) nextExit(node int, after time.Duration) time.Duration {
+func (j *checker) nextExit(node int, after time.Duration) time.Duration {
 	for _, at := range j.exits[node] {
 		if at > after {
 			return at
@@ -264,36 +264,36 @@
 	return never
 }
 
-// answered judges a request's final answer.
-func (j *judgement) answered(id string, h *history) {
+// checkAnswers judges a request's final answer.
+func (j *checker) checkAnswers(id string, h *history) {
 	limit := h.sent.at + h.sent.wait + answerGrace
-	limit += j.stood(h.sent.node, h.sent.at, limit)
+	limit += j.suspendedFor(h.sent.node, h.sent.at, limit)
 	if len(h.answers) > 1 {
-		j.broken(Answered, id, h.answers[1].at, "has %d final answers", len(h.answers))
+		j.violate(Answered, id, h.answers[1].at, "has %d final answers", len(h.answers))
 	}
 	if len(h.answers) > 0 {
-		j.wording(id, h, h.answers[0])
-		if at := h.answers[0].at; at > limit+busyMachine {
-			j.broken(Answered, id, at, "was answered %.3f s after its deadline", (at - h.sent.at - h.sent.wait).Seconds())
+		j.checkAnswer(id, h, h.answers[0])
+		if at := h.answers[0].at; at > limit+loadSlack {
+			j.violate(Answered, id, at, "was answered %.3f s after its deadline", (at - h.sent.at - h.sent.wait).Seconds())
 		}
 		return
 	}
 	switch {
-	case h.cancelled > 0:
+	case h.cancelledAt > 0:
 		j.report.Cancelled++
-	case j.killedWithin(h.sent.node, h.sent.at-busyMachine, limit):
+	case j.killedWithin(h.sent.node, h.sent.at-loadSlack, limit):
 		j.report.AtKilledNodes++
-	case h.cut > 0 && !h.cutRead && h.cut-h.sent.at <= slack+busyMachine+j.stood(h.sent.node, h.sent.at, h.cut) && len(h.attempts) == 0:
+	case h.cutAt > 0 && !h.readBeforeCut && h.cutAt-h.sent.at <= slack+loadSlack+j.suspendedFor(h.sent.node, h.sent.at, h.cutAt) && len(h.attempts) == 0:
 		j.report.CrossedClose++ // it crossed a close
-	case h.cut > 0:
-		j.broken(Answered, id, h.cut, "was read and its connection closed without an answer")
+	case h.cutAt > 0:
+		j.violate(Answered, id, h.cutAt, "was read and its connection closed without an answer")
 	default:
-		j.broken(Answered, id, limit, "has no final answer")
+		j.violate(Answered, id, limit, "has no final answer")
 	}
 }
 
-// wording judges what an answer says.
-func (j *judgement) wording(id string, h *history, a record) {
+// checkAnswer judges what an answer says.
+func (j *checker) checkAnswer(id string, h *history, a record) {
 	switch a.status {
 	case 200:
 		j.report.Served++
@@ -302,15 +302,15 @@
 				return
 			}
 		}
-		j.broken(Answered, id, a.at, "is said to be served, and no server gave that answer: %q", a.detail)
+		j.violate(Answered, id, a.at, "is said to be served, and no server gave that answer: %q", a.detail)
 	case 453, 454, 503:
 		j.report.Refused++
-		if !classes[h.sent.class].single {
+		if !classes[h.sent.class].sideEffect {
 			return
 		}
 		for _, x := range h.attempts {
-			if !x.unrun {
-				j.broken(NotRepeated, id, a.at, "was refused although its attempt at %s may have run", x.read.server)
+			if !x.notRun {
+				j.violate(NotRepeated, id, a.at, "was refused although its attempt at %s may have run", x.read.server)
 				return
 			}
 		}
@@ -319,37 +319,37 @@
 	}
 }
 
-// attempts judges a request's attempts, one by one.
-func (j *judgement) attempts(id string, h *history) {
+// checkAttempts judges a request's checkAttempts, one by one.
+func (j *checker) checkAttempts(id string, h *history) {
 	for k, a := range h.attempts {
 		if a.read.rung < classes[h.sent.class].floor {
-			j.broken(Terms, id, a.read.at, "rung %d is below the floor", a.read.rung)
+			j.violate(Terms, id, a.read.at, "rung %d is below the floor", a.read.rung)
 		}
-		stood := j.stood(h.sent.node, h.sent.at, a.read.at) + a.read.held // what its way took is not the node's
-		if left := h.sent.at + h.sent.wait - a.read.at; a.read.wait > left+deadlineSlack+busyMachine+stood {
-			j.broken(Deadline, id, a.read.at, "%s is told %v, its client has %v left", a.read.server, a.read.wait, left)
+		delay := j.suspendedFor(h.sent.node, h.sent.at, a.read.at) + a.read.transitDelay // what its way took is not the node's
+		if left := h.sent.at + h.sent.wait - a.read.at; a.read.wait > left+deadlineSlack+loadSlack+delay {
+			j.violate(Deadline, id, a.read.at, "%s is told %v, its client has %v left", a.read.server, a.read.wait, left)
 		}
-		if h.cancelled > 0 && a.read.at > h.cancelled+cancelGrace+slack+busyMachine+stood {
-			j.broken(NotAfterEnd, id, a.read.at, "an attempt %.3f s after its client had gone", (a.read.at - h.cancelled).Seconds())
+		if h.cancelledAt > 0 && a.read.at > h.cancelledAt+cancelGrace+slack+loadSlack+delay {
+			j.violate(NotAfterEnd, id, a.read.at, "an attempt %.3f s after its client had gone", (a.read.at - h.cancelledAt).Seconds())
 		}
-		if len(h.answers) > 0 && a.read.at > h.answers[0].at+cancelGrace+slack+busyMachine+stood {
-			j.broken(NotAfterEnd, id, a.read.at, "an attempt after its answer")
+		if len(h.answers) > 0 && a.read.at > h.answers[0].at+cancelGrace+slack+loadSlack+delay {
+			j.violate(NotAfterEnd, id, a.read.at, "an attempt after its answer")
 		}
 		if k == 0 {
 			continue
 		}
-		before := h.attempts[k-1]
-		if a.until <= a.read.at { // it was over as it was read
+		previous := h.attempts[k-1]
+		if a.endedAt <= a.read.at { // it was over as it was read
 			continue
 		}
-		if a.read.held+before.read.held > 0 { // which of them left first is not known
+		if a.read.transitDelay+previous.read.transitDelay > 0 { // which of them left first is not known
 			continue
 		}
-		if a.read.at < before.until-slack-busyMachine {
-			j.broken(OneAttempt, id, a.read.at, "attempts at %s and %s are out together", before.read.server, a.read.server)
+		if a.read.at < previous.endedAt-slack-loadSlack {
+			j.violate(OneAttempt, id, a.read.at, "attempts at %s and %s are out together", previous.read.server, a.read.server)
 		}
-		if classes[h.sent.class].single && !before.unrun {
-			j.broken(NotRepeated, id, a.read.at, "its attempt at %s may have run", before.read.server)
+		if classes[h.sent.class].sideEffect && !previous.notRun {
+			j.violate(NotRepeated, id, a.read.at, "its attempt at %s may have run", previous.read.server)
 		}
 	}
 }
--- a/internal/lab/soak/judgeend.go
+++ b/internal/lab/soak/judgeend.go
@@ -5,57 +5,57 @@
 // The checks of this file judge what is owed after a session's end, and what processes hold and log.
 
 const (
-	// releaseTime is within how long after its server's release a session's client is told, and lateRelease where its
+	// releaseTimeout is within how long after its server's release a session's client is told, and lateReleaseTimeout where its
 	// connection is gone, or its server is.
-	releaseTime, lateRelease = time.Second, 8 * time.Second
+	releaseTimeout, lateReleaseTimeout = time.Second, 8 * time.Second
 	// causeEnded and causeBroken are the ends of which a client is told; it knows of its own.
 	causeEnded, causeBroken = 16, 41
 )
 
-// released judges that the clients of sessions that ended were told.
-func (j *judgement) released() {
-	gone := map[string]time.Duration{} // by a client's end of a connection
-	died := map[string]time.Duration{}
-	for _, r := range j.report.list {
+// checkReleases judges that the clients of sessions that ended were told.
+func (j *checker) checkReleases() {
+	disconnectedAt := map[string]time.Duration{} // by a client's end of a connection
+	diedAt := map[string]time.Duration{}
+	for _, r := range j.report.records {
 		switch r.kind {
 		case connectionEnded:
-			gone[r.detail] = r.at
+			disconnectedAt[r.detail] = r.at
 		case serverDied:
-			died[r.server] = r.at
+			diedAt[r.server] = r.at
 		}
 	}
 	for _, id := range j.order {
 		h := j.requests[id]
-		server, stood := h.servedBy()
-		if !stood {
+		server, served := h.servedBy()
+		if !served {
 			continue
 		}
-		end, within := h.releaseWritten, releaseTime
-		if h.ended[server] == 0 {
-			if end = died[server]; end == 0 {
+		end, timeout := h.releaseWrittenAt, releaseTimeout
+		if h.endedAt[server] == 0 {
+			if end = diedAt[server]; end == 0 {
 				continue // it stands still, or its end was not its server's
 			}
-			within = lateRelease
-		} else if h.cause != causeEnded && h.cause != causeBroken {
+			timeout = lateReleaseTimeout
+		} else if h.releaseCause != causeEnded && h.releaseCause != causeBroken {
 			continue
 		} else if end == 0 { // its server found no connection to write it to
-			end, within = h.ended[server], lateRelease
+			end, timeout = h.endedAt[server], lateReleaseTimeout
 		}
-		if at, known := gone[h.sent.peer]; known && at < end+within {
-			within = lateRelease
+		if at, known := disconnectedAt[h.sent.peer]; known && at < end+timeout {
+			timeout = lateReleaseTimeout
 		}
-		if at := died[server]; at > end && at < end+within { // what it wrote last may have ended with it
-			end, within = at, lateRelease
+		if at := diedAt[server]; at > end && at < end+timeout { // what it wrote last may have ended with it
+			end, timeout = at, lateReleaseTimeout
 		}
-		limit := end + within + slack + busyMachine
-		limit += j.stood(h.sent.node, end, limit)
+		limit := end + timeout + slack + loadSlack
+		limit += j.suspendedFor(h.sent.node, end, limit)
 		if limit > j.o.Duration || j.nextExit(h.sent.node, h.sent.at) < limit {
 			continue
 		}
-		if len(h.released) == 0 {
-			j.broken(Released, id, limit, "its end at %s is not told to its client", server)
-		} else if at := h.released[0]; at > limit {
-			j.broken(Released, id, at, "its end at %s is told %.3f s later", server, (at - end).Seconds())
+		if len(h.releasesReadAt) == 0 {
+			j.violate(Released, id, limit, "its end at %s is not told to its client", server)
+		} else if at := h.releasesReadAt[0]; at > limit {
+			j.violate(Released, id, at, "its end at %s is told %.3f s later", server, (at - end).Seconds())
 		}
 	}
 }
@@ -73,20 +73,20 @@
 	return "", false
 }
 
-// limits judges what processes hold, and what their logs complain of.
-func (j *judgement) limits() {
-	over := map[int]bool{}
-	for _, r := range j.report.list {
+// checkLimits judges what processes hold, and what their logs complain of.
+func (j *checker) checkLimits() {
+	reported := map[int]bool{}
+	for _, r := range j.report.records {
 		switch r.kind {
 		case nodeMeasured:
 			j.report.MaxDescriptors = max(j.report.MaxDescriptors, r.descriptors)
 			j.report.MaxMemoryMB = max(j.report.MaxMemoryMB, r.megabytes)
-			if !over[r.node] && (r.descriptors > sockets || r.megabytes > memoryMB) {
-				over[r.node] = true
-				j.broken(Limits, "", r.at, "node %d holds %d descriptors of %d and %.0f MB of %d", r.node, r.descriptors, sockets, r.megabytes, memoryMB)
+			if !reported[r.node] && (r.descriptors > maxDescriptors || r.megabytes > maxMemoryMB) {
+				reported[r.node] = true
+				j.violate(Limits, "", r.at, "node %d holds %d descriptors of %d and %.0f MB of %d", r.node, r.descriptors, maxDescriptors, r.megabytes, maxMemoryMB)
 			}
-		case nodeComplained:
-			j.broken(Guarded, "", r.at, "node %d logs %s", r.node, r.detail)
+		case nodeLoggedFault:
+			j.violate(Guarded, "", r.at, "node %d logs %s", r.node, r.detail)
 		}
 	}
 }
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// killAfter is how long after SIGTERM, beyond the longest deadline, SIGKILL comes.
-	killAfter = 700 * time.Millisecond
-	// takesNewFor is how long after SIGTERM new connections still come.
-	takesNewFor = 300 * time.Millisecond
-	// slowReady is within how long nine in ten restarted processes must be ready, and lastReady all.
-	slowReady, lastReady = 10 * time.Second, 30 * time.Second
-	// readyPoll is how often a starting process is asked.
-	readyPoll = 20 * time.Millisecond
+	// killGrace is how long after SIGTERM, beyond the longest deadline, SIGKILL comes.
+	killGrace = 700 * time.Millisecond
+	// acceptAfterTerm is how long after SIGTERM new connections still come.
+	acceptAfterTerm = 300 * time.Millisecond
+	// readyTarget is within how long nine in ten restarted processes must be ready, and readyLimit all.
+	readyTarget, readyLimit = 10 * time.Second, 30 * time.Second
+	// readyPollInterval is how often a starting process is asked.
+	readyPollInterval = 20 * time.Millisecond
 )
 
 // node is one front node: a process, and the next one after it.
@@ -36,14 +36,14 @@
 	coord  *coordinator
 	nodes  int
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	exited  chan struct{} // closed when the process has ended
-	ready   bool
-	ending  time.Duration // it was sent SIGTERM then; 0 is not
-	stopped bool          // the soak is over
-	starts  int
-	door    int // of the coordinator, which its configuration names
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has ended
+	ready        bool
+	terminatedAt time.Duration // it was sent SIGTERM then; 0 is not
+	stopped      bool          // the soak is over
+	starts       int
+	replica      int // of the coordinator, which its configuration names
 }
 
 func (n *node) config() string { return filepath.Join(n.folder, fmt.Sprintf("n%d.json", n.index)) }
@@ -79,7 +79,7 @@
 		return err
 	}
 	exited := make(chan struct{})
-	n.cmd, n.exited, n.ready, n.ending = cmd, exited, false, 0
+	n.cmd, n.exited, n.ready, n.terminatedAt = cmd, exited, false, 0
 	n.log.add(record{kind: nodeStarted, node: n.index, detail: fmt.Sprintf("process %d, clock off by %v", cmd.Process.Pid, offset)})
 	go n.wait(cmd, exited)
 	go n.awaitReady(cmd, exited)
@@ -105,9 +105,9 @@
 // awaitReady asks a process until it passes its first test.
 func (n *node) awaitReady(cmd *exec.Cmd, exited chan struct{}) {
 	for {
-		if n.test() {
+		if n.ping() {
 			n.mu.Lock()
-			n.ready = n.cmd == cmd && n.ending == 0
+			n.ready = n.cmd == cmd && n.terminatedAt == 0
 			n.mu.Unlock()
 			n.log.add(record{kind: nodeReady, node: n.index})
 			return
@@ -115,12 +115,12 @@
 		select {
 		case <-exited:
 			return
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-func (n *node) test() bool {
+func (n *node) ping() bool {
 	c, err := net.DialTimeout("tcp", n.listen, 200*time.Millisecond)
 	if err != nil {
 		return false
@@ -130,11 +130,11 @@
 	return err == nil && m.Status == rtsp.OK
 }
 
-// takesNew tells whether clients may open connections to it.
-func (n *node) takesNew() bool {
+// acceptsConns tells whether clients may open connections to it.
+func (n *node) acceptsConns() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ready && (n.ending == 0 || n.log.now() < n.ending+takesNewFor)
+	return n.ready && (n.terminatedAt == 0 || n.log.now() < n.terminatedAt+acceptAfterTerm)
 }
 
 // kill ends the process at once.
@@ -152,7 +152,7 @@
 func (n *node) terminate() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
-	n.ending = n.log.now()
+	n.terminatedAt = n.log.now()
 	n.mu.Unlock()
 	n.log.add(record{kind: nodeTerminated, node: n.index})
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -162,46 +162,46 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(longest + killAfter):
+	case <-time.After(longest + killGrace):
 		n.kill()
 	}
 }
 
-// standStill has the process do nothing for so long, as a machine that is short of processor time may.
-func (n *node) standStill(long time.Duration) {
+// suspend has the process do nothing for so long, as a machine that is short of processor time may.
+func (n *node) suspend(duration time.Duration) {
 	n.mu.Lock()
 	cmd, ready := n.cmd, n.ready
 	n.mu.Unlock()
 	if !ready {
 		return
 	}
-	n.log.add(record{kind: nodeStopped, node: n.index, wait: long})
+	n.log.add(record{kind: nodeSuspended, node: n.index, wait: duration})
 	cmd.Process.Signal(syscall.SIGSTOP)
-	time.AfterFunc(long, func() { cmd.Process.Signal(syscall.SIGCONT) })
+	time.AfterFunc(duration, func() { cmd.Process.Signal(syscall.SIGCONT) })
 }
 
 // configuration is its file as it is to be now.
 func (n *node) configuration() ([]byte, error) {
 	n.mu.Lock()
-	address := n.coord.address(n.door)
+	address := n.coord.address(n.replica)
 	n.mu.Unlock()
-	return configuration(n.listen, address, n.index, n.nodes, n.coord.whole())
+	return configuration(n.listen, address, n.index, n.nodes, n.coord.snapshot())
 }
 
-// follow has further configurations name another door of the coordinator's.
-func (n *node) follow(door int) {
+// useReplica has further configurations name another door of the coordinator's.
+func (n *node) useReplica(replica int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.door = door
+	n.replica = replica
 }
 
 // reload writes the configuration anew, broken or whole, and has the process read it.
-func (n *node) reload(broken bool) {
+func (n *node) reload(truncate bool) {
 	text, err := n.configuration()
 	if err != nil {
 		return
 	}
-	if broken {
+	if truncate {
 		text = text[:len(text)/2]
 	}
 	if os.WriteFile(n.config(), text, 0o600) != nil {
@@ -211,23 +211,23 @@
 }
 
 // signal sends a signal to the process, if one runs.
-func (n *node) signal(what syscall.Signal) {
+func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd == nil || !n.ready && n.ending == 0 {
+	if n.cmd == nil || !n.ready && n.terminatedAt == 0 {
 		return
 	}
-	n.log.add(record{kind: nodeSignalled, node: n.index, detail: what.String()})
-	n.cmd.Process.Signal(what)
+	n.log.add(record{kind: nodeSignalled, node: n.index, detail: sig.String()})
+	n.cmd.Process.Signal(sig)
 }
 
-// signalEnding sends a further signal to a process that was sent SIGTERM.
-func (n *node) signalEnding(what syscall.Signal) {
+// signalTerminating sends a further signal to a process that was sent SIGTERM.
+func (n *node) signalTerminating(sig syscall.Signal) {
 	n.mu.Lock()
-	ending := n.ending > 0
+	ending := n.terminatedAt > 0
 	n.mu.Unlock()
 	if ending {
-		n.signal(what)
+		n.signal(sig)
 	}
 }
 
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -8,37 +8,37 @@
 
 // fault is one fault of a plan: when it begins, how long it lasts, and what it does.
 type fault struct {
-	at, long time.Duration
-	name     string
-	do       func(s *soak, rand *rand.Rand, long time.Duration)
+	at, duration time.Duration
+	name         string
+	do           func(s *soak, rand *rand.Rand, long time.Duration)
 }
 
 // faultKinds are all kinds of faults, with the longest time that each may last. Several of any kinds overlap.
 var faultKinds = []struct {
-	name    string
-	longest time.Duration
-	do      func(s *soak, rand *rand.Rand, long time.Duration)
+	name        string
+	maxDuration time.Duration
+	do          func(s *soak, rand *rand.Rand, long time.Duration)
 }{
 	{"node killed", time.Second, func(s *soak, rand *rand.Rand, long time.Duration) {
-		s.restart(s.nodes[rand.IntN(len(s.nodes))], true, long, s.offset(rand))
+		s.restart(s.nodes[rand.IntN(len(s.nodes))], true, long, s.clockOffset(rand))
 	}},
 	{"several nodes killed", time.Second, func(s *soak, rand *rand.Rand, long time.Duration) {
 		for _, k := range rand.Perm(len(s.nodes))[:len(s.nodes)/5] {
-			s.restart(s.nodes[k], true, long, s.offset(rand))
+			s.restart(s.nodes[k], true, long, s.clockOffset(rand))
 		}
 	}},
 	{"node restarted", 500 * time.Millisecond, func(s *soak, rand *rand.Rand, long time.Duration) {
-		s.restart(s.nodes[rand.IntN(len(s.nodes))], false, long, s.offset(rand))
+		s.restart(s.nodes[rand.IntN(len(s.nodes))], false, long, s.clockOffset(rand))
 	}},
 	{"several nodes restarted", 500 * time.Millisecond, func(s *soak, rand *rand.Rand, long time.Duration) {
 		for _, k := range rand.Perm(len(s.nodes))[:len(s.nodes)/5] {
-			s.restart(s.nodes[k], false, long, s.offset(rand))
+			s.restart(s.nodes[k], false, long, s.clockOffset(rand))
 		}
 	}},
 	{"nodes stand still", 300 * time.Millisecond, func(s *soak, rand *rand.Rand, long time.Duration) {
 		for _, n := range s.nodes {
 			if rand.IntN(2) == 0 {
-				n.standStill(long)
+				n.suspend(long)
 			}
 		}
 	}},
@@ -52,57 +52,61 @@
 	{"server replaced", time.Second, func(s *soak, rand *rand.Rand, long time.Duration) { s.replace(rand, long, true) }},
 	{"server died", time.Second, func(s *soak, rand *rand.Rand, long time.Duration) { s.replace(rand, long, false) }},
 	{"server hangs", 3 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) {
-		s.server(rand).behave(long, hang)
+		s.randomServer(rand).addEffect(long, makeHang)
 	}},
-	{"server vanishes", 3 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) { s.server(rand).behave(long, vanish) }},
-	{"server slow", 4 * time.Second, during(func(b *behavior) { b.slow = 900 * time.Millisecond })},
-	{"server full", 3 * time.Second, during(func(b *behavior) { b.full = 0.7 })},
-	{"server failing", 3 * time.Second, during(func(b *behavior) { b.failing, b.moot, b.reset = 0.2, 0.1, 0.2 })},
-	{"answers lost", 3 * time.Second, during(func(b *behavior) { b.lost = 0.3 })},
-	{"answers spoilt or doubled", 3 * time.Second, during(func(b *behavior) { b.spoilt, b.double = 0.1, 0.3 })},
-	{"releases before answers", 4 * time.Second, during(func(b *behavior) { b.early = 0.4 })},
-	{"connections reset under requests", 3 * time.Second, during(func(b *behavior) { b.cut = 0.2 })},
-	{"writes in pieces", 4 * time.Second, during(func(b *behavior) { b.pieces = 0.8 })},
-	{"connections of a server closed", 0, func(s *soak, rand *rand.Rand, _ time.Duration) { s.server(rand).cutConnections(true) }},
-	{"connections of a server reset", 0, func(s *soak, rand *rand.Rand, _ time.Duration) { s.server(rand).cutConnections(false) }},
+	{"server vanishes", 3 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) {
+		s.randomServer(rand).addEffect(long, makeUnreachable)
+	}},
+	{"server slow", 4 * time.Second, withBehavior(func(b *behavior) { b.maxExtraDelay = 900 * time.Millisecond })},
+	{"server full", 3 * time.Second, withBehavior(func(b *behavior) { b.full = 0.7 })},
+	{"server failing", 3 * time.Second, withBehavior(func(b *behavior) { b.internalError, b.notFound, b.gatewayTimeout = 0.2, 0.1, 0.2 })},
+	{"answers lost", 3 * time.Second, withBehavior(func(b *behavior) { b.dropAnswer = 0.3 })},
+	{"answers spoilt or doubled", 3 * time.Second, withBehavior(func(b *behavior) { b.malformedAnswer, b.duplicateAnswer = 0.1, 0.3 })},
+	{"releases before answers", 4 * time.Second, withBehavior(func(b *behavior) { b.earlyRelease = 0.4 })},
+	{"connections reset under requests", 3 * time.Second, withBehavior(func(b *behavior) { b.resetConn = 0.2 })},
+	{"writes in pieces", 4 * time.Second, withBehavior(func(b *behavior) { b.splitWrite = 0.8 })},
+	{"connections of a server closed", 0, func(s *soak, rand *rand.Rand, _ time.Duration) { s.randomServer(rand).closeConnections(true) }},
+	{"connections of a server reset", 0, func(s *soak, rand *rand.Rand, _ time.Duration) { s.randomServer(rand).closeConnections(false) }},
 	{"rude clients", 3 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) {
-		s.clients[rand.IntN(len(s.clients))].rude(rand, 20+rand.IntN(150), long)
+		s.clients[rand.IntN(len(s.clients))].openUselessConns(rand, 20+rand.IntN(150), long)
 	}},
-	{"crowd", 2 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) { s.crowd(rand.IntN(len(s.nodes)), long) }},
+	{"crowd", 2 * time.Second, func(s *soak, rand *rand.Rand, long time.Duration) { s.startLoadSurge(rand.IntN(len(s.nodes)), long) }},
 }
 
-// during changes how a few servers behave for a time.
-func during(change func(*behavior)) func(*soak, *rand.Rand, time.Duration) {
+// withBehavior changes how a few servers behave for a time.
+func withBehavior(change func(*behavior)) func(*soak, *rand.Rand, time.Duration) {
 	return func(s *soak, rand *rand.Rand, long time.Duration) {
 		for range 1 + rand.IntN(3) {
-			s.server(rand).behave(long, func(b *behavior, _ time.Duration) { change(b) })
+			s.randomServer(rand).addEffect(long, func(b *behavior, _ time.Duration) { change(b) })
 		}
 	}
 }
 
-// hang and vanish are effects on a server.
-func hang(b *behavior, until time.Duration)   { b.hangs = max(b.hangs, until) }
-func vanish(b *behavior, until time.Duration) { b.vanished = max(b.vanished, until) }
+// makeHang and vanish are effects on a server.
+func makeHang(b *behavior, until time.Duration) { b.hungUntil = max(b.hungUntil, until) }
+func makeUnreachable(b *behavior, until time.Duration) {
+	b.unreachableUntil = max(b.unreachableUntil, until)
+}
 
 const (
-	// faultEvery is the mean time between two faults.
-	faultEvery = 700 * time.Millisecond
+	// faultInterval is the mean time between two faults.
+	faultInterval = 700 * time.Millisecond
 	// quietStart and quietEnd are without new faults: all nodes come up, and the last requests come to their ends.
 	quietStart, quietEnd = 2 * time.Second, 4 * time.Second
 )
 
-// plan draws the faults of a soak.
-func plan(o Options) (list []fault) {
+// planFaults draws the faults of a soak.
+func planFaults(o Options) (list []fault) {
 	r := rand.New(rand.NewPCG(o.Seed, 0xfa017))
-	every := faultEvery
+	interval := faultInterval
 	if o.Dense {
-		every = denseFaultEvery
+		interval = denseFaultInterval
 	}
-	for at := quietStart; at < o.Duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(every)) {
+	for at := quietStart; at < o.Duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(interval)) {
 		k := faultKinds[r.IntN(len(faultKinds))]
 		f := fault{at: at, name: k.name, do: k.do}
-		if k.longest > 0 {
-			f.long = k.longest/4 + time.Duration(r.Int64N(int64(k.longest*3/4)))
+		if k.maxDuration > 0 {
+			f.duration = k.maxDuration/4 + time.Duration(r.Int64N(int64(k.maxDuration*3/4)))
 		}
 		list = append(list, f)
 	}
@@ -110,5 +114,5 @@
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%s for %v", f.name, f.long.Round(time.Millisecond))
+	return fmt.Sprintf("%s for %v", f.name, f.duration.Round(time.Millisecond))
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// measureEvery is how often the processes' descriptors and memory are looked at.
-const measureEvery = 100 * time.Millisecond
+// measureInterval is how often the processes' descriptors and memory are looked at.
+const measureInterval = 100 * time.Millisecond
 
-// complaints are what a node's log must not hold: violations that its own guard saw, and crashes.
-var complaints = []string{"invariant violated", "panic:", "fatal error:", "DATA RACE"}
+// faultPatterns are what a node's log must not hold: violations that its own guard saw, and crashes.
+var faultPatterns = []string{"invariant violated", "panic:", "fatal error:", "DATA RACE"}
 
-// watchProcesses looks at the processes' descriptors and memory.
-func (s *soak) watchProcesses(ctx context.Context) {
-	for pause(ctx, measureEvery) {
+// measureProcesses looks at the processes' descriptors and memory.
+func (s *soak) measureProcesses(ctx context.Context) {
+	for sleep(ctx, measureInterval) {
 		for _, n := range s.nodes {
 			n.measure()
 		}
@@ -57,8 +57,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// readLogs records what the nodes' logs complain of.
-func (s *soak) readLogs() {
+// scanLogs records what the nodes' logs complain of.
+func (s *soak) scanLogs() {
 	for _, n := range s.nodes {
 		text, err := os.ReadFile(filepath.Join(n.folder, fmt.Sprintf("n%d.log", n.index)))
 		if err != nil {
@@ -67,9 +67,9 @@
 		lines := bufio.NewScanner(bytes.NewReader(text))
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			for _, what := range complaints {
-				if strings.Contains(lines.Text(), what) {
-					n.log.add(record{kind: nodeComplained, node: n.index, detail: lines.Text()})
+			for _, pattern := range faultPatterns {
+				if strings.Contains(lines.Text(), pattern) {
+					n.log.add(record{kind: nodeLoggedFault, node: n.index, detail: lines.Text()})
 					break
 				}
 			}
--- a/internal/lab/soak/release.go
+++ b/internal/lab/soak/release.go
@@ -10,36 +10,36 @@
 
 // pendingRelease is a release that goes over the next connection opened as well.
 type pendingRelease struct {
-	id      string
-	bytes   []byte
-	ended   time.Duration
-	written time.Duration
+	id        string
+	text      []byte
+	endedAt   time.Duration
+	writtenAt time.Duration
 }
 
 // release ends a session that stands.
-func (s *server) release(x *standing, cause int) {
+func (s *server) release(sess *session, cause int) {
 	s.mu.Lock()
-	delete(s.sessions, x.id)
-	on := []*serverConn{x.on}
-	if !s.conns[x.on] {
-		on = s.connsFor(nodeOf(x.id))
+	delete(s.sessions, sess.id)
+	conns := []*serverConn{sess.on}
+	if !s.conns[sess.on] {
+		conns = s.connsToNode(nodeOf(sess.id))
 	}
 	s.mu.Unlock()
-	s.log.add(record{kind: sessionEnded, request: x.id, server: s.id, node: nodeOf(x.id), status: cause})
-	r := pendingRelease{id: x.id, ended: s.log.now(), bytes: []byte(fmt.Sprintf("TEARDOWN %s RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", x.url, x.id, cause))}
+	s.log.add(record{kind: sessionEnded, request: sess.id, server: s.id, node: nodeOf(sess.id), status: cause})
+	r := pendingRelease{id: sess.id, endedAt: s.log.now(), text: []byte(fmt.Sprintf("TEARDOWN %s RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nReason: cause=%d\r\nContent-Length: 0\r\n\r\n", sess.url, sess.id, cause))}
 	s.mu.Lock()
-	if len(s.pending) < mostPending {
-		s.pending = append(s.pending, r)
+	if len(s.pendingReleases) < maxPendingReleases {
+		s.pendingReleases = append(s.pendingReleases, r)
 	}
 	s.mu.Unlock()
-	for _, c := range on {
-		c.sayRelease(r)
+	for _, c := range conns {
+		c.sendRelease(r)
 	}
 }
 
-// connsFor gives the connections on which a node surely hears: one of its own, or, where none is known as such, all that may be.
+// connsToNode gives the connections on which a node surely hears: one of its own, or, where none is known as such, all that may be.
 // The lock is held.
-func (s *server) connsFor(node int) (list []*serverConn) {
+func (s *server) connsToNode(node int) (list []*serverConn) {
 	for c := range s.conns {
 		if c.node == node {
 			return []*serverConn{c}
@@ -51,59 +51,59 @@
 	return list
 }
 
-// sayRelease writes a release, and records that it was written.
-func (c *serverConn) sayRelease(r pendingRelease) {
-	if !c.say(r.bytes) {
+// sendRelease writes a release, and records that it was written.
+func (c *serverConn) sendRelease(r pendingRelease) {
+	if !c.send(r.text) {
 		return
 	}
-	r.written = c.s.log.now()
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+	r.writtenAt = c.server.log.now()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	c.recordRelease(r)
-	if c.recent = append(c.recent, r); len(c.recent) > mostPending {
-		c.recent = c.recent[1:]
+	if c.recentReleases = append(c.recentReleases, r); len(c.recentReleases) > maxPendingReleases {
+		c.recentReleases = c.recentReleases[1:]
 	}
 }
 
 // recordRelease records that a release was written, where it went to the node that it concerns; the server's lock is held.
 func (c *serverConn) recordRelease(r pendingRelease) {
 	if c.node == nodeOf(r.id) {
-		c.s.log.add(record{at: r.written, kind: releaseWritten, request: r.id, server: c.s.id, node: c.node, peer: c.RemoteAddr().String()})
+		c.server.log.add(record{at: r.writtenAt, kind: releaseWritten, request: r.id, server: c.server.id, node: c.node, peer: c.RemoteAddr().String()})
 	}
 }
 
 // resendReleases sends what was written to a connection just before its end over another one, or keeps it for the next.
 func (c *serverConn) resendReleases() {
-	s := c.s
+	s := c.server
 	var list []pendingRelease
 	s.mu.Lock()
-	for _, r := range c.recent {
-		if s.log.now()-r.written < surelyArrives {
+	for _, r := range c.recentReleases {
+		if s.log.now()-r.writtenAt < releaseLossWindow {
 			list = append(list, r)
 		}
 	}
-	others, dead := s.connsFor(c.node), s.dead
+	others, dead := s.connsToNode(c.node), s.dead
 	s.mu.Unlock()
 	if dead {
 		return
 	}
 	for _, o := range others { // where there are none it goes over the next one
 		for _, r := range list {
-			o.sayRelease(r)
+			o.sendRelease(r)
 		}
 	}
 }
 
-// repeatReleases sends the releases written before on this connection as well, as the platform's servers do. Whose it is
+// replayReleases sends the releases written before on this connection as well, as the platform's servers do. Whose it is
 // is not known yet; to other nodes they say nothing.
-func (c *serverConn) repeatReleases() {
-	c.s.awaitReturn()
-	c.s.mu.Lock()
-	now := c.s.log.now()
-	c.s.pending = slices.DeleteFunc(c.s.pending, func(r pendingRelease) bool { return now-r.ended > keepPending })
-	list := slices.Clone(c.s.pending)
-	c.s.mu.Unlock()
+func (c *serverConn) replayReleases() {
+	c.server.awaitReachable()
+	c.server.mu.Lock()
+	now := c.server.log.now()
+	c.server.pendingReleases = slices.DeleteFunc(c.server.pendingReleases, func(r pendingRelease) bool { return now-r.endedAt > pendingReleaseTTL })
+	list := slices.Clone(c.server.pendingReleases)
+	c.server.mu.Unlock()
 	for _, r := range list {
-		c.sayRelease(r)
+		c.sendRelease(r)
 	}
 }
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -14,28 +14,28 @@
 
 // The protocol's causes of a release.
 const (
-	causeOver  = 16
-	causeMoved = 31
-	causeCut   = 41
+	causeFinished = 16
+	causeMoved    = 31
+	causeLost     = 41
 )
 
 const (
-	// usualAnswer is what an answer takes at most.
-	usualAnswer = 30 * time.Millisecond
+	// maxAnswerDelay is what an answer takes at most.
+	maxAnswerDelay = 30 * time.Millisecond
 	// A session lasts between these.
-	shortestSession, longestSession = 100 * time.Millisecond, 1500 * time.Millisecond
-	// secondAnswer is how much later a second answer comes.
-	secondAnswer = 3 * time.Millisecond
-	// releaseLead is how long before its answer an early release leaves, at most.
-	releaseLead = 150 * time.Millisecond
-	// surelyArrives is how long after it was written a release may be lost with its connection.
-	surelyArrives = 300 * time.Millisecond
-	// mostNodes and mostTests bound what the name of a test may say.
-	mostNodes, mostTests = 1000, 1 << 20
-	// backlog is how long after a cut network's return what waited there is still being read.
-	backlog = 100 * time.Millisecond
-	// mostPending is how many releases a server keeps for connections opened later, and keepPending for how long.
-	mostPending, keepPending = 1024, 10 * time.Second
+	minSession, maxSession = 100 * time.Millisecond, 1500 * time.Millisecond
+	// duplicateDelay is how much later a second answer comes.
+	duplicateDelay = 3 * time.Millisecond
+	// maxReleaseLead is how long before its answer an early release leaves, at most.
+	maxReleaseLead = 150 * time.Millisecond
+	// releaseLossWindow is how long after it was written a release may be lost with its connection.
+	releaseLossWindow = 300 * time.Millisecond
+	// maxNodes and maxProbes bound what the name of a test may say.
+	maxNodes, maxProbes = 1000, 1 << 20
+	// backlogWindow is how long after a cut network's return what waited there is still being read.
+	backlogWindow = 100 * time.Millisecond
+	// maxPendingReleases is how many releases a server keeps for connections opened later, and pendingReleaseTTL for how long.
+	maxPendingReleases, pendingReleaseTTL = 1024, 10 * time.Second
 )
 
 // server is the stand-in for a streaming server: one process of it, under one id. Its connections are the soak's fault
@@ -46,32 +46,32 @@
 	cell int
 	log  *log
 
-	mu       sync.Mutex
-	rand     *rand.Rand
-	effects  []effect         // emptied by time
-	pending  []pendingRelease // releases that go over the next connection opened as well; emptied by that
-	conns    map[*serverConn]bool
-	sessions map[string]*standing
-	dead     bool
+	mu              sync.Mutex
+	rand            *rand.Rand
+	effects         []effect         // emptied by time
+	pendingReleases []pendingRelease // releases that go over the next connection opened as well; emptied by that
+	conns           map[*serverConn]bool
+	sessions        map[string]*session
+	dead            bool
 }
 
-// standing is a session at a server, from its attempt's arrival on.
-type standing struct {
-	id     string
-	on     *serverConn
-	out    bool // its answer was not written yet
-	stands bool
-	url    string
+// session is a session at a server, from its attempt's arrival on.
+type session struct {
+	id            string
+	on            *serverConn
+	answerPending bool // its answer was not written yet
+	established   bool
+	url           string
 }
 
 type serverConn struct {
 	net.Conn
-	s      *server
-	write  sync.Mutex
-	node   int           // whose it is, as its messages tell; -1 before any; with the server's lock held
-	away   time.Duration // how long what came last was on its way, and until when; the reader's alone
-	back   time.Duration
-	recent []pendingRelease // releases that may not have arrived; with the server's lock held
+	server         *server
+	writeMu        sync.Mutex
+	node           int           // whose it is, as its messages tell; -1 before any; with the server's lock held
+	transitDelay   time.Duration // how long what came last was on its way, and until when; the reader's alone
+	reachableAt    time.Duration
+	recentReleases []pendingRelease // releases that may not have arrived; with the server's lock held
 }
 
 func newServer(l *log, id, host string, cell int, seed uint64) (*server, error) {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{Listener: n, id: id, cell: cell, log: l, rand: rand.New(rand.NewPCG(seed, 0x5e7)), conns: map[*serverConn]bool{}, sessions: map[string]*standing{}}
+	s := &server{Listener: n, id: id, cell: cell, log: l, rand: rand.New(rand.NewPCG(seed, 0x5e7)), conns: map[*serverConn]bool{}, sessions: map[string]*session{}}
 	go s.accept()
 	return s, nil
 }
@@ -93,7 +93,7 @@
 		if err != nil {
 			return
 		}
-		c := &serverConn{Conn: n, s: s, node: -1}
+		c := &serverConn{Conn: n, server: s, node: -1}
 		s.mu.Lock()
 		dead := s.dead
 		s.conns[c] = true
@@ -103,7 +103,7 @@
 			return
 		}
 		go c.read()
-		go c.repeatReleases()
+		go c.replayReleases()
 	}
 }
 
@@ -122,12 +122,12 @@
 	}
 }
 
-// cutConnections resets what is open now, and goes on.
-func (s *server) cutConnections(idle bool) {
+// closeConnections resets what is open now, and goes on.
+func (s *server) closeConnections(orderly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if idle {
+		if orderly {
 			c.Close()
 		} else {
 			c.reset()
@@ -142,20 +142,20 @@
 	c.Close()
 }
 
-// say writes a message, in pieces where that is to be; false where its connection has ended.
-func (c *serverConn) say(b []byte) bool {
-	c.s.awaitReturn()
-	c.s.mu.Lock()
-	pieces := c.s.chance(c.s.behavior().pieces)
-	cut := 1 + c.s.rand.IntN(len(b))
-	c.s.mu.Unlock()
-	c.write.Lock()
-	defer c.write.Unlock()
+// send writes a message, in pieces where that is to be; false where its connection has ended.
+func (c *serverConn) send(b []byte) bool {
+	c.server.awaitReachable()
+	c.server.mu.Lock()
+	split := c.server.chance(c.server.currentBehavior().splitWrite)
+	splitAt := 1 + c.server.rand.IntN(len(b))
+	c.server.mu.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	if pieces {
-		c.Write(b[:cut])
+	if split {
+		c.Write(b[:splitAt])
 		time.Sleep(time.Millisecond)
-		b = b[cut:]
+		b = b[splitAt:]
 	}
 	_, err := c.Write(b)
 	return err == nil
@@ -163,38 +163,38 @@
 
 // awaitReturn is the server's, for what is read; what waited behind a message was on its way as long.
 func (c *serverConn) awaitReturn() time.Duration {
-	away := c.s.awaitReturn()
-	now := c.s.log.now()
-	if now-away-c.back < backlog { // what waited there since before the last return
-		away += c.away
+	delay := c.server.awaitReachable()
+	now := c.server.log.now()
+	if now-delay-c.reachableAt < backlogWindow { // what waited there since before the last return
+		delay += c.transitDelay
 	}
-	if away > 0 {
-		c.away, c.back = away, now
+	if delay > 0 {
+		c.transitDelay, c.reachableAt = delay, now
 	}
-	return away
+	return delay
 }
 
-// learn takes from a message whose connection it is.
-func (c *serverConn) learn(m *rtsp.Message) {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+// identifyNode takes from a message whose connection it is.
+func (c *serverConn) identifyNode(m *rtsp.Message) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	known := c.node >= 0
 	switch {
 	case known:
 	case m.Method == rtsp.Setup:
 		c.node = nodeOf(m.Session())
 	case m.Method == rtsp.Options:
-		c.node = testedBy(m.Session())
+		c.node = probeSender(m.Session())
 	}
 	if c.node >= 0 && !known {
-		for _, r := range c.recent {
+		for _, r := range c.recentReleases {
 			c.recordRelease(r)
 		}
 	}
 }
 
 func (c *serverConn) read() {
-	s := c.s
+	s := c.server
 	in := rtsp.NewConn(c.Conn, rtsp.Limits{})
 	for {
 		m, _, err := in.Next()
@@ -204,25 +204,25 @@
 		if m == nil {
 			continue
 		}
-		away := c.awaitReturn()
+		delay := c.awaitReturn()
 		s.mu.Lock()
-		quiet := s.behavior().hangs - s.log.now()
+		quiet := s.currentBehavior().hungUntil - s.log.now()
 		s.mu.Unlock()
-		c.learn(m)
+		c.identifyNode(m)
 		switch m.Method {
 		case rtsp.Setup:
-			c.attempt(m, away)
+			c.handleSetup(m, delay)
 		case rtsp.TearDown:
-			c.givenUp(m, away)
+			c.handleTeardown(m, delay)
 			if quiet <= 0 {
-				c.say(answer(m.Session(), 2, rtsp.OK, ""))
+				c.send(formatAnswer(m.Session(), 2, rtsp.OK, ""))
 			}
 		case rtsp.SetParameter:
 			rung, _ := strconv.Atoi(m.Header.Get("X-Quality"))
 			s.log.add(record{kind: rungRead, request: m.Session(), server: s.id, rung: rung, node: -1})
 		case rtsp.Options:
 			if quiet <= 0 {
-				c.say([]byte("RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: " + m.Session() + "\r\nX-State: cpu:0.25;x1:0.5\r\nContent-Length: 0\r\n\r\n"))
+				c.send([]byte("RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: " + m.Session() + "\r\nX-State: cpu:0.25;x1:0.5\r\nContent-Length: 0\r\n\r\n"))
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 	delete(s.conns, c)
 	var gone []string
 	for id, x := range s.sessions {
-		if x.on == c && x.out {
+		if x.on == c && x.answerPending {
 			gone = append(gone, id)
 			delete(s.sessions, id)
 		}
@@ -239,42 +239,42 @@
 	s.mu.Unlock()
 	go c.resendReleases()
 	for _, id := range gone {
-		s.log.add(record{kind: attemptGivenUp, request: id, server: s.id, node: -1, detail: "its connection ended"})
+		s.log.add(record{kind: attemptCancelled, request: id, server: s.id, node: -1, detail: "its connection ended"})
 	}
 }
 
-// attempt takes a SETUP, which was on its way for so long.
-func (c *serverConn) attempt(m *rtsp.Message, away time.Duration) {
-	s := c.s
+// handleSetup takes a SETUP, which was on its way for so long.
+func (c *serverConn) handleSetup(m *rtsp.Message, delay time.Duration) {
+	s := c.server
 	id := m.Session()
 	rung, _ := strconv.Atoi(m.Header.Get("X-Quality"))
 	wait, _ := strconv.Atoi(m.Header.Get("X-Patience"))
-	s.log.add(record{kind: attemptRead, request: id, server: s.id, node: nodeOf(id), rung: rung, wait: time.Duration(wait) * time.Millisecond, held: away})
+	s.log.add(record{kind: attemptRead, request: id, server: s.id, node: nodeOf(id), rung: rung, wait: time.Duration(wait) * time.Millisecond, transitDelay: delay})
 	s.mu.Lock()
-	x := &standing{id: id, on: c, out: true, url: m.URL}
-	s.sessions[id] = x
-	b := s.behavior()
-	after := time.Duration(s.rand.Int64N(int64(usualAnswer)))
-	if b.slow > 0 {
-		after += time.Duration(s.rand.Int64N(int64(b.slow)))
+	sess := &session{id: id, on: c, answerPending: true, url: m.URL}
+	s.sessions[id] = sess
+	b := s.currentBehavior()
+	after := time.Duration(s.rand.Int64N(int64(maxAnswerDelay)))
+	if b.maxExtraDelay > 0 {
+		after += time.Duration(s.rand.Int64N(int64(b.maxExtraDelay)))
 	}
-	if quiet := b.hangs - s.log.now(); quiet > 0 {
-		after += quiet
+	if hung := b.hungUntil - s.log.now(); hung > 0 {
+		after += hung
 	}
 	status := rtsp.OK
 	switch {
 	case s.chance(b.full):
 		status = rtsp.NotEnoughBandwidth
-	case s.chance(b.failing):
+	case s.chance(b.internalError):
 		status = rtsp.InternalError
-	case s.chance(b.moot):
+	case s.chance(b.notFound):
 		status = rtsp.SessionNotFound
-	case s.chance(b.reset):
+	case s.chance(b.gatewayTimeout):
 		status = rtsp.GatewayTimeout
 	}
-	closed := s.chance(b.closed)
-	cut, lost, early := s.chance(b.cut), s.chance(b.lost), s.chance(b.early)
-	double, spoilt := s.chance(b.double), s.chance(b.spoilt)
+	closed := s.chance(b.closeConn)
+	cut, lost, early := s.chance(b.resetConn), s.chance(b.dropAnswer), s.chance(b.earlyRelease)
+	double, spoilt := s.chance(b.duplicateAnswer), s.chance(b.malformedAnswer)
 	s.mu.Unlock()
 	if closed {
 		c.Close()
@@ -285,29 +285,29 @@
 		case cut:
 			c.reset()
 		case status != rtsp.OK:
-			s.refuse(x, status)
+			s.refuse(sess, status)
 		default:
-			s.serve(x, lost, early, double, spoilt)
+			s.serve(sess, lost, early, double, spoilt)
 		}
 	})
 }
 
 // gone tells whether a session is no longer there: it was given up, or its server is dead.
-func (s *server) gone(x *standing) bool {
+func (s *server) gone(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dead || s.sessions[x.id] != x
+	return s.dead || s.sessions[sess.id] != sess
 }
 
-func (s *server) refuse(x *standing, status int) {
-	if s.gone(x) {
+func (s *server) refuse(sess *session, status int) {
+	if s.gone(sess) {
 		return
 	}
 	s.mu.Lock()
-	delete(s.sessions, x.id)
+	delete(s.sessions, sess.id)
 	s.mu.Unlock()
-	s.log.add(record{kind: attemptAnswered, request: x.id, server: s.id, node: nodeOf(x.id), status: status})
-	x.on.say(answer(x.id, 1, status, ""))
+	s.log.add(record{kind: attemptAnswered, request: sess.id, server: s.id, node: nodeOf(sess.id), status: status})
+	sess.on.send(formatAnswer(sess.id, 1, status, ""))
 }
 
 // description is what a server gives for a session, told apart from any other one's.
@@ -315,73 +315,73 @@
 	return fmt.Sprintf("%s\r\nc=IN IP4 127.0.0.2\r\ns=%s\r\nm=video 31000 RTP/AVP 33\r\n", id, server)
 }
 
-func (s *server) serve(x *standing, lost, early, double, spoilt bool) {
-	if s.gone(x) {
+func (s *server) serve(sess *session, drop, early, duplicate, malformed bool) {
+	if s.gone(sess) {
 		return
 	}
 	s.mu.Lock()
-	long := shortestSession + time.Duration(s.rand.Int64N(int64(longestSession-shortestSession)))
-	lead := time.Duration(s.rand.Int64N(int64(releaseLead)))
-	x.stands = true
+	lifetime := minSession + time.Duration(s.rand.Int64N(int64(maxSession-minSession)))
+	lead := time.Duration(s.rand.Int64N(int64(maxReleaseLead)))
+	sess.established = true
 	s.mu.Unlock()
 	if early {
-		s.release(x, causeMoved)
-		time.AfterFunc(lead, func() { s.answer(x, lost, double, spoilt) })
+		s.release(sess, causeMoved)
+		time.AfterFunc(lead, func() { s.sendAnswer(sess, drop, duplicate, malformed) })
 		return
 	}
-	s.answer(x, lost, double, spoilt)
-	time.AfterFunc(long, func() {
-		if !s.gone(x) {
-			s.release(x, causeOver)
+	s.sendAnswer(sess, drop, duplicate, malformed)
+	time.AfterFunc(lifetime, func() {
+		if !s.gone(sess) {
+			s.release(sess, causeFinished)
 		}
 	})
 }
 
-func (s *server) answer(x *standing, lost, double, spoilt bool) {
-	b := answer(x.id, 1, rtsp.OK, description(x.id, s.id))
+func (s *server) sendAnswer(sess *session, drop, duplicate, malformed bool) {
+	b := formatAnswer(sess.id, 1, rtsp.OK, description(sess.id, s.id))
 	detail := ""
 	switch {
-	case lost:
+	case drop:
 		detail = "lost"
-	case spoilt:
+	case malformed:
 		detail = "spoilt"
 		b = []byte(strings.Replace(string(b), "Content-Length: ", "Content-Length: -", 1))
 	}
-	s.log.add(record{kind: attemptAnswered, request: x.id, server: s.id, node: nodeOf(x.id), status: rtsp.OK, detail: detail})
+	s.log.add(record{kind: attemptAnswered, request: sess.id, server: s.id, node: nodeOf(sess.id), status: rtsp.OK, detail: detail})
 	s.mu.Lock()
-	x.out = false
+	sess.answerPending = false
 	s.mu.Unlock()
-	if lost {
+	if drop {
 		return
 	}
-	x.on.say(b)
-	if double {
-		time.Sleep(secondAnswer)
-		x.on.say(b)
+	sess.on.send(b)
+	if duplicate {
+		time.Sleep(duplicateDelay)
+		sess.on.send(b)
 	}
 }
 
-// givenUp takes a TEARDOWN, which was on its way for so long.
-func (c *serverConn) givenUp(m *rtsp.Message, away time.Duration) {
-	s := c.s
+// handleTeardown takes a TEARDOWN, which was on its way for so long.
+func (c *serverConn) handleTeardown(m *rtsp.Message, delay time.Duration) {
+	s := c.server
 	s.mu.Lock()
 	delete(s.sessions, m.Session())
 	s.mu.Unlock()
-	s.log.add(record{kind: attemptGivenUp, request: m.Session(), server: s.id, node: nodeOf(m.Session()), held: away, detail: "TEARDOWN " + m.Header.Get("Reason")})
+	s.log.add(record{kind: attemptCancelled, request: m.Session(), server: s.id, node: nodeOf(m.Session()), transitDelay: delay, detail: "TEARDOWN " + m.Header.Get("Reason")})
 }
 
-func answer(id string, seq, status int, body string) []byte {
+func formatAnswer(id string, seq, status int, body string) []byte {
 	return []byte(fmt.Sprintf("RTSP/1.0 %d %s\r\nCSeq: %d\r\nSession: %s\r\nContent-Length: %d\r\n\r\n%s", status, rtsp.Reason(status), seq, id, len(body), body))
 }
 
-// testedBy is the node that sent a test: it counts its tests on from its seed.
-func testedBy(id string) int {
-	test, err := strconv.ParseUint(id, 16, 64)
+// probeSender is the node that sent a test: it counts its tests on from its seed.
+func probeSender(id string) int {
+	probe, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
 		return -1
 	}
-	for node := range mostNodes {
-		if test-nodeSeed(node) < mostTests {
+	for node := range maxNodes {
+		if probe-nodeSeed(node) < maxProbes {
 			return node
 		}
 	}
@@ -389,7 +389,7 @@
 }
 
 // requestID names a request; its node can be told from it.
-func requestID(node int, k uint64) string { return fmt.Sprintf("%04x%012x", node, k) }
+func requestID(node int, serial uint64) string { return fmt.Sprintf("%04x%012x", node, serial) }
 
 // nodeOf is the node that a request was sent to; -1 where the id is not one of the soak's.
 func nodeOf(id string) int {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -42,28 +42,28 @@
 	nodes   []*node
 	clients []*clients
 
-	mu      sync.Mutex
-	servers []*server // those that are up
-	made    int
-	crowded map[int]time.Duration // nodes that get several times the mean, until then
-	seed    uint64
-	pending sync.WaitGroup // restarts under way
-	network int            // the second byte of its nodes' addresses
+	mu          sync.Mutex
+	servers     []*server // those that are up
+	serversMade int
+	surgeUntil  map[int]time.Duration // nodes that get several times the mean, until then
+	seed        uint64
+	background  sync.WaitGroup // restarts under way
+	network     int            // the second byte of its nodes' addresses
 }
 
 const (
-	// crowdFactor is how much more a crowded node gets than the mean.
-	crowdFactor = 5.0
+	// surgeFactor is how much more a crowded node gets than the mean.
+	surgeFactor = 5.0
 	// nodeHost and serverHost are the addresses of nodes and servers on loopback; each soak has a network for its nodes.
 	nodeHost, serverHost           = "127.%d.%d.%d:20000", "127.22.%d.%d:0"
 	firstNetwork, numberOfNetworks = 32, 200
-	// drainTime is how long a draining server goes on before it is gone.
-	drainTime = 1500 * time.Millisecond
+	// drainDuration is how long a draining server goes on before it is gone.
+	drainDuration = 1500 * time.Millisecond
 )
 
 // Run plays a soak and judges it.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s := &soak{o: o, log: &log{began: time.Now()}, crowded: map[int]time.Duration{}, seed: o.Seed}
+	s := &soak{o: o, log: &log{startedAt: time.Now()}, surgeUntil: map[int]time.Duration{}, seed: o.Seed}
 	claim, err := s.claimNetwork()
 	if err != nil {
 		return nil, err
@@ -86,27 +86,27 @@
 	defer cancel()
 	var all sync.WaitGroup
 	for _, c := range s.clients {
-		all.Go(func() { s.ask(ctx, c) })
-		all.Go(func() { c.rest(ctx, rand.New(rand.NewPCG(o.Seed, uint64(1000+c.node.index)))) })
+		all.Go(func() { s.sendRequests(ctx, c) })
+		all.Go(func() { c.sendNearIdleClose(ctx, rand.New(rand.NewPCG(o.Seed, uint64(1000+c.node.index)))) })
 	}
 	if s.o.Dense {
 		for _, c := range s.clients {
-			all.Go(func() { c.aim(ctx, rand.New(rand.NewPCG(o.Seed, uint64(3000+c.node.index)))) })
+			all.Go(func() { c.raceIdleCloses(ctx, rand.New(rand.NewPCG(o.Seed, uint64(3000+c.node.index)))) })
 		}
-		all.Go(func() { s.playStories(ctx) })
-		all.Go(func() { s.playCrowd(ctx) })
+		all.Go(func() { s.runScenarios(ctx) })
+		all.Go(func() { s.runLoadSurge(ctx) })
 	}
-	all.Go(func() { s.watchProcesses(ctx) })
-	s.playFaults(ctx)
+	all.Go(func() { s.measureProcesses(ctx) })
+	s.runFaults(ctx)
 	<-ctx.Done()
 	all.Wait()
-	s.pending.Wait()
+	s.background.Wait()
 	time.Sleep(2500 * time.Millisecond) // the last requests come to their ends
 	for _, n := range s.nodes {
 		n.stop()
 	}
-	s.readLogs()
-	return judge(s.log.sorted(), o), nil
+	s.scanLogs()
+	return check(s.log.sorted(), o), nil
 }
 
 // claimNetwork finds a loopback network that no other soak on the machine uses, and holds it by one of its addresses.
@@ -126,15 +126,15 @@
 	for k := range s.o.Nodes {
 		n := &node{index: k, listen: fmt.Sprintf(nodeHost, s.network, k/250, k%250+1), folder: s.o.Folder, o: s.o, log: s.log, coord: s.coord, nodes: s.o.Nodes}
 		s.nodes = append(s.nodes, n)
-		s.clients = append(s.clients, &clients{node: n, log: s.log, rand: rand.New(rand.NewPCG(s.o.Seed, uint64(k))), next: &next,
-			dense: s.o.Dense, againRand: newAgainRand(s.o.Seed, k)})
+		s.clients = append(s.clients, &clients{node: n, log: s.log, rand: rand.New(rand.NewPCG(s.o.Seed, uint64(k))), nextID: &next,
+			dense: s.o.Dense, retryRand: newRetryRand(s.o.Seed, k)})
 	}
 	if s.o.Sabotage == frontnode.SabotageReady { // else nobody would be up
 		fmt.Fprintln(os.Stderr, "soak: starts are sabotaged, so nobody is served")
 	}
 	r := rand.New(rand.NewPCG(s.o.Seed, 0xc10c))
 	for _, n := range s.nodes {
-		if err := n.start(s.offset(r)); err != nil {
+		if err := n.start(s.clockOffset(r)); err != nil {
 			for _, n := range s.nodes {
 				n.stop()
 			}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// offset draws how far a starting process's wall clock is off: as it is told, by seconds, or by an hour.
-func (s *soak) offset(r *rand.Rand) time.Duration {
+// clockOffset draws how far a starting process's wall clock is off: as it is told, by seconds, or by an hour.
+func (s *soak) clockOffset(r *rand.Rand) time.Duration {
 	steps := []time.Duration{0, 0, time.Second, 3 * time.Second, time.Hour}
 	step := steps[r.IntN(len(steps))]
 	if r.IntN(2) == 0 {
@@ -157,50 +157,50 @@
 	return step
 }
 
-// ask sends a node's requests.
-func (s *soak) ask(ctx context.Context, c *clients) {
+// sendRequests sends a node's requests.
+func (s *soak) sendRequests(ctx context.Context, c *clients) {
 	for {
 		rate := s.o.Rate
 		s.mu.Lock()
-		if s.crowded[c.node.index] > s.log.now() {
-			rate *= crowdFactor
+		if s.surgeUntil[c.node.index] > s.log.now() {
+			rate *= surgeFactor
 		}
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Duration(c.rand.ExpFloat64() / rate * float64(time.Second))):
-			c.ask()
+			c.sendRandom()
 		}
 	}
 }
 
-func (s *soak) playFaults(ctx context.Context) {
+func (s *soak) runFaults(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.o.Seed, 0xd0))
-	for _, f := range plan(s.o) {
+	for _, f := range planFaults(s.o) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(f.at - s.log.now()):
 		}
-		s.tellFault(f.String())
-		f.do(s, r, f.long)
+		s.reportFault(f.String())
+		f.do(s, r, f.duration)
 	}
 }
 
-// tellFault records a fault, and tells whoever follows the soak.
-func (s *soak) tellFault(what string) {
-	at := s.log.add(record{kind: faultBegan, node: -1, detail: what})
+// reportFault records a fault, and tells whoever follows the soak.
+func (s *soak) reportFault(name string) {
+	at := s.log.add(record{kind: faultStarted, node: -1, detail: name})
 	if s.o.OnFault != nil {
-		s.o.OnFault(at, what)
+		s.o.OnFault(at, name)
 	}
 }
 
 // restart ends a node's process, by SIGKILL or SIGTERM, and starts the next one after a while.
 func (s *soak) restart(n *node, kill bool, after, offset time.Duration) {
-	s.pending.Go(func() {
+	s.background.Go(func() {
 		n.mu.Lock()
-		busy := !n.ready || n.ending > 0
+		busy := !n.ready || n.terminatedAt > 0
 		n.mu.Unlock()
 		if busy { // it is being restarted
 			return
@@ -212,20 +212,20 @@
 		}
 		time.Sleep(after)
 		if err := n.start(offset); err != nil {
-			s.log.add(record{kind: faultBegan, node: n.index, detail: "not started: " + err.Error()})
+			s.log.add(record{kind: faultStarted, node: n.index, detail: "not started: " + err.Error()})
 		}
 	})
 }
 
-// crowd has a node get several times the mean.
-func (s *soak) crowd(node int, long time.Duration) {
+// startLoadSurge has a node get several times the mean.
+func (s *soak) startLoadSurge(node int, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crowded[node] = s.log.now() + long
+	s.surgeUntil[node] = s.log.now() + duration
 }
 
-// server is one of the servers that are up.
-func (s *soak) server(r *rand.Rand) *server {
+// randomServer is one of the servers that are up.
+func (s *soak) randomServer(r *rand.Rand) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers[r.IntN(len(s.servers))]
@@ -234,22 +234,22 @@
 // newServer starts a server in a cell and has it told; started is its wall time, 0 for long ago.
 func (s *soak) newServer(cell int, started int64) error {
 	s.mu.Lock()
-	s.made++
-	k := s.made
+	s.serversMade++
+	k := s.serversMade
 	s.mu.Unlock()
-	sv, err := newServer(s.log, fmt.Sprintf("s-%d", k), fmt.Sprintf(serverHost, k/250, k%250+1), cell, s.seed+uint64(k))
+	srv, err := newServer(s.log, fmt.Sprintf("s-%d", k), fmt.Sprintf(serverHost, k/250, k%250+1), cell, s.seed+uint64(k))
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.servers = append(s.servers, sv)
+	s.servers = append(s.servers, srv)
 	s.mu.Unlock()
-	s.coord.tell(sv.entry("up", started))
+	s.coord.publish(srv.entry("up", started))
 	return nil
 }
 
-func (sv *server) entry(state string, started int64) entry {
-	return entry{ID: sv.id, Addr: sv.Addr().String(), Zone: "a", Kind: "std", Cell: sv.cell, State: state, Weight: 1, StartedAtMs: started}
+func (s *server) entry(state string, started int64) entry {
+	return entry{ID: s.id, Addr: s.Addr().String(), Zone: "a", Kind: "std", Cell: s.cell, State: state, Weight: 1, StartedAtMs: started}
 }
 
 // replace drains a server, or has it die, and starts another one in its place. At least half of them stay.
@@ -260,19 +260,19 @@
 		return
 	}
 	k := r.IntN(len(s.servers))
-	sv := s.servers[k]
+	srv := s.servers[k]
 	s.servers = append(s.servers[:k:k], s.servers[k+1:]...)
 	s.mu.Unlock()
-	s.pending.Go(func() {
+	s.background.Go(func() {
 		if drain {
-			s.coord.tell(sv.entry("draining", 0))
-			time.Sleep(drainTime)
+			s.coord.publish(srv.entry("draining", 0))
+			time.Sleep(drainDuration)
 		}
-		sv.kill()
+		srv.kill()
 		time.Sleep(after)
-		s.coord.tell(sv.entry("removed", 0))
-		if err := s.newServer(sv.cell, time.Now().UnixMilli()); err != nil {
-			s.log.add(record{kind: faultBegan, node: -1, detail: "server not started: " + err.Error()})
+		s.coord.publish(srv.entry("removed", 0))
+		if err := s.newServer(srv.cell, time.Now().UnixMilli()); err != nil {
+			s.log.add(record{kind: faultStarted, node: -1, detail: "server not started: " + err.Error()})
 		}
 	})
 }
@@ -280,7 +280,7 @@
 func (s *soak) stopServers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, sv := range s.servers {
-		sv.kill()
+	for _, srv := range s.servers {
+		srv.kill()
 	}
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,8 +14,8 @@
 	frontnode "rainhaven/internal/node"
 )
 
-// program builds the program whose processes are played.
-func program(t *testing.T) string {
+// buildProgram builds the buildProgram whose processes are played.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rainhaven")
 	build := exec.Command("go", "build", "-tags", "trials", "-buildvcs=false", "-o", path, "rainhaven/cmd/rainhaven")
@@ -25,8 +25,8 @@
 	return path
 }
 
-// short is a soak that takes little time.
-func short(t *testing.T, program string, seed uint64) Options {
+// shortOptions is a soak that takes little time.
+func shortOptions(t *testing.T, program string, seed uint64) Options {
 	o := DefaultOptions()
 	o.Program, o.Folder, o.Seed, o.Nodes, o.Duration = program, t.TempDir(), seed, 12, 12*time.Second
 	return o
@@ -34,9 +34,9 @@
 
 // Real processes under overlapping faults keep every invariant.
 func TestSoak(t *testing.T) {
-	p := program(t)
+	p := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
-		r, err := Run(context.Background(), short(t, p, seed))
+		r, err := Run(context.Background(), shortOptions(t, p, seed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 
 // A handful of processes under many faults at once keep every invariant.
 func TestDenseSoak(t *testing.T) {
-	p := program(t)
+	p := buildProgram(t)
 	for _, seed := range []uint64{1, 3} { // without a crowd, and with one
 		o := DenseOptions()
 		o.Program, o.Folder, o.Seed = p, t.TempDir(), seed
@@ -67,35 +67,35 @@
 }
 
 // Every story has a name of its own, and a seed plays them in the same order.
-func TestStories(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	seen := map[string]bool{}
-	for _, s := range stories {
-		if s.name == "" || s.play == nil || seen[s.name] {
+	for _, s := range scenarios {
+		if s.name == "" || s.run == nil || seen[s.name] {
 			t.Errorf("story %q", s.name)
 		}
 		seen[s.name] = true
 	}
-	if a, b := storyOrder(7, DenseOptions().Duration), storyOrder(7, DenseOptions().Duration); !slices.Equal(a, b) || len(a) < 10 {
+	if a, b := scheduleScenarios(7, DenseOptions().Duration), scheduleScenarios(7, DenseOptions().Duration); !slices.Equal(a, b) || len(a) < 10 {
 		t.Errorf("seed 7 plays %v, then %v", a, b)
 	}
 }
 
 // Effects on a server add up, and each ends by itself.
 func TestEffectsOverlap(t *testing.T) {
-	s := &server{log: &log{began: time.Now()}}
-	s.behave(time.Hour, hang)
-	s.behave(20*time.Millisecond, func(b *behavior, _ time.Duration) { b.full = 1 })
-	if b := s.behavior(); b.full != 1 || b.hangs == 0 {
+	s := &server{log: &log{startedAt: time.Now()}}
+	s.addEffect(time.Hour, makeHang)
+	s.addEffect(20*time.Millisecond, func(b *behavior, _ time.Duration) { b.full = 1 })
+	if b := s.currentBehavior(); b.full != 1 || b.hungUntil == 0 {
 		t.Errorf("both in force: %+v", b)
 	}
 	time.Sleep(30 * time.Millisecond)
-	if b := s.behavior(); b.full != 0 || b.hangs == 0 {
+	if b := s.currentBehavior(); b.full != 0 || b.hungUntil == 0 {
 		t.Errorf("one over: %+v", b)
 	}
 }
 
 // What the coordinator has counts as told at once, and in an outage within the platform's times.
-func TestToldBy(t *testing.T) {
+func TestNotifiedBy(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
 		name               string
@@ -109,18 +109,18 @@
 		{"well after one", 2 * s, 3 * s, 10 * s, 10 * s},
 	} {
 		k := &coordinator{}
-		for i := range k.doors {
-			k.doors[i] = &door{c: k}
+		for i := range k.replicas {
+			k.replicas[i] = &replica{c: k}
 		}
-		k.doors[1].began, k.doors[1].silent = c.began, c.silent
-		if got := k.toldBy(c.now); got != c.want {
+		k.replicas[1].outageStart, k.replicas[1].silentUntil = c.began, c.silent
+		if got := k.notifiedBy(c.now); got != c.want {
 			t.Errorf("%s: told at %v, not %v", c.name, got, c.want)
 		}
 	}
 }
 
-// caught names the invariant that each sabotage must break.
-var caught = map[frontnode.Sabotage]Invariant{
+// expectedViolation names the invariant that each sabotage must break.
+var expectedViolation = map[frontnode.Sabotage]Invariant{
 	frontnode.SabotageAnswer: Answered, frontnode.SabotageTwice: Answered, frontnode.SabotageRefusal: NotRepeated,
 	frontnode.SabotageRepeat: NotRepeated, frontnode.SabotageOverlap: OneAttempt, frontnode.SabotageDrain: Drained,
 	frontnode.SabotageSlowStart: SlowStart, frontnode.SabotageFloor: Terms, frontnode.SabotageSeats: Terms,
@@ -134,10 +134,10 @@
 func TestEachInvariantHasASabotage(t *testing.T) {
 	seen := map[Invariant]bool{}
 	for _, s := range frontnode.Sabotages {
-		if caught[s] == "" {
+		if expectedViolation[s] == "" {
 			t.Errorf("%s breaks nothing", s)
 		}
-		seen[caught[s]] = true
+		seen[expectedViolation[s]] = true
 	}
 	for _, i := range Invariants {
 		if !seen[i] {
@@ -149,14 +149,14 @@
 // Sabotaged processes are caught: a few in each run, by their seeds; all with SOAK_SABOTAGES set. Those that need particular
 // faults or many processes are played by `rainhaven soak --sabotage`.
 func TestSabotagesAreCaught(t *testing.T) {
-	p := program(t)
+	p := buildProgram(t)
 	list := []frontnode.Sabotage{frontnode.SabotageAnswer, frontnode.SabotageOverlap, frontnode.SabotageDeadline}
 	if os.Getenv("SOAK_SABOTAGES") != "" {
 		list = frontnode.Sabotages
 	}
 	for _, s := range list {
 		t.Run(string(s), func(t *testing.T) {
-			o := short(t, p, 1)
+			o := shortOptions(t, p, 1)
 			o.Sabotage = s
 			r, err := Run(context.Background(), o)
 			if err != nil {
@@ -168,17 +168,17 @@
 				t.Fatalf("nothing was noticed:\n%s", b.String())
 			}
 			for _, v := range r.Violations {
-				if v.Invariant == caught[s] {
+				if v.Invariant == expectedViolation[s] {
 					return
 				}
 			}
-			t.Errorf("%q was not violated:\n%s", caught[s], b.String())
+			t.Errorf("%q was not violated:\n%s", expectedViolation[s], b.String())
 		})
 	}
 }
 
 // The judge alone, on traffic made by hand: a clean request passes, and each way to break an invariant is found.
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	const id = "0003000000000007"
 	sent := record{at: time.Second, kind: requestSent, request: id, node: 3, class: 1, wait: 1430 * time.Millisecond, title: "t"}
 	attempt := func(at time.Duration, server string) record {
@@ -198,7 +198,7 @@
 		want Invariant
 	}{
 		{"clean", clean, ""},
-		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCanceled, request: id, node: 3}}, ""},
+		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}}, ""},
 		{"its node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
 		{"it crossed a close", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3}}, ""},
 		{"no answer", clean[:5], Answered},
@@ -209,19 +209,19 @@
 		{"repeated", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
 		{"refused", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
 		{"two out", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
-		{"after its end", []record{sent, {at: 1100 * ms, kind: requestCanceled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
+		{"after its end", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
 		{"told longer", []record{sent, {at: 2000 * ms, kind: attemptRead, request: id, server: "s-1", rung: 1, wait: 900 * ms}, read(2100*ms, 500, "")}, Deadline},
 		{"below the floor", []record{sent, {at: 1010 * ms, kind: attemptRead, request: id, server: "s-1", rung: 0}, read(1100*ms, 500, "")}, Terms},
 		{"never released", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}), Released},
 		{"released late", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}, record{at: 3500 * ms, kind: releaseRead, request: id, node: 3}), Released},
 		{"its server died and nothing was said", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: serverDied, server: "s-2", node: -1}), Released},
-		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: sockets + 1}}, Limits},
-		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: memoryMB + 1}}, Limits},
-		{"a complaint", []record{{at: time.Second, kind: nodeComplained, node: 3, detail: "panic: x"}}, Guarded},
+		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: maxDescriptors + 1}}, Limits},
+		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: maxMemoryMB + 1}}, Limits},
+		{"a complaint", []record{{at: time.Second, kind: nodeLoggedFault, node: 3, detail: "panic: x"}}, Guarded},
 		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3, detail: detailRead}}, Answered},
-		{"drained", []record{sent, {at: 100 * ms, kind: entryTold, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
+		{"drained", []record{sent, {at: 100 * ms, kind: entryPublished, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
 	} {
-		r := judge(c.list, DefaultOptions())
+		r := check(c.list, DefaultOptions())
 		found := c.want == ""
 		for _, v := range r.Violations {
 			found = found || v.Invariant == c.want
--- a/internal/lab/soak/terms.go
+++ b/internal/lab/soak/terms.go
@@ -9,42 +9,42 @@
 
 // class is one class of requests and its terms.
 type class struct {
-	name     string
-	single   bool // may not be repeated
-	deadline time.Duration
-	floor    int
-	seats    int // sessions of a title that one node may hold; 0 is no bound
+	name       string
+	sideEffect bool // may not be repeated
+	deadline   time.Duration
+	floor      int
+	seats      int // sessions of a title that one node may hold; 0 is no bound
 }
 
 // classes are those of every soak.
 var classes = []class{
 	{name: "free", deadline: 1790 * time.Millisecond},
-	{name: "paid", single: true, deadline: 1430 * time.Millisecond, floor: 1},
+	{name: "paid", sideEffect: true, deadline: 1430 * time.Millisecond, floor: 1},
 	{name: "seated", deadline: 1200 * time.Millisecond, seats: 2},
 }
 
 // The terms of every soak, which the nodes' settings state.
 const (
-	cells        = 12
-	copies       = 4
-	rungs        = 5
-	grace        = 250 * time.Millisecond // of a server that drains
-	warmUp       = 6 * time.Second
-	coldShare    = 0.4
-	fallFactor   = 3.0
-	fallTime     = time.Second
-	places       = 20
-	budgetShare  = 0.2
-	budgetSpare  = 5.0
-	budgetWindow = 5 * time.Second
-	sockets      = 256
-	memoryMB     = 64
+	cells             = 12
+	copies            = 4
+	rungs             = 5
+	drainGrace        = 250 * time.Millisecond // of a server that drains
+	warmUp            = 6 * time.Second
+	coldCapacityShare = 0.4
+	overloadFactor    = 3.0
+	overloadTime      = time.Second
+	serverCapacity    = 20
+	retryBudgetShare  = 0.2
+	retryBudgetBase   = 5.0
+	retryBudgetWindow = 5 * time.Second
+	maxDescriptors    = 256
+	maxMemoryMB       = 64
 )
 
-// coldBudget is how many attempts a server may get within one fall time, that long after its start.
-func coldBudget(age time.Duration) float64 {
-	share := coldShare + (1-coldShare)*min(age.Seconds()/warmUp.Seconds(), 1)
-	n := fallFactor * places / warmUp.Seconds() * share * fallTime.Seconds()
+// slowStartBudget is how many attempts a server may get within one fall time, that long after its start.
+func slowStartBudget(age time.Duration) float64 {
+	share := coldCapacityShare + (1-coldCapacityShare)*min(age.Seconds()/warmUp.Seconds(), 1)
+	n := overloadFactor * serverCapacity / warmUp.Seconds() * share * overloadTime.Seconds()
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -79,13 +79,13 @@
 func nodeSeed(node int) uint64 { return 0x9e3779b97f4a7c15 * uint64(node+1) }
 
 // configuration is a node's file.
-func configuration(listen, coordinator string, node, nodes int, whole change) ([]byte, error) {
+func configuration(listen, coordinator string, node, nodes int, snapshot change) ([]byte, error) {
 	grades := []map[string]any{}
 	var floors, tops, seats []int
 	var scales []float64
 	for _, c := range classes {
 		effect := "pure"
-		if c.single {
+		if c.sideEffect {
 			effect = "side_effect"
 		}
 		grades = append(grades, map[string]any{"effect": effect, "goal_time": 1000000, "hard_limit": c.deadline.Microseconds(), "name": c.name, "worth": 1.0})
@@ -93,20 +93,20 @@
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": fmt.Sprintf("n%d", node), "listen": listen, "coordinator": coordinator, "seed": fmt.Sprintf("%016x", nodeSeed(node)),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": memoryMB, "sockets": sockets},
-		"known":  map[string]any{"index": whole.Index, "updates": []change{whole}},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": maxMemoryMB, "sockets": maxDescriptors},
+		"known":  map[string]any{"index": snapshot.Index, "updates": []change{snapshot}},
 		"settings": map[string]any{
 			"balancers": nodes, "me": node, "zone": 0, "zones": []string{"a"}, "models": []string{"std"},
 			"caps": map[string]any{"connect_timeout": 250000, "keepalive": 30000000, "most_tries": 4, "probes": true, "peers": false,
 				"retry_after": false, "max_retry_after": 1000000, "streams_per_conn": 100},
 			"family_info": map[string]any{"cabinets": 1, "cells": cells, "class_floor": floors, "class_scale": scales, "fleet_kb": 4e6, "guard": 0,
-				"highest_rung": tops, "level_kb": []float64{247, 443, 793, 1419, 2541}, "live": []bool{false, false, false}, "places_by_kind": []int{places},
+				"highest_rung": tops, "level_kb": []float64{247, 443, 793, 1419, 2541}, "live": []bool{false, false, false}, "places_by_kind": []int{serverCapacity},
 				"seats": seats, "see": 361661, "shared_adds": 1.0, "told_every": 0, "uplink_kb": 4e6},
 			"grades":    grades,
 			"reporting": map[string]any{"fields": []string{"cpu", "x1"}, "source": "pull"},
-			"rules": map[string]any{"cold": warmUp.Microseconds(), "counted_over": budgetWindow.Microseconds(), "fall": fallTime.Microseconds(),
-				"overload_factor": fallFactor, "repeat_ratio": budgetShare, "spare_attempts": budgetSpare, "start_capacity": coldShare,
-				"stop_sending_within": grace.Microseconds()},
+			"rules": map[string]any{"cold": warmUp.Microseconds(), "counted_over": retryBudgetWindow.Microseconds(), "fall": overloadTime.Microseconds(),
+				"overload_factor": overloadFactor, "repeat_ratio": retryBudgetShare, "spare_attempts": retryBudgetBase, "start_capacity": coldCapacityShare,
+				"stop_sending_within": drainGrace.Microseconds()},
 		},
 	}, "", " ")
 }
