--- a/internal/lab/soak/behavior.go
+++ b/internal/lab/soak/behavior.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// behavior says how a server treats attempts at present: chances from 0 to 1, and times.
+// behavior is how a stand-in server treats attempts at present. The numbers are probabilities.
 type behavior struct {
-	full, internalError, notFound, gatewayTimeout float64       // refuses, by kind
-	dropAnswer                                    float64       // its answer never leaves
-	earlyRelease                                  float64       // its release leaves before its answer
-	duplicateAnswer                               float64       // a second answer follows
-	malformedAnswer                               float64       // its answer's length is wrong
-	resetConn                                     float64       // the connection is reset in place of the answer
-	splitWrite                                    float64       // what it writes leaves in pieces
-	closeConn                                     float64       // the connection is closed as soon as the attempt was read
-	maxExtraDelay                                 time.Duration // an answer takes up to so much longer
-	hungUntil                                     time.Duration // it reads and says nothing until then
-	unreachableUntil                              time.Duration // what is sent to it or by it arrives then, as over a network that was cut
+	full, internalError, notFound, gatewayTimeout float64       // refuses with that status
+	dropAnswer                                    float64       // its answer is not sent
+	earlyRelease                                  float64       // the session's release is sent before its answer
+	duplicateAnswer                               float64       // the answer is sent twice
+	malformedAnswer                               float64       // the answer's Content-Length is negative
+	resetConn                                     float64       // the connection is reset instead of an answer
+	splitWrite                                    float64       // a message is sent in two writes
+	closeConn                                     float64       // the connection is closed as soon as the attempt is read
+	maxExtraDelay                                 time.Duration // upper bound of the delay added to an answer
+	hungUntil                                     time.Duration // it reads but sends no answer until then
+	unreachableUntil                              time.Duration // traffic in either direction arrives only then, as after a network partition
 }
 
-// effect changes a server's behavior until an instant. Effects add up, and each ends by itself.
+// effect changes a server's behavior until a point in time. Overlapping effects are combined, and each expires on its own.
 type effect struct {
 	until time.Duration
 	apply func(b *behavior, until time.Duration)
 }
 
-// addEffect changes how it treats attempts, for so long.
+// addEffect changes the server's behavior for a duration.
 func (s *server) addEffect(duration time.Duration, apply func(b *behavior, until time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.effects = append(s.effects, effect{s.log.now() + duration, apply})
 }
 
-// currentBehavior is what all effects in force add up to; the lock is held.
+// currentBehavior combines the effects in force and drops expired ones. The caller holds s.mu.
 func (s *server) currentBehavior() (b behavior) {
 	now := s.log.now()
 	s.effects = slices.DeleteFunc(s.effects, func(e effect) bool { return e.until <= now })
@@ -43,7 +43,7 @@
 	return b
 }
 
-// awaitReachable waits until what is sent to a server or by it arrives again; it tells how long that took.
+// awaitReachable waits until the server is reachable and returns how long that took.
 func (s *server) awaitReachable() time.Duration {
 	s.mu.Lock()
 	start := s.log.now()
@@ -53,5 +53,5 @@
 		return 0
 	}
 	time.Sleep(until - start)
-	return until - start + s.awaitReachable() // it may have vanished again meanwhile
+	return until - start + s.awaitReachable() // it may have become unreachable again meanwhile
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -17,28 +17,27 @@
 )
 
 const (
-	// connsPerNode is how many connections of usual clients a node has.
+	// connsPerNode is the number of pooled connections to each node.
 	connsPerNode = 3
-	// clientIdleTimeout is how long a client keeps a connection without sessions.
+	// clientIdleTimeout is how long a client keeps a connection that has no sessions.
 	clientIdleTimeout = 4 * time.Second
-	// crossingWindow is how long before a close a request may have been sent that is then sent once more.
+	// A request sent at most crossingWindow before the node closed its connection is sent again on a new one: the two crossed.
 	crossingWindow = 50 * time.Millisecond
-	// nodeIdleTimeout is how long a node keeps a connection without sessions; a client at rest sends between so long before and
-	// so long after that.
+	// nodeIdleTimeout is how long a node keeps a connection that has no sessions. An idle client sends from idleSendLead before
+	// that, within idleSendWindow.
 	nodeIdleTimeout, idleSendLead, idleSendWindow = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
-	// resetWait is within how long after a connection's end its reset comes, if one does.
+	// resetWait is how long a reset may arrive after the end of a connection.
 	resetWait = 30 * time.Millisecond
-	// Shares of requests whose client cancelShare early, closeShare its connection early, or sends in splitShare.
+	// Shares of requests whose client cancels early, closes its connection early, or sends the request in two writes.
 	cancelShare, closeShare, splitShare = 0.06, 0.03, 0.15
-	// earliest is the least time after which a client cancels, and span how much longer it may be.
+	// A client cancels after minCancelDelay plus up to cancelDelayRange.
 	minCancelDelay, cancelDelayRange = 5 * time.Millisecond, 400 * time.Millisecond
-	// titlesPerClass is how many titlesPerClass a class has.
-	titlesPerClass = 8
-	// classTitles is how many titles of a class with seats each node is asked for, so that the seats bind.
+	titlesPerClass                   = 8
+	// seatedTitles is the number of titles requested in a class with seats: few enough that the limit is reached.
 	seatedTitles = 2
 )
 
-// clients are the clients of one node.
+// clients generates the requests to one node.
 type clients struct {
 	node   *node
 	log    *log
@@ -48,11 +47,11 @@
 	conns  [connsPerNode]*clientConn
 
 	dense            bool
-	cancelEarlyUntil time.Duration // requests are cancelled as they are answered, until then
-	retryRand        *rand.Rand    // for refused requests that come again; used with the lock held
+	cancelEarlyUntil time.Duration // until then, requests are cancelled at about the time they are answered
+	retryRand        *rand.Rand    // decides whether refused requests are retried; guarded by mu
 }
 
-// clientConn is one connection of a client's.
+// clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
 	log     *log
@@ -60,25 +59,25 @@
 	writeMu sync.Mutex
 
 	mu       sync.Mutex
-	pending  map[string]*request // without their answers
+	pending  map[string]*request // requests without a final answer, by id
 	sessions int
 	lastUsed time.Time
 	closed   bool
-	closedAt chan time.Duration // gets the instant in which the node closed it
+	closedAt chan time.Duration // receives the time at which the node closed it
 }
 
-// request is one request, as its client has it.
+// request is a SETUP request, as its client sees it.
 type request struct {
 	id        string
 	class     int
 	text      []byte
 	sentAt    time.Duration
 	resent    bool
-	cancelled bool // cancelled
-	refusals  int  // how many of its viewer's were refused before
+	cancelled bool
+	refusals  int // earlier requests of the same viewer that were refused
 }
 
-// dial opens a connection; nil where the node can't be reached.
+// dial opens a connection; nil if the node can't be reached.
 func (c *clients) dial() *clientConn {
 	n, err := net.DialTimeout("tcp", c.node.listen, 200*time.Millisecond)
 	if err != nil {
@@ -89,7 +88,7 @@
 	return conn
 }
 
-// pooledConn is one of the usual connections, opened where it is not up; fresh tells that it may be.
+// pooledConn returns a pooled connection. It is opened if it is not usable and mayDial is set, else it may be nil.
 func (c *clients) pooledConn(index int, mayDial bool) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +102,7 @@
 	return c.conns[index]
 }
 
-// usable tells whether a connection is up; one unused for long is closed.
+// usable reports whether the connection is open. It closes one that has been idle for clientIdleTimeout.
 func (c *clientConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +117,7 @@
 	return true
 }
 
-// sendRandom sends one request as chance has it.
+// sendRandom sends one request, with class, title, connection and client behavior drawn at random.
 func (c *clients) sendRandom() {
 	if c.dense && c.sendUnusual(c.rand.Float64()) {
 		return
@@ -135,7 +134,7 @@
 		if !mayDial {
 			return
 		}
-		conn = c.dial() // one of its own, which it closes
+		conn = c.dial() // a connection of its own, which the client will close
 	} else {
 		conn = c.pooledConn(c.rand.IntN(connsPerNode), mayDial)
 	}
@@ -161,7 +160,7 @@
 
 func titleOf(class, title int) string { return fmt.Sprintf("t%d-%d", class, title) }
 
-// newRequest makes a new newRequest.
+// newRequest makes a SETUP request with a new id.
 func (c *clients) newRequest(draws *rand.Rand, class, title int) *request {
 	id := requestID(c.node.index, c.nextID.Add(1))
 	body := "9d41c07a5be2f318\r\nc=IN IP4 127.0.0.1\r\n"
@@ -170,7 +169,7 @@
 		titleOf(class, title), id, classes[class].name, classes[class].deadline.Milliseconds(), draws.IntN(cells), copies, rungs-1, len(body), body)}
 }
 
-// sendNearIdleClose keeps one connection that is used rarely: each request comes at about the instant in which the node closes it.
+// sendNearIdleClose keeps one connection and sends each request on it at about the time the node closes it as idle.
 func (c *clients) sendNearIdleClose(ctx context.Context, draws *rand.Rand) {
 	var conn *clientConn
 	for {
@@ -191,13 +190,13 @@
 				return
 			}
 		}
-		if conn != nil && !conn.send(c.newRequest(draws, 0, draws.IntN(titlesPerClass)), 0, "at rest") {
+		if conn != nil && !conn.send(c.newRequest(draws, 0, draws.IntN(titlesPerClass)), 0, "near the idle timeout") {
 			conn = nil
 		}
 	}
 }
 
-// sleep waits for so long; false where the soak is over.
+// sleep waits for a duration; false if ctx is done first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -213,7 +212,7 @@
 	return c.closed
 }
 
-// inUse is how many requests and sessions it has; 0 once it is closed.
+// inUse returns the number of pending requests and sessions; 0 once the connection is closed.
 func (c *clientConn) inUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +222,7 @@
 	return len(c.pending) + max(c.sessions, 0)
 }
 
-// send writes a request; false where its connection is closed already.
+// send writes a request, in two writes if split is positive; false if the connection is closed or fails.
 func (c *clientConn) send(r *request, split int, title string) bool {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -244,7 +243,7 @@
 		time.Sleep(2 * time.Millisecond)
 		text = text[split:]
 	}
-	// Its last byte may be read before the write returns, so it counts from before.
+	// The node may read the last byte before Write returns, so the time is taken before the call.
 	sentAt := c.log.now()
 	if _, err := c.Write(text); err != nil {
 		c.forget(r)
@@ -263,7 +262,7 @@
 	c.mu.Unlock()
 }
 
-// cancel gives a request up, unless it has its answer.
+// cancel sends a TEARDOWN for a request that has no answer yet.
 func (c *clientConn) cancel(r *request) {
 	c.mu.Lock()
 	pending := c.pending[r.id] == r && !c.closed
@@ -282,7 +281,7 @@
 	c.log.add(record{kind: requestCancelled, request: r.id, node: c.node, detail: "TEARDOWN"})
 }
 
-// closeByClient closes a connection, with what is open on it.
+// closeByClient closes a connection and records its pending requests as cancelled.
 func (c *clientConn) closeByClient() {
 	c.mu.Lock()
 	if c.closed {
@@ -300,7 +299,7 @@
 	}
 }
 
-// readMessages takes what a node sends on a connection until that ends.
+// readMessages handles a node's messages until the connection ends.
 func (c *clients) readMessages(conn *clientConn) {
 	in := rtsp.NewConn(conn.Conn, rtsp.Limits{})
 	for {
@@ -318,7 +317,7 @@
 	}
 }
 
-// handle takes a message; it gives the request that it answers, if it does.
+// handle records a message and returns the request that it answers, if any.
 func (c *clientConn) handle(m *rtsp.Message) (answered *request) {
 	id := m.Session()
 	switch {
@@ -343,9 +342,10 @@
 	return answered
 }
 
-// handleClose takes the end of a connection that its client did not close: what crosses such a close is sent once more.
+// handleClose handles the end of a connection. If the node closed it, requests that crossed the close are sent again on a new
+// connection.
 func (c *clients) handleClose(conn *clientConn, err error) {
-	conn.writeMu.Lock() // a request that is being written is among the open ones, and has its instant
+	conn.writeMu.Lock() // waits for a request being written, so that it is pending and has its send time
 	defer conn.writeMu.Unlock()
 	now := c.log.now()
 	conn.mu.Lock()
@@ -378,11 +378,11 @@
 	}
 }
 
-// detailRead says of a cut request that its node had read it.
-const detailRead = "read, and closed without an answer"
+// detailRead marks a request that the node had read before it closed the connection.
+const detailRead = "read, then closed without an answer"
 
-// nodeReadAll tells whether a node that has closed a connection had read all that was sent there: what it had not read, its system
-// answers with a reset.
+// nodeReadAll reports whether the node had read all data before it closed the connection. If it had not, its kernel sends a
+// reset.
 func (c *clientConn) nodeReadAll(err error) bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) {
@@ -395,17 +395,18 @@
 	}
 	reset := true
 	err = raw.Control(func(fd uintptr) {
-		// The state tells; the socket's pending error may have been taken by a write since.
+		// The TCP state is used because an earlier write may have consumed the socket's pending error.
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		reset = err != nil || info.State == tcpClosed
 	})
 	return err == nil && !reset
 }
 
-// tcpClosed is the state of a connection that was reset, in TCP_INFO.
+// tcpClosed is TCP_CLOSE in TCP_INFO, the state of a connection that was reset.
 const tcpClosed = 7
 
-// openUselessConns opens connections that are of no use: silent ones, half a request, nonsense. All are closed by the node or in time.
+// openUselessConns opens connections that send nothing, half a request, garbage or one health check. They are closed after
+// lifetime, unless the node closes them first.
 func (c *clients) openUselessConns(draws *rand.Rand, count int, lifetime time.Duration) {
 	for range count {
 		n, err := net.DialTimeout("tcp", c.node.listen, 200*time.Millisecond)
--- a/internal/lab/soak/closerace.go
+++ b/internal/lab/soak/closerace.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// racingConns are opened together, and each sends a request at about the instant in which the node closes them all.
+	// racingConns connections are opened together; each sends a request at about the time the node closes them all.
 	racingConns = 24
-	// nodeSweepInterval is how often a node looks for connections to close.
+	// nodeSweepInterval is how often a node closes idle connections.
 	nodeSweepInterval = 100 * time.Millisecond
-	// referenceLead is how much earlier than the others one connection is opened, whose close tells when the node looks.
+	// The reference connection, whose close reveals when the node sweeps, is opened referenceLead before the others.
 	referenceLead = 250 * time.Millisecond
-	// raceLead and raceWindow are from when and for how long about that instant the requests are sent; the node's looks drift
-	// by up to a millisecond each.
+	// Requests are sent from raceLead before the expected sweep, spread over raceWindow: the node's sweeps drift by up to a
+	// millisecond each.
 	raceLead, raceWindow = time.Millisecond, 6 * time.Millisecond
 )
 
-// raceIdleCloses sends requests on connections in the very instant in which the node closes them as unused: the node's looks come at a
-// steady pace, and the close of a connection that was opened a little earlier tells when.
+// raceIdleCloses sends requests on connections at the moment the node closes them as idle. The node sweeps at a fixed
+// interval, and the close of a connection opened a little earlier reveals its phase.
 func (c *clients) raceIdleCloses(ctx context.Context, draws *rand.Rand) {
 	for ctx.Err() == nil {
 		if !c.node.acceptsConns() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// dialAndPing is a connection that has passed a test and has nothing open.
+// dialAndPing opens a connection and sends a health check on it; nil if either fails.
 func (c *clients) dialAndPing() *clientConn {
 	conn := c.dial()
 	if conn == nil {
@@ -65,7 +65,7 @@
 	return conn
 }
 
-// awaitClose waits until the node closes a connection, and gives when it did.
+// awaitClose waits until the node closes a connection and returns when it did; false after limit or once ctx is done.
 func (c *clients) awaitClose(ctx context.Context, conn *clientConn, limit time.Duration) (time.Duration, bool) {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
@@ -78,7 +78,8 @@
 	return 0, false
 }
 
-// sendAroundClose sends a request on each connection about the node's first look after they have been unused for long enough.
+// sendAroundClose sends a request on each connection around the node's first sweep after their idle timeout. sweepAt is the
+// time of an earlier sweep.
 func (c *clients) sendAroundClose(ctx context.Context, draws *rand.Rand, conns []*clientConn, openedAt, sweepAt time.Duration) {
 	for sweepAt < openedAt+nodeIdleTimeout {
 		sweepAt += nodeSweepInterval
@@ -90,13 +91,13 @@
 		request := c.newRequest(draws, 0, draws.IntN(titlesPerClass))
 		wg.Go(func() {
 			if sleep(ctx, at-c.log.now()) {
-				conn.send(request, 0, "aimed at a close")
+				conn.send(request, 0, "races an idle close")
 			}
 		})
 	}
 }
 
-// closeIfUnused closes a connection on which nothing is open.
+// closeIfUnused closes a connection that has neither requests nor sessions.
 func (c *clientConn) closeIfUnused() {
 	if c.inUse() == 0 {
 		c.closeByClient()
--- a/internal/lab/soak/coordinator.go
+++ b/internal/lab/soak/coordinator.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// heartbeatInterval is how often the coordinator tells its last number.
+	// heartbeatInterval is how often the coordinator sends its last index.
 	heartbeatInterval = time.Second
-	// replicaCount is how many addresses the coordinator has: configurations name one or another.
+	// replicaCount is the number of coordinator addresses; a node's configuration names one of them.
 	replicaCount = 3
-	// notifyTimeout is how long after an outage began what would have been told counts as told.
+	// A change published during an outage counts as notified notifyTimeout after the outage began.
 	notifyTimeout = 4 * time.Second
-	// reconnectTimeout is how long after a longer outage nodes may take to ask again: some half a second of pause between
-	// calls, and a connection. The platform allows 6 s.
+	// reconnectTimeout is how long nodes may take to reconnect after a longer outage: about half a second between attempts,
+	// plus the connection. The platform allows 6 s.
 	reconnectTimeout = time.Second
 )
 
-// coordinator is the stand-in for the platform's: numbered changes to the list, told to whoever follows at one of its doors.
+// coordinator stands in for the platform's coordinator. It sends numbered changes of the server list to the nodes that follow
+// one of its replicas.
 type coordinator struct {
 	replicas [replicaCount]*replica
 	log      *log
 	mu       sync.Mutex
 	changes  []change
 	entries  map[string]entry
-	changed  chan struct{} // closed and made anew with each change
+	changed  chan struct{} // closed and replaced at each change
 	done     chan struct{}
 }
 
-// replica is one address of the coordinator's, which fails by itself.
+// replica is one address of the coordinator. Replicas fail independently.
 type replica struct {
 	net.Listener
 	coord       *coordinator
 	conns       map[net.Conn]bool
-	outageStart time.Duration // when its last outage began; 0 is never
-	silentUntil time.Duration // it says nothing and takes nobody until then
+	outageStart time.Duration // start of its last outage; 0 if it had none
+	silentUntil time.Duration // it sends nothing until then
 }
 
 func newCoordinator(l *log) (*coordinator, error) {
@@ -55,10 +56,11 @@
 	return c, nil
 }
 
-// address is that of a door.
+// address returns the address of a replica.
 func (c *coordinator) address(replica int) string { return c.replicas[replica].Addr().String() }
 
-// notifiedBy is when a change that the coordinator has now counts as told, whichever door a node follows; the lock is held.
+// notifiedBy returns when a change published now counts as known to every node, whichever replica it follows. The caller
+// holds c.mu.
 func (c *coordinator) notifiedBy(now time.Duration) (latest time.Duration) {
 	latest = now
 	for _, r := range c.replicas {
@@ -70,7 +72,7 @@
 	return latest
 }
 
-// publish has a change told.
+// publish adds a change to the list and sends it to all followers.
 func (c *coordinator) publish(entries ...entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +90,7 @@
 	c.changed = make(chan struct{})
 }
 
-// snapshot is the list as one event, for a node that starts.
+// snapshot returns the list as a single event, for a starting node.
 func (c *coordinator) snapshot() change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,13 +101,13 @@
 	return event
 }
 
-// fail breaks all connections, and has all doors say nothing for so long.
+// fail closes all connections and silences all replicas for a duration.
 func (c *coordinator) fail(duration time.Duration) { c.outage(duration, true, c.replicas[:]...) }
 
-// mute has all doors say nothing for so long, on connections that stay.
+// mute silences all replicas for a duration and keeps their connections open.
 func (c *coordinator) mute(duration time.Duration) { c.outage(duration, false, c.replicas[:]...) }
 
-// muteReplica is mute for one door.
+// muteReplica silences one replica for a duration.
 func (c *coordinator) muteReplica(replica int, duration time.Duration) {
 	c.outage(duration, false, c.replicas[replica])
 }
--- a/internal/lab/soak/dense.go
+++ b/internal/lab/soak/dense.go
@@ -8,49 +8,48 @@
 	"time"
 )
 
-// DenseOptions are the options of a short soak of a handful of processes under many faults at once.
+// DenseOptions returns the options of a short soak of a few processes under many simultaneous faults.
 func DenseOptions() Options {
 	return Options{Dense: true, Nodes: 4, Servers: 8, Seed: 1, Duration: 30 * time.Second, Rate: 25, SkewClocks: true, NetworkFaults: true, LogLevel: "info"}
 }
 
 const (
-	// scenarioInterval is the mean time between two stories, which take some seconds each, and denseFaultInterval that between two
-	// faults beside them: four to eight are in force at any moment.
+	// scenarioInterval is the mean time between two scenarios, which take a few seconds each, and denseFaultInterval that between
+	// two other faults. Together they keep four to eight faults in force at any time.
 	scenarioInterval, denseFaultInterval = 900 * time.Millisecond, 500 * time.Millisecond
-	// surgeSeedStep is one of how many seeds plays a crowd, of surgeShare of its time.
+	// Soaks whose seed is a multiple of surgeSeedStep have a load surge on all nodes for surgeShare of their duration.
 	surgeSeedStep, surgeShare = 3, 0.3
-	// maxDeadline is that of all classes.
+	// maxDeadline is the longest deadline of any class.
 	maxDeadline = 1790 * time.Millisecond
 )
 
-// scenario is a few faults, one of which follows another at a chosen instant.
+// scenario is a sequence of faults in which one follows another after a chosen delay.
 type scenario struct {
 	name string
 	run  func(s *soak, r *rand.Rand)
 }
 
-// scenarios are all of them.
 var scenarios = []scenario{
-	{"a drain told as discovery returns", drainAsDiscoveryRecovers},
-	{"a drain told while discovery is silent", drainWhileSilent},
+	{"drain published as discovery recovers", drainAsDiscoveryRecovers},
+	{"drain published while discovery is silent", drainWhileSilent},
 	{"SIGHUP, then SIGTERM", hangupThenTerm},
-	{"SIGTERM, and servers hang from then on", hangServersAfterTerm},
-	{"shutdowns one after another while servers hang", shutdownsInSeries},
+	{"SIGTERM, servers hang from then on", hangServersAfterTerm},
+	{"successive shutdowns while servers hang", shutdownsInSeries},
 	{"SIGTERM twice", termTwice},
 	{"connections close as attempts arrive", closeAsAttemptsArrive},
-	{"clients cancel as answers come", cancelAsAnswersCome},
-	{"a second configuration before the first one's coordinator speaks", secondConfiguration},
-	{"configurations in a row", successiveConfigurations},
-	{"a server vanishes and comes back", serverUnreachableForAWhile},
-	{"a server vanishes for good", serverUnreachableForGood},
-	{"a server hangs, then drains", hangThenDrain},
-	{"servers full and failing under a crowd", surgeOnFailingServers},
-	{"idle clients fill the descriptors while discovery is down", fillDescriptors},
-	{"a server is replaced while another hangs", replaceWhileHanging},
-	{"a process is killed as its clients cancel", killAsClientsCancel},
+	{"clients cancel as answers arrive", cancelAsAnswersCome},
+	{"second configuration while the first one's coordinator is silent", secondConfiguration},
+	{"successive configurations", successiveConfigurations},
+	{"server unreachable for a while", serverUnreachableForAWhile},
+	{"server unreachable until it is replaced", serverUnreachableForGood},
+	{"servers hang, then one drains", hangThenDrain},
+	{"servers full and failing under a load surge", surgeOnFailingServers},
+	{"idle clients exhaust descriptors while discovery is down", fillDescriptors},
+	{"server replaced while another hangs", replaceWhileHanging},
+	{"process killed as its clients cancel", killAsClientsCancel},
 }
 
-// runAfter plays something later; the soak waits for it.
+// runAfter runs f after a delay, in the background; the soak waits for it before it ends.
 func (s *soak) runAfter(delay time.Duration, f func()) {
 	s.background.Go(func() {
 		time.Sleep(delay)
@@ -58,14 +57,14 @@
 	})
 }
 
-// randomDuration draws a time.
+// randomDuration draws a duration from low to high.
 func randomDuration(r *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(r.Int64N(int64(high-low)+1))
 }
 
 func (s *soak) randomNode(r *rand.Rand) *node { return s.nodes[r.IntN(len(s.nodes))] }
 
-// outageDuration is how long discovery is out of reach in a story.
+// outageDuration draws the length of a discovery outage in a scenario.
 func outageDuration(r *rand.Rand) time.Duration {
 	return randomDuration(r, 500*time.Millisecond, 3*time.Second)
 }
@@ -101,7 +100,7 @@
 	s.hangServers(r, 1+r.IntN(s.o.Servers), maxDeadline+killGrace)
 }
 
-// hangServers has some servers hang.
+// hangServers has randomly drawn servers hang; one may be drawn more than once.
 func (s *soak) hangServers(r *rand.Rand, count int, duration time.Duration) {
 	for range count {
 		s.randomServer(r).addEffect(duration, makeHang)
@@ -218,14 +217,14 @@
 	s.runAfter(randomDuration(r, 0, 500*time.Millisecond), func() { s.restart(n, true, 100*time.Millisecond, offset) })
 }
 
-// plannedScenario is a story and when it is played; seed is of what it draws.
+// plannedScenario is a scenario's start, its index in scenarios and the seed of its random source.
 type plannedScenario struct {
 	at    time.Duration
 	index int
 	seed  uint64
 }
 
-// scheduleScenarios draws when stories are played, each once before any comes again.
+// scheduleScenarios draws start times and an order in which each scenario runs once before any is repeated.
 func scheduleScenarios(seed uint64, duration time.Duration) (planned []plannedScenario) {
 	r := rand.New(rand.NewPCG(seed, 0x5708))
 	var order []int
@@ -239,18 +238,18 @@
 	return planned
 }
 
-// runScenarios plays stories one into another, in an order that the seed gives; each is told by its name.
+// runScenarios starts the scheduled scenarios, which overlap, and reports each by name.
 func (s *soak) runScenarios(ctx context.Context) {
 	for _, p := range scheduleScenarios(s.o.Seed, s.o.Duration) {
 		if !sleep(ctx, p.at-s.log.now()) {
 			return
 		}
-		s.reportFault("story: " + scenarios[p.index].name)
+		s.reportFault("scenario: " + scenarios[p.index].name)
 		scenarios[p.index].run(s, rand.New(rand.NewPCG(p.seed, 0x5709)))
 	}
 }
 
-// runLoadSurge has all nodes get several times the mean for a part of some runs.
+// runLoadSurge raises the load of all nodes for a part of the soak, for some seeds.
 func (s *soak) runLoadSurge(ctx context.Context) {
 	if s.o.Seed%surgeSeedStep != 0 {
 		return
@@ -259,7 +258,7 @@
 		return
 	}
 	duration := time.Duration(surgeShare * float64(s.o.Duration))
-	s.reportFault(fmt.Sprintf("a crowd everywhere for %v", duration))
+	s.reportFault(fmt.Sprintf("load surge on all nodes for %v", duration))
 	for k := range s.nodes {
 		s.startLoadSurge(k, duration)
 	}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -10,71 +10,71 @@
 	"time"
 )
 
-// Invariant names a rule that a soak is judged by.
+// Invariant names a rule that a soak checks.
 type Invariant string
 
-// The invariants. Each has a sabotage of a node that must break it.
+// The invariants. For each, at least one sabotage of the node must violate it.
 const (
-	Answered    Invariant = "answered"      // one final answer a request, within its deadline, and one that a server gave
-	NotRepeated Invariant = "not repeated"  // single requests are repeated or refused only where nothing ran
-	OneAttempt  Invariant = "one attempt"   // never two attempts of one request out
-	Drained     Invariant = "drained"       // nothing new to a draining or removed server past the grace
-	SlowStart   Invariant = "slow start"    // a started server gets no more than its budget, from all nodes together
-	Terms       Invariant = "terms"         // no rung below the floor, no more sessions of a title than its seats
-	RetryBudget Invariant = "retry budget"  // further attempts of a node within the budget
-	NotAfterEnd Invariant = "not after end" // no attempt after its client has cancelled or closed
-	Deadline    Invariant = "deadline"      // servers are told no longer deadlines than clients have left
-	Ready       Invariant = "ready"         // started processes are ready in time
-	Released    Invariant = "released"      // a session's end is told to its client within its time
-	Limits      Invariant = "limits"        // processes keep to their descriptors and memory
-	Guarded     Invariant = "guarded"       // processes log no violation of their own guard, and no crash
-	Ended       Invariant = "ended"         // processes end on SIGTERM, by themselves, and with status 0; none crashes
+	Answered    Invariant = "answered"      // each request gets one final answer, within its deadline, and success only as a server answered it
+	NotRepeated Invariant = "not repeated"  // requests with side effects are retried or refused only if no attempt ran
+	OneAttempt  Invariant = "one attempt"   // a request never has two attempts in flight
+	Drained     Invariant = "drained"       // draining and removed servers get no attempts after the grace
+	SlowStart   Invariant = "slow start"    // a newly started server gets no more than its budget from all nodes together
+	Terms       Invariant = "terms"         // no rung below the floor, no more sessions of a title than seats
+	RetryBudget Invariant = "retry budget"  // each node's retries stay within the budget
+	NotAfterEnd Invariant = "not after end" // no attempt after its client cancelled or closed the connection
+	Deadline    Invariant = "deadline"      // the deadline sent to a server is no longer than what the client has left
+	Ready       Invariant = "ready"         // started processes become ready in time
+	Released    Invariant = "released"      // a session's end is reported to its client in time
+	Limits      Invariant = "limits"        // processes keep within their limits of descriptors and memory
+	Guarded     Invariant = "guarded"       // processes log no violation found by their own guard, and no crash
+	Ended       Invariant = "ended"         // processes exit by themselves on SIGTERM with status 0, and none crashes
 )
 
-// Invariants are all of them.
+// Invariants lists all invariants, in the order of the report.
 var Invariants = []Invariant{Answered, NotRepeated, OneAttempt, Drained, SlowStart, Terms, RetryBudget, NotAfterEnd, Deadline, Released, Limits, Guarded, Ready, Ended}
 
 const (
-	// socketSlack is what every time limit is longer by on sockets.
+	// socketSlack is added to every time limit for the transport.
 	socketSlack = 50 * time.Millisecond
-	// loadSlack is what a loaded machine may add between a write and the record of it.
+	// loadSlack is the delay that a loaded machine may add between a write and its record.
 	loadSlack = 60 * time.Millisecond
-	// answerGrace is how long after its deadline an answer still counts as one.
+	// answerGrace is how long after the deadline an answer is still accepted.
 	answerGrace = 500 * time.Millisecond
-	// cancelGrace is how long after its client has gone an attempt may still begin.
+	// cancelGrace is how long after its client cancelled an attempt may still start.
 	cancelGrace = 100 * time.Millisecond
-	// deadlineSlack is how much longer than its client waits a server may be told.
+	// deadlineSlack is how far a deadline sent to a server may exceed what its client has left.
 	deadlineSlack = 150 * time.Millisecond
-	// The budget of further attempts is widened by so much.
+	// The retry budget is multiplied by budgetFactor and raised by budgetMargin before a violation counts.
 	budgetFactor, budgetMargin = 1.15, 1.0
-	// maxTraces is how many violations are reported with their traces.
+	// maxTraces is the number of violations reported with their traces.
 	maxTraces = 5
 )
 
-// Violation is one broken invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
-	Request   string // the request at fault, where there is one
+	Request   string // the id of the request concerned; empty if there is none
 	At        time.Duration
 	Detail    string
 }
 
-// Report is a soak's outcome.
+// Report is the result of a soak.
 type Report struct {
 	Requests, Answers, Served, Refused, Failed, Attempts int
-	Cancelled, AtKilledNodes                             int // requests that were cancelled; at nodes that were killed
-	CrossedClose, Resent                                 int // requests cut by a close that they crossed; sent once more for that
+	Cancelled, AtKilledNodes                             int // unanswered requests that were cancelled; at killed nodes
+	CrossedClose, Resent                                 int // requests that crossed a connection's close; those sent again for that reason
 	Starts, Faults                                       int
-	MaxDescriptors                                       int     // most of one process
-	MaxMemoryMB                                          float64 // the same
+	MaxDescriptors                                       int     // the maximum of any process
+	MaxMemoryMB                                          float64 // the maximum of any process
 	Violations                                           []Violation
 	records                                              []record
 }
 
-// OK tells whether nothing was broken.
+// OK reports whether no invariant was violated.
 func (r *Report) OK() bool { return len(r.Violations) == 0 }
 
-// Write writes the report: counts, and the first violations with their requests' traces.
+// Write writes the first violations with the traces of their requests, then the counts.
 func (r *Report) Write(w io.Writer) {
 	for i, v := range r.Violations {
 		if i == maxTraces {
@@ -99,39 +99,39 @@
 	fmt.Fprintln(w, "violations:", strings.Join(line, ", "))
 }
 
-// attempt is one attempt, as its server has seen it.
+// attempt is one attempt of a request, as its server saw it.
 type attempt struct {
 	read     record
-	endedAt  time.Duration // it was answered or given up then; far off where it was not
-	notRun   bool          // its server said that nothing ran
-	answered bool          // its server answered it
+	endedAt  time.Duration // when it was answered or cancelled; never if it was neither
+	notRun   bool          // its server answered that nothing ran
+	answered bool          // its server answered it with success
 }
 
-// history is all that was seen of one request.
+// history is what was recorded of one request.
 type history struct {
-	request       record
+	sent          record
 	answers       []record
 	attempts      []*attempt
-	cancelledAt   time.Duration            // 0 is not
-	cutAt         time.Duration            // the last connection that it was sent on was closed by the node; 0 is not
-	readBeforeCut bool                     // the node had read it by then
-	endedAt       map[string]time.Duration // its sessions' ends, by server
+	cancelledAt   time.Duration            // 0 if it was not
+	cutAt         time.Duration            // when the node closed the last connection it was sent on; 0 if it did not
+	readBeforeCut bool                     // the node had read it before the close
+	endedAt       map[string]time.Duration // when its sessions ended, by server
 
-	releaseCause     int             // of its last session's end
-	releaseWrittenAt time.Duration   // when its server last wrote that end; 0 is never
-	releasesReadAt   []time.Duration // when its client read of it
+	releaseCause     int             // the cause of its last session's end
+	releaseWrittenAt time.Duration   // when its server last wrote the release; 0 if never
+	releasesReadAt   []time.Duration // when its client read releases
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// checker gathers what is seen, and what is wrong with it.
+// checker groups the records by request and node and collects violations.
 type checker struct {
 	o           Options
 	requests    map[string]*history
 	order       []string
-	kills       map[int][]time.Duration // by node, in their order
-	exits       map[int][]time.Duration // the same of all ends of processes
-	suspensions map[int][]record        // by node, when it stood still and for how long
+	kills       map[int][]time.Duration // when processes were killed, by node, in order
+	exits       map[int][]time.Duration // when processes exited for any reason, by node, in order
+	suspensions map[int][]record        // SIGSTOP periods, by node
 	report      *Report
 }
 
@@ -155,20 +155,20 @@
 	return j.report
 }
 
-func (c *checker) violate(i Invariant, id string, at time.Duration, format string, args ...any) {
-	c.report.Violations = append(c.report.Violations, Violation{i, id, at, fmt.Sprintf(format, args...)})
+func (c *checker) violate(invariant Invariant, id string, at time.Duration, format string, args ...any) {
+	c.report.Violations = append(c.report.Violations, Violation{invariant, id, at, fmt.Sprintf(format, args...)})
 }
 
-// addRecord adds a record to its request's history.
+// addRecord adds a record to the history of its request or node.
 func (c *checker) addRecord(r record) {
 	switch r.kind {
 	case requestSent:
-		if h := c.requests[r.request]; h != nil { // sent once more on a new connection
+		if h := c.requests[r.request]; h != nil { // sent again on a new connection
 			h.cutAt = 0
 			c.report.Resent++
 			return
 		}
-		c.requests[r.request] = &history{request: r, endedAt: map[string]time.Duration{}}
+		c.requests[r.request] = &history{sent: r, endedAt: map[string]time.Duration{}}
 		c.order = append(c.order, r.request)
 		c.report.Requests++
 		return
@@ -198,7 +198,7 @@
 	case attemptRead:
 		c.report.Attempts++
 		a := &attempt{read: r, endedAt: never}
-		if at, known := h.endedAt[r.server]; known && r.at-at < socketSlack { // its end came over another connection, and was read first
+		if at, known := h.endedAt[r.server]; known && r.at-at < socketSlack { // its end arrived over another connection and was read first
 			a.endedAt = r.at
 		}
 		h.attempts = append(h.attempts, a)
@@ -222,14 +222,14 @@
 	}
 }
 
-// recordEnd takes a session's end at a server: the first one that is seen.
+// recordEnd records a session's end at a server; only the first one counts.
 func (h *history) recordEnd(server string, at time.Duration) {
 	if _, known := h.endedAt[server]; !known {
 		h.endedAt[server] = at
 	}
 }
 
-// lastAttempt is the request's lastAttempt attempt at a server.
+// lastAttempt returns the request's last attempt at a server, or nil.
 func (h *history) lastAttempt(server string) *attempt {
 	for _, a := range slices.Backward(h.attempts) {
 		if a.read.server == server {
@@ -239,12 +239,13 @@
 	return nil
 }
 
-// killedWithin tells whether a node was killed within a span.
+// killedWithin reports whether a node was killed between two times.
 func (c *checker) killedWithin(node int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.kills[node], func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// suspendedFor is how long a node suspendedFor still near a span: it can't act meanwhile, and what comes waits unread.
+// suspendedFor returns how long a node was suspended in or near a period. A suspended node can't act, and its input stays
+// unread.
 func (c *checker) suspendedFor(node int, from, to time.Duration) (sum time.Duration) {
 	for _, r := range c.suspensions[node] {
 		if r.at <= to && r.at+r.wait+loadSlack >= from {
@@ -254,7 +255,7 @@
 	return sum
 }
 
-// nextExit is when the process that ran at an instant ended.
+// nextExit returns when the process that ran at a given time exited; never if it did not.
 func (c *checker) nextExit(node int, after time.Duration) time.Duration {
 	for _, at := range c.exits[node] {
 		if at > after {
@@ -264,35 +265,35 @@
 	return never
 }
 
-// checkFinalAnswer judges a request's final answer.
+// checkFinalAnswer checks that a request has one final answer in time, or a reason for having none.
 func (c *checker) checkFinalAnswer(id string, h *history) {
-	limit := h.request.at + h.request.wait + answerGrace
-	limit += c.suspendedFor(h.request.node, h.request.at, limit)
+	limit := h.sent.at + h.sent.wait + answerGrace
+	limit += c.suspendedFor(h.sent.node, h.sent.at, limit)
 	if len(h.answers) > 1 {
-		c.violate(Answered, id, h.answers[1].at, "has %d final answers", len(h.answers))
+		c.violate(Answered, id, h.answers[1].at, "got %d final answers", len(h.answers))
 	}
 	if len(h.answers) > 0 {
 		c.checkAnswerContent(id, h, h.answers[0])
 		if at := h.answers[0].at; at > limit+loadSlack {
-			c.violate(Answered, id, at, "was answered %.3f s after its deadline", (at - h.request.at - h.request.wait).Seconds())
+			c.violate(Answered, id, at, "answered %.3f s after its deadline", (at - h.sent.at - h.sent.wait).Seconds())
 		}
 		return
 	}
 	switch {
 	case h.cancelledAt > 0:
 		c.report.Cancelled++
-	case c.killedWithin(h.request.node, h.request.at-loadSlack, limit):
+	case c.killedWithin(h.sent.node, h.sent.at-loadSlack, limit):
 		c.report.AtKilledNodes++
-	case h.cutAt > 0 && !h.readBeforeCut && h.cutAt-h.request.at <= socketSlack+loadSlack+c.suspendedFor(h.request.node, h.request.at, h.cutAt) && len(h.attempts) == 0:
-		c.report.CrossedClose++ // it crossed a close
+	case h.cutAt > 0 && !h.readBeforeCut && h.cutAt-h.sent.at <= socketSlack+loadSlack+c.suspendedFor(h.sent.node, h.sent.at, h.cutAt) && len(h.attempts) == 0:
+		c.report.CrossedClose++
 	case h.cutAt > 0:
-		c.violate(Answered, id, h.cutAt, "was read and its connection closed without an answer")
+		c.violate(Answered, id, h.cutAt, "read by the node, whose connection closed without an answer")
 	default:
-		c.violate(Answered, id, limit, "has no final answer")
+		c.violate(Answered, id, limit, "got no final answer")
 	}
 }
 
-// checkAnswerContent judges what an answer says.
+// checkAnswerContent checks an answer's status and body against the attempts.
 func (c *checker) checkAnswerContent(id string, h *history, a record) {
 	switch a.status {
 	case 200:
@@ -302,15 +303,15 @@
 				return
 			}
 		}
-		c.violate(Answered, id, a.at, "is said to be served, and no server gave that answer: %q", a.detail)
+		c.violate(Answered, id, a.at, "answered with success, but no server gave that answer: %q", a.detail)
 	case 453, 454, 503:
 		c.report.Refused++
-		if !classes[h.request.class].sideEffect {
+		if !classes[h.sent.class].sideEffect {
 			return
 		}
 		for _, attempt := range h.attempts {
 			if !attempt.notRun {
-				c.violate(NotRepeated, id, a.at, "was refused although its attempt at %s may have run", attempt.read.server)
+				c.violate(NotRepeated, id, a.at, "refused although its attempt at %s may have run", attempt.read.server)
 				return
 			}
 		}
@@ -319,37 +320,37 @@
 	}
 }
 
-// checkAttempts judges a request's checkAttempts, one by one.
+// checkAttempts checks each attempt of a request.
 func (c *checker) checkAttempts(id string, h *history) {
 	for k, a := range h.attempts {
-		if a.read.rung < classes[h.request.class].floor {
+		if a.read.rung < classes[h.sent.class].floor {
 			c.violate(Terms, id, a.read.at, "rung %d is below the floor", a.read.rung)
 		}
-		delay := c.suspendedFor(h.request.node, h.request.at, a.read.at) + a.read.transitDelay // what its way took is not the node's
-		if left := h.request.at + h.request.wait - a.read.at; a.read.wait > left+deadlineSlack+loadSlack+delay {
-			c.violate(Deadline, id, a.read.at, "%s is told %v, its client has %v left", a.read.server, a.read.wait, left)
+		delay := c.suspendedFor(h.sent.node, h.sent.at, a.read.at) + a.read.transitDelay // the node is not responsible for delays in transit
+		if left := h.sent.at + h.sent.wait - a.read.at; a.read.wait > left+deadlineSlack+loadSlack+delay {
+			c.violate(Deadline, id, a.read.at, "%s got a deadline of %v, its client had %v left", a.read.server, a.read.wait, left)
 		}
 		if h.cancelledAt > 0 && a.read.at > h.cancelledAt+cancelGrace+socketSlack+loadSlack+delay {
-			c.violate(NotAfterEnd, id, a.read.at, "an attempt %.3f s after its client had gone", (a.read.at - h.cancelledAt).Seconds())
+			c.violate(NotAfterEnd, id, a.read.at, "attempt %.3f s after its client cancelled", (a.read.at - h.cancelledAt).Seconds())
 		}
 		if len(h.answers) > 0 && a.read.at > h.answers[0].at+cancelGrace+socketSlack+loadSlack+delay {
-			c.violate(NotAfterEnd, id, a.read.at, "an attempt after its answer")
+			c.violate(NotAfterEnd, id, a.read.at, "attempt after its final answer")
 		}
 		if k == 0 {
 			continue
 		}
 		previous := h.attempts[k-1]
-		if a.endedAt <= a.read.at { // it was over as it was read
+		if a.endedAt <= a.read.at { // it had ended by the time it was read
 			continue
 		}
-		if a.read.transitDelay+previous.read.transitDelay > 0 { // which of them left first is not known
+		if a.read.transitDelay+previous.read.transitDelay > 0 { // it is unknown which was sent first
 			continue
 		}
 		if a.read.at < previous.endedAt-socketSlack-loadSlack {
-			c.violate(OneAttempt, id, a.read.at, "attempts at %s and %s are out together", previous.read.server, a.read.server)
+			c.violate(OneAttempt, id, a.read.at, "attempts at %s and %s in flight together", previous.read.server, a.read.server)
 		}
-		if classes[h.request.class].sideEffect && !previous.notRun {
-			c.violate(NotRepeated, id, a.read.at, "its attempt at %s may have run", previous.read.server)
+		if classes[h.sent.class].sideEffect && !previous.notRun {
+			c.violate(NotRepeated, id, a.read.at, "retried although its attempt at %s may have run", previous.read.server)
 		}
 	}
 }
--- a/internal/lab/soak/judgeend.go
+++ b/internal/lab/soak/judgeend.go
@@ -2,19 +2,17 @@
 
 import "time"
 
-// The checks of this file judge what is owed after a session's end, and what processes hold and log.
+// This file checks the reports of sessions' ends to clients, and the resources and logs of processes.
 
 const (
-	// releaseTimeout is within how long after its server's release a session's client is told, and lateReleaseTimeout where its
-	// connection is gone, or its server is.
+	// A session's client must get the release within releaseTimeout after its server wrote it, or within lateReleaseTimeout if
+	// the client's connection or the server is gone.
 	releaseTimeout, lateReleaseTimeout = time.Second, 8 * time.Second
-	// causeEnded and causeBroken are the ends of which a client is told; it knows of its own.
-	causeEnded, causeBroken = 16, 41
 )
 
-// checkReleases judges that the clients of sessions that ended were told.
+// checkReleases checks that clients are notified when their sessions end.
 func (c *checker) checkReleases() {
-	disconnectedAt := map[string]time.Duration{} // by a client's end of a connection
+	disconnectedAt := map[string]time.Duration{} // by a connection's client address
 	diedAt := map[string]time.Duration{}
 	for _, r := range c.report.records {
 		switch r.kind {
@@ -33,47 +31,47 @@
 		end, timeout := h.releaseWrittenAt, releaseTimeout
 		if h.endedAt[server] == 0 {
 			if end = diedAt[server]; end == 0 {
-				continue // it stands still, or its end was not its server's
+				continue // it is still established, or its server did not end it
 			}
 			timeout = lateReleaseTimeout
-		} else if h.releaseCause != causeEnded && h.releaseCause != causeBroken {
-			continue
-		} else if end == 0 { // its server found no connection to write it to
+		} else if h.releaseCause != causeFinished && h.releaseCause != causeLost {
+			continue // the client knows of an end that it caused
+		} else if end == 0 { // its server had no connection for the release
 			end, timeout = h.endedAt[server], lateReleaseTimeout
 		}
-		if at, known := disconnectedAt[h.request.peer]; known && at < end+timeout {
+		if at, known := disconnectedAt[h.sent.peer]; known && at < end+timeout {
 			timeout = lateReleaseTimeout
 		}
-		if at := diedAt[server]; at > end && at < end+timeout { // what it wrote last may have ended with it
+		if at := diedAt[server]; at > end && at < end+timeout { // the last release that it wrote may be lost with it
 			end, timeout = at, lateReleaseTimeout
 		}
 		limit := end + timeout + socketSlack + loadSlack
-		limit += c.suspendedFor(h.request.node, end, limit)
-		if limit > c.o.Duration || c.nextExit(h.request.node, h.request.at) < limit {
+		limit += c.suspendedFor(h.sent.node, end, limit)
+		if limit > c.o.Duration || c.nextExit(h.sent.node, h.sent.at) < limit {
 			continue
 		}
 		if len(h.releasesReadAt) == 0 {
-			c.violate(Released, id, limit, "its end at %s is not told to its client", server)
+			c.violate(Released, id, limit, "its end at %s was not reported to its client", server)
 		} else if at := h.releasesReadAt[0]; at > limit {
-			c.violate(Released, id, at, "its end at %s is told %.3f s later", server, (at - end).Seconds())
+			c.violate(Released, id, at, "its end at %s was reported %.3f s later", server, (at - end).Seconds())
 		}
 	}
 }
 
-// servedBy is the server whose answer the client has; false where it has none.
+// servedBy returns the server whose answer the client got; false if none was served.
 func (h *history) servedBy() (server string, served bool) {
 	if len(h.answers) == 0 || h.answers[0].status != 200 {
 		return "", false
 	}
 	for _, a := range h.attempts {
-		if h.answers[0].detail == description(h.request.request, a.read.server) {
+		if h.answers[0].detail == description(h.sent.request, a.read.server) {
 			return a.read.server, true
 		}
 	}
 	return "", false
 }
 
-// checkLimits judges what processes hold, and what their logs complain of.
+// checkLimits checks the descriptors and memory of processes, and faults in their logs.
 func (c *checker) checkLimits() {
 	reported := map[int]bool{}
 	for _, r := range c.report.records {
@@ -83,10 +81,10 @@
 			c.report.MaxMemoryMB = max(c.report.MaxMemoryMB, r.megabytes)
 			if !reported[r.node] && (r.descriptors > maxDescriptors || r.megabytes > maxMemoryMB) {
 				reported[r.node] = true
-				c.violate(Limits, "", r.at, "node %d holds %d descriptors of %d and %.0f MB of %d", r.node, r.descriptors, maxDescriptors, r.megabytes, maxMemoryMB)
+				c.violate(Limits, "", r.at, "node %d uses %d of %d descriptors and %.0f of %d MB", r.node, r.descriptors, maxDescriptors, r.megabytes, maxMemoryMB)
 			}
 		case nodeLoggedFault:
-			c.violate(Guarded, "", r.at, "node %d logs %s", r.node, r.detail)
+			c.violate(Guarded, "", r.at, "node %d logged %s", r.node, r.detail)
 		}
 	}
 }
--- a/internal/lab/soak/judgefleet.go
+++ b/internal/lab/soak/judgefleet.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The checks of this file judge what concerns servers and nodes; those of single requests are in judge.go.
+// This file checks rules that concern servers and nodes; judge.go checks single requests.
 
-// checkDrains judges what draining and removed servers get.
+// checkDrains checks that draining and removed servers get no attempts after the grace.
 func (c *checker) checkDrains() {
 	notifiedAt := map[string]time.Duration{}
 	for _, r := range c.report.records {
@@ -20,13 +20,13 @@
 			}
 		case r.kind == attemptRead:
 			if at, known := notifiedAt[r.server]; known && r.at > at+drainGrace+socketSlack+loadSlack+r.transitDelay+c.suspendedFor(r.node, at, r.at) {
-				c.violate(Drained, r.request, r.at, "%s gets it %.3f s after it was told", r.server, (r.at - at).Seconds())
+				c.violate(Drained, r.request, r.at, "%s got it %.3f s after its drain or removal was notified", r.server, (r.at - at).Seconds())
 			}
 		}
 	}
 }
 
-// checkSlowStart judges what started servers get from all nodes together.
+// checkSlowStart checks the attempts that newly started servers get from all nodes together.
 func (c *checker) checkSlowStart() {
 	startedAt := map[string]time.Duration{}
 	received := map[string][]time.Duration{}
@@ -41,14 +41,14 @@
 			}
 			received[r.server] = recent
 			if allowed := slowStartBudget(r.at - at); float64(len(recent)) > allowed {
-				c.violate(SlowStart, r.request, r.at, "%s gets %d attempts within %v, %.1f allowed %.1f s after its start", r.server, len(recent), overloadTime, allowed, (r.at - at).Seconds())
-				received[r.server] = nil // one fall, not one an attempt
+				c.violate(SlowStart, r.request, r.at, "%s got %d attempts within %v, %.1f allowed %.1f s after its start", r.server, len(recent), overloadTime, allowed, (r.at - at).Seconds())
+				received[r.server] = nil // one violation for each overload, not for each attempt
 			}
 		}
 	}
 }
 
-// checkSeats judges how many sessions of one title a node holds.
+// checkSeats checks the number of sessions of one title on a node.
 func (c *checker) checkSeats() {
 	type titleAtNode struct {
 		node  int
@@ -61,19 +61,19 @@
 	}
 	steps := map[titleAtNode][]step{}
 	for id, h := range c.requests {
-		if classes[h.request.class].seats == 0 {
+		if classes[h.sent.class].seats == 0 {
 			continue
 		}
 		for _, a := range h.attempts {
 			end := a.endedAt
 			if a.answered {
 				if end = h.endedAt[a.read.server]; end == 0 {
-					end = a.endedAt // not known: it counts for the moment only
+					end = a.endedAt // the session's end is unknown, so it counts only until its answer
 				}
 			}
-			end = min(end, c.nextExit(h.request.node, a.read.at)) // the next process holds nothing of it
-			key := titleAtNode{h.request.node, h.request.title}
-			// A node hears of an end later than it is written, so what is counted is never more than it holds.
+			end = min(end, c.nextExit(h.sent.node, a.read.at)) // the next process does not inherit it
+			key := titleAtNode{h.sent.node, h.sent.title}
+			// A node learns of an end after it is written, so the count never exceeds what the node holds.
 			steps[key] = append(steps[key], step{a.read.at, 1, id}, step{max(end-socketSlack-loadSlack, a.read.at), -1, id})
 		}
 	}
@@ -85,14 +85,14 @@
 				delete(held, step.id)
 			}
 			if step.delta > 0 && len(held) > classes[2].seats {
-				c.violate(Terms, step.id, step.at, "node %d holds %d sessions of %s: %v", key.node, len(held), key.title, held)
+				c.violate(Terms, step.id, step.at, "node %d has %d sessions of %s: %v", key.node, len(held), key.title, held)
 				break
 			}
 		}
 	}
 }
 
-// checkRetryBudget judges the further attempts of each node.
+// checkRetryBudget checks the number of retries of each node.
 func (c *checker) checkRetryBudget() {
 	type node struct{ requests, retries []time.Duration }
 	nodes := map[int]*node{}
@@ -103,8 +103,8 @@
 		return nodes[k]
 	}
 	for _, h := range c.requests {
-		n := nodeFor(h.request.node)
-		n.requests = append(n.requests, h.request.at)
+		n := nodeFor(h.sent.node)
+		n.requests = append(n.requests, h.sent.at)
 		for k, a := range h.attempts {
 			if k > 0 {
 				n.retries = append(n.retries, a.read.at)
@@ -121,17 +121,17 @@
 			lastRequest, _ := slices.BinarySearch(n.requests, at+loadSlack)
 			allowed := (retryBudgetBase+retryBudgetShare*float64(lastRequest-firstRequest))*budgetFactor + budgetMargin
 			if c.killedWithin(k, windowStart, at) {
-				allowed *= 2 // the process before has spent its own
+				allowed *= 2 // the previous process had a budget of its own
 			}
 			if float64(i-firstRetry+1) > allowed {
-				c.violate(RetryBudget, "", at, "node %d sends %d further attempts within %v, %.1f allowed", k, i-firstRetry+1, retryBudgetWindow, allowed)
+				c.violate(RetryBudget, "", at, "node %d sent %d retries within %v, %.1f allowed", k, i-firstRetry+1, retryBudgetWindow, allowed)
 				break
 			}
 		}
 	}
 }
 
-// checkProcesses judges starts and ends.
+// checkProcesses checks the starts and exits of node processes.
 func (c *checker) checkProcesses() {
 	startedAt, terminatedAt := map[int]time.Duration{}, map[int]time.Duration{}
 	killed, termTwice := map[int]bool{}, map[int]bool{}
@@ -139,7 +139,7 @@
 	checkNotReady := func(k int, until time.Duration) {
 		if at, starting := startedAt[k]; starting && until-at > readyTarget {
 			slowStarts++
-			c.violate(Ready, "", until, "node %d is not ready after %v", k, until-at)
+			c.violate(Ready, "", until, "node %d not ready after %v", k, until-at)
 		}
 		delete(startedAt, k)
 	}
@@ -156,19 +156,19 @@
 				slowStarts++
 			}
 			if took > readyLimit {
-				c.violate(Ready, "", r.at, "node %d is ready after %v", r.node, took)
+				c.violate(Ready, "", r.at, "node %d ready after %v", r.node, took)
 			}
 		case nodeTerminated:
 			terminatedAt[r.node] = r.at
 		case nodeSignalled:
-			// A second signal to end cuts the drain short, which the exit code says.
+			// A second SIGTERM cuts the drain short, which the exit code reports.
 			if _, terminating := terminatedAt[r.node]; terminating && r.detail == syscall.SIGTERM.String() {
 				termTwice[r.node] = true
 			}
 		case nodeKilled:
-			// One that stood still meanwhile has heard of SIGTERM so much later.
+			// A process suspended in between received SIGTERM later.
 			if at, terminating := terminatedAt[r.node]; terminating && c.suspendedFor(r.node, at, r.at) == 0 {
-				c.violate(Ended, "", r.at, "node %d goes on %v after SIGTERM", r.node, r.at-at)
+				c.violate(Ended, "", r.at, "node %d still running %v after SIGTERM", r.node, r.at-at)
 			}
 			killed[r.node] = true
 			checkNotReady(r.node, r.at)
@@ -176,12 +176,12 @@
 			_, terminating := terminatedAt[r.node]
 			unexpected := !terminating || r.status != 0 && !termTwice[r.node]
 			if !killed[r.node] && unexpected && r.at < c.o.Duration+2*time.Second {
-				c.violate(Ended, "", r.at, "node %d ends with %s, SIGTERM %v", r.node, r.detail, terminating)
+				c.violate(Ended, "", r.at, "node %d ended with %s, SIGTERM sent: %v", r.node, r.detail, terminating)
 			}
 			checkNotReady(r.node, r.at)
 		}
 	}
 	if slowStarts*10 > starts {
-		c.violate(Ready, "", 0, "%d of %d processes took over %v to be ready", slowStarts, starts, readyTarget)
+		c.violate(Ready, "", 0, "%d of %d processes took more than %v to become ready", slowStarts, starts, readyTarget)
 	}
 }
--- a/internal/lab/soak/oddclient.go
+++ b/internal/lab/soak/oddclient.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// Shares of requests of a dense soak whose client closes at once, half-closes its connection after the request, or cancels
-	// at about the instant of the answer.
+	// Shares of requests of a dense soak whose client closes its connection at once, half-closes it after the request, or
+	// cancels at about the time of the answer.
 	immediateCloseShare, halfCloseShare, earlyCancelShare = 0.03, 0.03, 0.06
-	// maxEarlyCancelDelay is how long after its request such a client cancels, at most: answers usually come within it.
+	// maxEarlyCancelDelay bounds the delay of such a cancel after its request; answers usually arrive within it.
 	maxEarlyCancelDelay = 35 * time.Millisecond
-	// retryShare is the share of refused requests whose client asks again at once, and maxRetries how often it may.
+	// retryShare of the refused requests are sent again at once, each at most maxRetries times.
 	retryShare, maxRetries = 0.4, 2
 )
 
-// sendUnusual sends a request of a client that does something unusual; false where this one is a usual one.
+// sendUnusual sends a request whose client closes, half-closes or cancels early; false if the draw selects none of these.
 func (c *clients) sendUnusual(draw float64) bool {
 	switch {
 	case draw < immediateCloseShare+halfCloseShare:
@@ -30,8 +30,8 @@
 			return true
 		}
 		r := c.newRequest(c.rand, 0, c.rand.IntN(titlesPerClass))
-		r.resent = true // it crosses no close but its client's own
-		if !conn.send(r, 0, "closes") {
+		r.resent = true // only the client closes this connection, so the request is not sent again
+		if !conn.send(r, 0, "closed by its client") {
 			return true
 		}
 		if draw < immediateCloseShare {
@@ -46,7 +46,7 @@
 		}
 		r := c.newRequest(c.rand, c.rand.IntN(2), c.rand.IntN(titlesPerClass))
 		after := time.Duration(c.rand.Int64N(int64(maxEarlyCancelDelay)))
-		if conn.send(r, 0, "cancels as it is answered") {
+		if conn.send(r, 0, "cancelled near its answer") {
 			time.AfterFunc(after, func() { conn.cancel(r) })
 		}
 	default:
@@ -55,7 +55,7 @@
 	return true
 }
 
-// halfClose ends the sending side of a connection, and waits for what is owed on it.
+// halfClose closes the sending side of a connection; answers are still read.
 func (c *clientConn) halfClose() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		c.writeMu.Lock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// cancelEarly has all requests of these clients cancelled at about the instants of their answers, until then.
+// cancelEarly has all requests of these clients cancelled at about the time of their answers, until then.
 func (c *clients) cancelEarly(until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	return c.log.now() < c.cancelEarlyUntil
 }
 
-// retry asks once more for what was refused, at once.
+// retry sends a refused request again at once, under a new id.
 func (c *clients) retry(conn *clientConn, r *request) {
 	c.mu.Lock()
 	draw := c.retryRand.Float64()
@@ -87,10 +87,10 @@
 	}
 	id := requestID(c.node.index, c.nextID.Add(1))
 	retry := &request{id: id, class: r.class, refusals: r.refusals + 1, text: []byte(strings.Replace(string(r.text), r.id, id, 1))}
-	conn.send(retry, 0, fmt.Sprintf("again for %s", r.id))
+	conn.send(retry, 0, fmt.Sprintf("retry of %s", r.id))
 }
 
-// newRetryRand draws whether refused requests come again.
+// newRetryRand returns the random source that decides whether refused requests are retried.
 func newRetryRand(seed uint64, node int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, uint64(2000+node)))
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -103,10 +103,10 @@
 		interval = denseFaultInterval
 	}
 	for at := quietStart; at < o.Duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(interval)) {
-		k := faultKinds[r.IntN(len(faultKinds))]
-		f := fault{at: at, name: k.name, do: k.do}
-		if k.maxDuration > 0 {
-			f.duration = k.maxDuration/4 + time.Duration(r.Int64N(int64(k.maxDuration*3/4)))
+		kind := faultKinds[r.IntN(len(faultKinds))]
+		f := fault{at: at, name: kind.name, do: kind.do}
+		if kind.maxDuration > 0 {
+			f.duration = kind.maxDuration/4 + time.Duration(r.Int64N(int64(kind.maxDuration*3/4)))
 		}
 		faults = append(faults, f)
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -27,7 +27,7 @@
 	SkewClocks    bool // nodes start by wall clocks that are off
 	NetworkFaults bool // the nodes' own network fails as the system may
 	LogLevel      string
-	OnFault       func(at time.Duration, what string) // hears of each fault
+	OnFault       func(at time.Duration, name string) // hears of each fault
 }
 
 // DefaultOptions are the options of a soak where nothing else is asked for.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -108,12 +108,12 @@
 		{"just after a short one", 8 * s, 9 * s, 10 * s, 12 * s},
 		{"well after one", 2 * s, 3 * s, 10 * s, 10 * s},
 	} {
-		k := &coordinator{}
-		for i := range k.replicas {
-			k.replicas[i] = &replica{coord: k}
+		coord := &coordinator{}
+		for i := range coord.replicas {
+			coord.replicas[i] = &replica{coord: coord}
 		}
-		k.replicas[1].outageStart, k.replicas[1].silentUntil = c.outageStart, c.silentUntil
-		if got := k.notifiedBy(c.now); got != c.want {
+		coord.replicas[1].outageStart, coord.replicas[1].silentUntil = c.outageStart, c.silentUntil
+		if got := coord.notifiedBy(c.now); got != c.want {
 			t.Errorf("%s: told at %v, not %v", c.name, got, c.want)
 		}
 	}
