--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// killGrace is how long after SIGTERM, beyond the longest deadline, SIGKILL comes.
+	// SIGKILL follows SIGTERM after the longest deadline plus killGrace.
 	killGrace = 700 * time.Millisecond
-	// acceptAfterTerm is how long after SIGTERM new connections still come.
+	// acceptAfterTerm is how long after SIGTERM clients still open connections.
 	acceptAfterTerm = 300 * time.Millisecond
-	// readyTarget is within how long nine in ten restarted processes must be ready, and readyLimit all.
+	// Nine in ten started processes must be ready within readyTarget, and all within readyLimit.
 	readyTarget, readyLimit = 10 * time.Second, 30 * time.Second
-	// readyPollInterval is how often a starting process is asked.
+	// readyPollInterval is the interval of health checks on a starting process.
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// node is one front node: a process, and the next one after it.
+// node is one front node. Its process is replaced at each restart.
 type node struct {
 	index  int
 	listen string
@@ -38,17 +38,17 @@
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when the process has ended
+	exited       chan struct{} // closed when the process has exited
 	ready        bool
-	terminatedAt time.Duration // it was sent SIGTERM then; 0 is not
-	stopped      bool          // the soak is over
+	terminatedAt time.Duration // when it was sent SIGTERM; 0 if it was not
+	stopped      bool          // the soak has ended; no process is started
 	starts       int
-	replica      int // of the coordinator, which its configuration names
+	replica      int // the coordinator replica that its configuration names
 }
 
 func (n *node) config() string { return filepath.Join(n.folder, fmt.Sprintf("n%d.json", n.index)) }
 
-// start starts a process whose wall clock is off by so much.
+// start writes the configuration and starts a process whose wall clock is shifted by offset.
 func (n *node) start(offset time.Duration) error {
 	text, err := n.configuration()
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	exited := make(chan struct{})
 	n.cmd, n.exited, n.ready, n.terminatedAt = cmd, exited, false, 0
-	n.log.add(record{kind: nodeStarted, node: n.index, detail: fmt.Sprintf("process %d, clock off by %v", cmd.Process.Pid, offset)})
+	n.log.add(record{kind: nodeStarted, node: n.index, detail: fmt.Sprintf("process %d, clock offset %v", cmd.Process.Pid, offset)})
 	go n.wait(cmd, exited)
 	go n.awaitReady(cmd, exited)
 	return nil
@@ -102,7 +102,7 @@
 	close(exited)
 }
 
-// awaitReady asks a process until it passes its first test.
+// awaitReady sends health checks until the process passes one or exits.
 func (n *node) awaitReady(cmd *exec.Cmd, exited chan struct{}) {
 	for {
 		if n.ping() {
@@ -130,14 +130,14 @@
 	return err == nil && m.Status == rtsp.OK
 }
 
-// acceptsConns tells whether clients may open connections to it.
+// acceptsConns reports whether clients may open connections to the node.
 func (n *node) acceptsConns() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ready && (n.terminatedAt == 0 || n.log.now() < n.terminatedAt+acceptAfterTerm)
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the exit.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -148,7 +148,7 @@
 	<-exited
 }
 
-// terminate ends the process as a planned restart does; whether it ended by itself is judged from the records.
+// terminate ends the process as a planned restart does: SIGTERM, then SIGKILL. The checker reports a needed SIGKILL.
 func (n *node) terminate() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -167,7 +167,7 @@
 	}
 }
 
-// suspend has the process do nothing for so long, as a machine that is short of processor time may.
+// suspend stops the process for a duration, as on a machine that is short of processor time.
 func (n *node) suspend(duration time.Duration) {
 	n.mu.Lock()
 	cmd, ready := n.cmd, n.ready
@@ -180,7 +180,7 @@
 	time.AfterFunc(duration, func() { cmd.Process.Signal(syscall.SIGCONT) })
 }
 
-// configuration is its file as it is to be now.
+// configuration returns the node's configuration file with the current server list.
 func (n *node) configuration() ([]byte, error) {
 	n.mu.Lock()
 	address := n.coord.address(n.replica)
@@ -188,14 +188,14 @@
 	return configuration(n.listen, address, n.index, n.nodes, n.coord.snapshot())
 }
 
-// useReplica has further configurations name another door of the coordinator's.
+// useReplica has later configurations name another coordinator replica.
 func (n *node) useReplica(replica int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.replica = replica
 }
 
-// reload writes the configuration anew, broken or whole, and has the process read it.
+// reload writes the configuration, truncated if asked for, and has the process read it.
 func (n *node) reload(truncate bool) {
 	text, err := n.configuration()
 	if err != nil {
@@ -210,7 +210,7 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// signal sends a signal to the process, if one runs.
+// signal sends a signal to the process if it is ready or terminating.
 func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -221,7 +221,7 @@
 	n.cmd.Process.Signal(sig)
 }
 
-// signalTerminating sends a further signal to a process that was sent SIGTERM.
+// signalTerminating sends a signal to a process that was already sent SIGTERM.
 func (n *node) signalTerminating(sig syscall.Signal) {
 	n.mu.Lock()
 	ending := n.terminatedAt > 0
@@ -231,7 +231,7 @@
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process and prevents further starts.
 func (n *node) stop() {
 	n.mu.Lock()
 	n.stopped = true
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// fault is one fault of a plan: when it begins, how long it lasts, and what it does.
+// fault is one planned fault.
 type fault struct {
 	at, duration time.Duration
 	name         string
 	do           func(s *soak, rand *rand.Rand, long time.Duration)
 }
 
-// faultKinds are all kinds of faults, with the longest time that each may last. Several of any kinds overlap.
+// faultKinds lists the kinds of faults and the longest duration of each. Faults of any kinds may overlap.
 var faultKinds = []struct {
 	name        string
 	maxDuration time.Duration
@@ -35,14 +35,14 @@
 			s.restart(s.nodes[k], false, duration, s.clockOffset(r))
 		}
 	}},
-	{"nodes stand still", 300 * time.Millisecond, func(s *soak, r *rand.Rand, duration time.Duration) {
+	{"nodes suspended", 300 * time.Millisecond, func(s *soak, r *rand.Rand, duration time.Duration) {
 		for _, n := range s.nodes {
 			if r.IntN(2) == 0 {
 				n.suspend(duration)
 			}
 		}
 	}},
-	{"configuration read again", 0, func(s *soak, r *rand.Rand, _ time.Duration) {
+	{"configuration reloaded", 0, func(s *soak, r *rand.Rand, _ time.Duration) {
 		for range 1 + r.IntN(4) {
 			s.nodes[r.IntN(len(s.nodes))].reload(r.IntN(2) == 0)
 		}
@@ -54,26 +54,26 @@
 	{"server hangs", 3 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
 		s.randomServer(r).addEffect(duration, makeHang)
 	}},
-	{"server vanishes", 3 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
+	{"server unreachable", 3 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
 		s.randomServer(r).addEffect(duration, makeUnreachable)
 	}},
 	{"server slow", 4 * time.Second, withBehavior(func(b *behavior) { b.maxExtraDelay = 900 * time.Millisecond })},
 	{"server full", 3 * time.Second, withBehavior(func(b *behavior) { b.full = 0.7 })},
 	{"server failing", 3 * time.Second, withBehavior(func(b *behavior) { b.internalError, b.notFound, b.gatewayTimeout = 0.2, 0.1, 0.2 })},
 	{"answers lost", 3 * time.Second, withBehavior(func(b *behavior) { b.dropAnswer = 0.3 })},
-	{"answers spoilt or doubled", 3 * time.Second, withBehavior(func(b *behavior) { b.malformedAnswer, b.duplicateAnswer = 0.1, 0.3 })},
+	{"answers malformed or duplicated", 3 * time.Second, withBehavior(func(b *behavior) { b.malformedAnswer, b.duplicateAnswer = 0.1, 0.3 })},
 	{"releases before answers", 4 * time.Second, withBehavior(func(b *behavior) { b.earlyRelease = 0.4 })},
 	{"connections reset under requests", 3 * time.Second, withBehavior(func(b *behavior) { b.resetConn = 0.2 })},
-	{"writes in pieces", 4 * time.Second, withBehavior(func(b *behavior) { b.splitWrite = 0.8 })},
+	{"split writes", 4 * time.Second, withBehavior(func(b *behavior) { b.splitWrite = 0.8 })},
 	{"connections of a server closed", 0, func(s *soak, r *rand.Rand, _ time.Duration) { s.randomServer(r).closeConnections(true) }},
 	{"connections of a server reset", 0, func(s *soak, r *rand.Rand, _ time.Duration) { s.randomServer(r).closeConnections(false) }},
-	{"rude clients", 3 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
+	{"useless connections", 3 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
 		s.clients[r.IntN(len(s.clients))].openUselessConns(r, 20+r.IntN(150), duration)
 	}},
-	{"crowd", 2 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) { s.startLoadSurge(r.IntN(len(s.nodes)), duration) }},
+	{"load surge", 2 * time.Second, func(s *soak, r *rand.Rand, duration time.Duration) { s.startLoadSurge(r.IntN(len(s.nodes)), duration) }},
 }
 
-// withBehavior changes how a few servers behave for a time.
+// withBehavior returns a fault that changes the behavior of one to three servers.
 func withBehavior(change func(*behavior)) func(*soak, *rand.Rand, time.Duration) {
 	return func(s *soak, r *rand.Rand, duration time.Duration) {
 		for range 1 + r.IntN(3) {
@@ -91,11 +91,11 @@
 const (
 	// faultInterval is the mean time between two faults.
 	faultInterval = 700 * time.Millisecond
-	// quietStart and quietEnd are without new faults: all nodes come up, and the last requests come to their ends.
+	// No fault starts in quietStart, in which all nodes become ready, and in quietEnd, in which the last requests end.
 	quietStart, quietEnd = 2 * time.Second, 4 * time.Second
 )
 
-// planFaults draws the faults of a soak.
+// planFaults draws the faults of a soak from its seed.
 func planFaults(o Options) (faults []fault) {
 	r := rand.New(rand.NewPCG(o.Seed, 0xfa017))
 	interval := faultInterval
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// measureInterval is how often the processes' descriptors and memory are looked at.
+// measureInterval is the interval at which the processes' descriptors and memory are measured.
 const measureInterval = 100 * time.Millisecond
 
-// faultPatterns are what a node's log must not hold: violations that its own guard saw, and crashes.
+// faultPatterns must not occur in a node's log: violations found by its own guard, and crashes.
 var faultPatterns = []string{"invariant violated", "panic:", "fatal error:", "DATA RACE"}
 
-// measureProcesses looks at the processes' descriptors and memory.
+// measureProcesses measures all processes until ctx is done.
 func (s *soak) measureProcesses(ctx context.Context) {
 	for sleep(ctx, measureInterval) {
 		for _, n := range s.nodes {
@@ -27,7 +27,7 @@
 	}
 }
 
-// measure records how many descriptors and megabytes the process holds.
+// measure records the process's open descriptors and resident memory.
 func (n *node) measure() {
 	n.mu.Lock()
 	cmd, ready := n.cmd, n.ready
@@ -37,13 +37,13 @@
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 	if err != nil {
-		return // it has ended
+		return // it has exited
 	}
 	megabytes := residentMemory(cmd.Process.Pid)
 	n.log.add(record{kind: nodeMeasured, node: n.index, descriptors: len(descriptors), megabytes: megabytes})
 }
 
-// residentMemory is how many megabytes a process holds; 0 where that can't be read.
+// residentMemory returns a process's resident memory in megabytes; 0 if it can't be read.
 func residentMemory(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -57,7 +57,7 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// scanLogs records what the nodes' logs complain of.
+// scanLogs records the lines of the nodes' logs that match a fault pattern.
 func (s *soak) scanLogs() {
 	for _, n := range s.nodes {
 		text, err := os.ReadFile(filepath.Join(n.folder, fmt.Sprintf("n%d.log", n.index)))
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -1,5 +1,5 @@
-// Package soak runs many real front node processes on loopback among stand-in clients, servers and a coordinator, with
-// overlapping faults drawn by a seed, and judges the platform's rules from the traffic alone.
+// Package soak runs many real front node processes on loopback with stand-in clients, servers and a coordinator, and with
+// overlapping faults drawn from a seed. It checks the platform's rules from the recorded traffic alone.
 package soak
 
 import (
@@ -11,56 +11,56 @@
 	"time"
 )
 
-// kind is what a record tells.
+// kind is the kind of a recorded event.
 type kind int
 
 const (
-	requestSent      kind = iota // a client has written a request's last byte
-	requestCancelled             // its client has cancelled it, or closed its connection
-	requestCut                   // the node closed the connection with the request open
+	requestSent      kind = iota // a client writes a request's last byte
+	requestCancelled             // its client has cancelled it or closed its connection
+	requestCut                   // the node closed the connection while the request was pending
 	answerRead                   // a client has read a final answer
 	releaseRead                  // a client has read a release
-	attemptRead                  // a server has read an attempt whole
+	attemptRead                  // a server has read a complete attempt
 	attemptAnswered              // a server writes its answer to an attempt
-	attemptCancelled             // a server has read that an attempt is given up, or its connection ended
-	sessionEnded                 // a server ends a session that stood
-	releaseWritten               // a server has written that end to a connection
-	serverDied                   // a server's process has ended, and its sessions with it
+	attemptCancelled             // a server has read an attempt's TEARDOWN, or its connection ended
+	sessionEnded                 // a server ends an established session
+	releaseWritten               // a server has written the release to a connection
+	serverDied                   // a server's process has died, and its sessions with it
 	connectionEnded              // a client's connection has ended
 	rungRead                     // a server has read a new rung
-	entryPublished               // the coordinator has an entry of the list
+	entryPublished               // the coordinator has published an entry of the list
 	nodeStarted                  // a node's process was started
-	nodeReady                    // it passed its first test
+	nodeReady                    // it has passed its first health check
 	nodeTerminated               // it was sent SIGTERM
-	nodeExited                   // its process has ended
+	nodeExited                   // its process has exited
 	nodeKilled                   // it was sent SIGKILL
-	nodeSuspended                // it stands still (SIGSTOP) for so long
-	nodeSignalled                // it was sent a signal beside the one that ends it
-	nodeMeasured                 // its descriptors and memory were looked at
-	nodeLoggedFault              // its log has a line that tells of a fault of its own
-	faultStarted                 // a fault of the plan begins
+	nodeSuspended                // it is stopped by SIGSTOP for a duration
+	nodeSignalled                // it was sent a signal other than the first SIGTERM or a SIGKILL
+	nodeMeasured                 // its descriptors and memory were measured
+	nodeLoggedFault              // its log has a line that matches a fault pattern
+	faultStarted                 // a fault starts
 )
 
 var kindNames = [...]string{"request sent", "request cancelled", "request cut", "answer read", "release read", "attempt read", "attempt answered",
-	"attempt given up", "session ended", "release written", "server died", "connection ended", "rung read", "entry told", "node started", "node ready", "node terminated", "node exited", "node killed", "node stands still", "node signalled", "node measured", "node complained", "fault"}
+	"attempt cancelled", "session ended", "release written", "server died", "connection ended", "rung read", "entry published", "node started", "node ready", "node terminated", "node exited", "node killed", "node suspended", "node signalled", "node measured", "node logged a fault", "fault"}
 
-// record is one thing seen. Which fields say something depends on its kind.
+// record is one recorded event. Which fields are set depends on its kind.
 type record struct {
-	at           time.Duration // since the soak began
+	at           time.Duration // since the start of the soak
 	kind         kind
 	request      string
 	node         int
 	server       string
 	class        int
 	title        string
-	status       int           // of an answer; of an exit its code
-	rung         int           // of an attempt
-	wait         time.Duration // of a request or an attempt: its deadline; of an entry: when it counts as told
-	descriptors  int           // of a process
-	megabytes    float64       // of a process
-	transitDelay time.Duration // how long an attempt was on its way, where the network was cut
+	status       int           // status of an answer, cause of a session's end or exit code
+	rung         int           // rung of an attempt or a rung change
+	wait         time.Duration // deadline of a request or an attempt; when an entry counts as notified; duration of a suspension
+	descriptors  int           // of a measured process
+	megabytes    float64       // resident memory of a measured process
+	transitDelay time.Duration // how long an attempt was delayed by a network partition
 	detail       string
-	peer         string // the client's end of a request's connection
+	peer         string // client address of a request's connection
 }
 
 func (r record) String() string {
@@ -78,7 +78,7 @@
 	return s
 }
 
-// log is all that was seen, by whoever sees it first. It is safe for concurrent use.
+// log collects the records of all stand-ins. It is safe for concurrent use.
 type log struct {
 	startedAt time.Time
 	mu        sync.Mutex
@@ -87,7 +87,7 @@
 
 func (l *log) now() time.Duration { return time.Since(l.startedAt) }
 
-// add stamps a record and keeps it.
+// add appends a record and returns its time, which is now unless it is set.
 func (l *log) add(r record) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 	return r.at
 }
 
-// sorted gives all records in their order.
+// sorted returns all records in order of time.
 func (l *log) sorted() []record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return sorted
 }
 
-// writeTrace writes all that was seen of one request.
+// writeTrace writes all records of one request.
 func writeTrace(w io.Writer, records []record, request string) {
 	for _, r := range records {
 		if r.request == request {
--- a/internal/lab/soak/release.go
+++ b/internal/lab/soak/release.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A server sends the end of a session on the connection of its attempt, else on any open one, and on those opened later as well.
+// A server sends a release on the connection of the session's attempt, or on another one to the node if that has closed, and
+// repeats it on connections opened later.
 
-// pendingRelease is a release that goes over the next connection opened as well.
+// pendingRelease is a release that is also sent on connections opened later.
 type pendingRelease struct {
 	id        string
 	text      []byte
@@ -16,7 +17,7 @@
 	writtenAt time.Duration
 }
 
-// release ends a session that stands.
+// release ends a session and sends its release.
 func (s *server) release(sess *session, cause int) {
 	s.mu.Lock()
 	delete(s.sessions, sess.id)
@@ -37,8 +38,8 @@
 	}
 }
 
-// connsToNode gives the connections on which a node surely hears: one of its own, or, where none is known as such, all that may be.
-// The lock is held.
+// connsToNode returns the connections that surely reach a node: one that is known to be the node's, or else all whose node is
+// not known. The caller holds s.mu.
 func (s *server) connsToNode(node int) (conns []*serverConn) {
 	for c := range s.conns {
 		if c.node == node {
@@ -51,7 +52,7 @@
 	return conns
 }
 
-// sendRelease writes a release, and records that it was written.
+// sendRelease writes a release and records that it was written.
 func (c *serverConn) sendRelease(r pendingRelease) {
 	if !c.send(r.text) {
 		return
@@ -65,14 +66,14 @@
 	}
 }
 
-// recordRelease records that a release was written, where it went to the node that it concerns; the server's lock is held.
+// recordRelease records a written release if the connection is to the session's node. The caller holds the server's lock.
 func (c *serverConn) recordRelease(r pendingRelease) {
 	if c.node == nodeOf(r.id) {
 		c.server.log.add(record{at: r.writtenAt, kind: releaseWritten, request: r.id, server: c.server.id, node: c.node, peer: c.RemoteAddr().String()})
 	}
 }
 
-// resendReleases sends what was written to a connection just before its end over another one, or keeps it for the next.
+// resendReleases sends releases written just before this connection ended on another connection to the same node.
 func (c *serverConn) resendReleases() {
 	s := c.server
 	var releases []pendingRelease
@@ -87,15 +88,15 @@
 	if dead {
 		return
 	}
-	for _, conn := range others { // where there are none it goes over the next one
+	for _, conn := range others { // without another connection, the next one opened replays them
 		for _, r := range releases {
 			conn.sendRelease(r)
 		}
 	}
 }
 
-// replayReleases sends the releases written before on this connection as well, as the platform's servers do. Whose it is
-// is not known yet; to other nodes they say nothing.
+// replayReleases sends the pending releases on a new connection, as the platform's servers do. Its node is not known yet;
+// other nodes ignore them.
 func (c *serverConn) replayReleases() {
 	c.server.awaitReachable()
 	c.server.mu.Lock()
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -12,7 +12,7 @@
 	"rainhaven/internal/rtsp"
 )
 
-// The protocol's causes of a release.
+// Causes of a release in the platform's protocol.
 const (
 	causeFinished = 16
 	causeMoved    = 31
@@ -20,26 +20,26 @@
 )
 
 const (
-	// maxAnswerDelay is what an answer takes at most.
+	// maxAnswerDelay bounds the time to an answer when no fault slows the server.
 	maxAnswerDelay = 30 * time.Millisecond
-	// A session lasts between these.
+	// A session's duration is drawn between minSession and maxSession.
 	minSession, maxSession = 100 * time.Millisecond, 1500 * time.Millisecond
-	// duplicateDelay is how much later a second answer comes.
+	// duplicateDelay is the time between an answer and its duplicate.
 	duplicateDelay = 3 * time.Millisecond
-	// maxReleaseLead is how long before its answer an early release leaves, at most.
+	// maxReleaseLead bounds how long before its answer an early release is sent.
 	maxReleaseLead = 150 * time.Millisecond
-	// releaseLossWindow is how long after it was written a release may be lost with its connection.
+	// A release written less than releaseLossWindow before its connection ended may be lost with it.
 	releaseLossWindow = 300 * time.Millisecond
-	// maxNodes and maxProbes bound what the name of a test may say.
+	// maxNodes and maxProbes bound the nodes and serial numbers that a probe's id may stand for.
 	maxNodes, maxProbes = 1000, 1 << 20
-	// backlogWindow is how long after a cut network's return what waited there is still being read.
+	// backlogWindow is how long after the end of a network partition the messages held by it are still being read.
 	backlogWindow = 100 * time.Millisecond
-	// maxPendingReleases is how many releases a server keeps for connections opened later, and pendingReleaseTTL for how long.
+	// A server keeps at most maxPendingReleases releases for connections opened later, each for pendingReleaseTTL.
 	maxPendingReleases, pendingReleaseTTL = 1024, 10 * time.Second
 )
 
-// server is the stand-in for a streaming server: one process of it, under one id. Its connections are the soak's fault
-// proxy: what is read and written there is recorded at the node's side of any fault.
+// server stands in for one process of a streaming server. Its connections apply the faults of the network, so that messages
+// are recorded as the node sees them.
 type server struct {
 	net.Listener
 	id   string
@@ -48,18 +48,18 @@
 
 	mu              sync.Mutex
 	rand            *rand.Rand
-	effects         []effect         // emptied by time
-	pendingReleases []pendingRelease // releases that go over the next connection opened as well; emptied by that
+	effects         []effect         // includes expired ones until the next currentBehavior
+	pendingReleases []pendingRelease // also sent on connections opened later
 	conns           map[*serverConn]bool
 	sessions        map[string]*session
 	dead            bool
 }
 
-// session is a session at a server, from its attempt's arrival on.
+// session is a session at a server, from the arrival of its attempt.
 type session struct {
 	id            string
 	conn          *serverConn
-	answerPending bool // its answer was not written yet
+	answerPending bool // its answer is not written yet
 	established   bool
 	url           string
 }
@@ -68,10 +68,10 @@
 	net.Conn
 	server         *server
 	writeMu        sync.Mutex
-	node           int           // whose it is, as its messages tell; -1 before any; with the server's lock held
-	transitDelay   time.Duration // how long what came last was on its way, and until when; the reader's alone
+	node           int           // the node that opened it; -1 until a message identifies it; guarded by the server's lock
+	transitDelay   time.Duration // delay of the last delayed message and the time it arrived; used only by readMessages
 	reachableAt    time.Duration
-	recentReleases []pendingRelease // releases that may not have arrived; with the server's lock held
+	recentReleases []pendingRelease // releases that may not have arrived; guarded by the server's lock
 }
 
 func newServer(l *log, id, host string, cell int, seed uint64) (*server, error) {
@@ -84,7 +84,7 @@
 	return s, nil
 }
 
-// chance draws with the lock held.
+// chance draws true with probability p. The caller holds s.mu.
 func (s *server) chance(p float64) bool { return p > 0 && s.rand.Float64() < p }
 
 func (s *server) accept() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// kill ends the process: its connections are reset, its sessions cut.
+// kill ends the server: it stops listening and resets its connections.
 func (s *server) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// closeConnections resets what is open now, and goes on.
+// closeConnections closes or resets all open connections; the server goes on.
 func (s *server) closeConnections(orderly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	c.Close()
 }
 
-// send writes a message, in pieces where that is to be; false where its connection has ended.
+// send writes a message, in two writes if the behavior asks for it; false if the connection has ended.
 func (c *serverConn) send(b []byte) bool {
 	c.server.awaitReachable()
 	c.server.mu.Lock()
@@ -161,11 +161,12 @@
 	return err == nil
 }
 
-// awaitReachable is the server's, for what is read; what waited behind a message was on its way as long.
+// awaitReachable waits until the server is reachable and returns how long the message just read was delayed. Messages queued
+// behind a delayed one count as delayed as long.
 func (c *serverConn) awaitReachable() time.Duration {
 	delay := c.server.awaitReachable()
 	now := c.server.log.now()
-	if now-delay-c.reachableAt < backlogWindow { // what waited there since before the last return
+	if now-delay-c.reachableAt < backlogWindow { // was queued during the last partition
 		delay += c.transitDelay
 	}
 	if delay > 0 {
@@ -174,7 +175,7 @@
 	return delay
 }
 
-// identifyNode takes from a message whose connection it is.
+// identifyNode learns from a SETUP or a probe which node opened the connection.
 func (c *serverConn) identifyNode(m *rtsp.Message) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -239,11 +240,11 @@
 	s.mu.Unlock()
 	go c.resendReleases()
 	for _, id := range gone {
-		s.log.add(record{kind: attemptCancelled, request: id, server: s.id, node: -1, detail: "its connection ended"})
+		s.log.add(record{kind: attemptCancelled, request: id, server: s.id, node: -1, detail: "connection ended"})
 	}
 }
 
-// handleSetup takes a SETUP, which was on its way for so long.
+// handleSetup records an attempt, which took delay in transit, and answers it as the current behavior has it.
 func (c *serverConn) handleSetup(m *rtsp.Message, delay time.Duration) {
 	s := c.server
 	id := m.Session()
@@ -292,7 +293,7 @@
 	})
 }
 
-// gone tells whether a session is no longer there: it was given up, or its server is dead.
+// gone reports whether a session has ended or its server is dead.
 func (s *server) gone(sess *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,7 +311,7 @@
 	sess.conn.send(formatAnswer(sess.id, 1, status, ""))
 }
 
-// description is what a server gives for a session, told apart from any other one's.
+// description returns the body of a server's answer, which is unique to the session and the server.
 func description(id, server string) string {
 	return fmt.Sprintf("%s\r\nc=IN IP4 127.0.0.2\r\ns=%s\r\nm=video 31000 RTP/AVP 33\r\n", id, server)
 }
@@ -344,7 +345,7 @@
 	case drop:
 		detail = "lost"
 	case malformed:
-		detail = "spoilt"
+		detail = "malformed"
 		b = []byte(strings.Replace(string(b), "Content-Length: ", "Content-Length: -", 1))
 	}
 	s.log.add(record{kind: attemptAnswered, request: sess.id, server: s.id, node: nodeOf(sess.id), status: rtsp.OK, detail: detail})
@@ -361,7 +362,7 @@
 	}
 }
 
-// handleTeardown takes a TEARDOWN, which was on its way for so long.
+// handleTeardown ends a session by a TEARDOWN, which took delay in transit.
 func (c *serverConn) handleTeardown(m *rtsp.Message, delay time.Duration) {
 	s := c.server
 	s.mu.Lock()
@@ -374,7 +375,7 @@
 	return []byte(fmt.Sprintf("RTSP/1.0 %d %s\r\nCSeq: %d\r\nSession: %s\r\nContent-Length: %d\r\n\r\n%s", status, rtsp.Reason(status), seq, id, len(body), body))
 }
 
-// probeSender is the node that sent a test: it counts its tests on from its seed.
+// probeSender returns the node that sent a probe, or -1. A node numbers its probes starting from its seed.
 func probeSender(id string) int {
 	probe, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
@@ -388,10 +389,10 @@
 	return -1
 }
 
-// requestID names a request; its node can be told from it.
+// requestID returns a request's id, which includes its node.
 func requestID(node int, serial uint64) string { return fmt.Sprintf("%04x%012x", node, serial) }
 
-// nodeOf is the node that a request was sent to; -1 where the id is not one of the soak's.
+// nodeOf returns the node that a request was sent to; -1 if the id is not from requestID.
 func nodeOf(id string) int {
 	if len(id) != 16 {
 		return -1
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -13,24 +13,24 @@
 	frontnode "rainhaven/internal/node"
 )
 
-// Options say what is played.
+// Options configures a soak.
 type Options struct {
-	Program       string // the program whose `node` is run
-	Folder        string // for configurations and the nodes' logs; it must exist
-	Dense         bool   // a handful of processes under many faults at once
+	Program       string // path of the program whose command `node` is run
+	Folder        string // existing folder for configurations and the nodes' logs
+	Dense         bool   // run scenarios, a load surge and unusual clients beside the other faults
 	Nodes         int
 	Servers       int
 	Seed          uint64
 	Duration      time.Duration
-	Rate          float64 // requests a second at one node, in the mean
+	Rate          float64 // mean requests per second and node
 	Sabotage      frontnode.Sabotage
-	SkewClocks    bool // nodes start by wall clocks that are off
-	NetworkFaults bool // the nodes' own network fails as the system may
+	SkewClocks    bool // shift the nodes' wall clocks
+	NetworkFaults bool // make system calls of the nodes' network fail
 	LogLevel      string
-	OnFault       func(at time.Duration, name string) // hears of each fault
+	OnFault       func(at time.Duration, name string) // if set, is called at the start of each fault
 }
 
-// DefaultOptions are the options of a soak where nothing else is asked for.
+// DefaultOptions returns the options of a large soak.
 func DefaultOptions() Options {
 	return Options{Nodes: 30, Servers: 12, Seed: 1, Duration: time.Minute, Rate: 8, SkewClocks: true, NetworkFaults: true, LogLevel: "info"}
 }
@@ -43,25 +43,25 @@
 	clients []*clients
 
 	mu          sync.Mutex
-	servers     []*server // those that are up
+	servers     []*server // running servers
 	serversMade int
-	surgeUntil  map[int]time.Duration // nodes that get several times the mean, until then
+	surgeUntil  map[int]time.Duration // end of the last load surge, by node
 	seed        uint64
-	background  sync.WaitGroup // restarts under way
-	network     int            // the second byte of its nodes' addresses
+	background  sync.WaitGroup // restarts and delayed steps in progress
+	network     int            // second byte of the nodes' addresses
 }
 
 const (
-	// surgeFactor is how much more a crowded node gets than the mean.
+	// surgeFactor multiplies the request rate during a load surge.
 	surgeFactor = 5.0
-	// nodeHost and serverHost are the addresses of nodes and servers on loopback; each soak has a network for its nodes.
+	// nodeHost and serverHost are the loopback addresses of nodes and servers. Each soak has a network of its own for its nodes.
 	nodeHost, serverHost           = "127.%d.%d.%d:20000", "127.22.%d.%d:0"
 	firstNetwork, numberOfNetworks = 32, 200
-	// drainDuration is how long a draining server goes on before it is gone.
+	// drainDuration is how long a draining server runs before it is killed.
 	drainDuration = 1500 * time.Millisecond
 )
 
-// Run plays a soak and judges it.
+// Run runs a soak and checks its records.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	s := &soak{o: o, log: &log{startedAt: time.Now()}, surgeUntil: map[int]time.Duration{}, seed: o.Seed}
 	claim, err := s.claimNetwork()
@@ -101,7 +101,7 @@
 	<-ctx.Done()
 	wg.Wait()
 	s.background.Wait()
-	time.Sleep(2500 * time.Millisecond) // the last requests come to their ends
+	time.Sleep(2500 * time.Millisecond) // lets the last requests end
 	for _, n := range s.nodes {
 		n.stop()
 	}
@@ -109,7 +109,7 @@
 	return check(s.log.sorted(), o), nil
 }
 
-// claimNetwork finds a loopback network that no other soak on the machine uses, and holds it by one of its addresses.
+// claimNetwork finds a loopback network that no other soak on the machine uses, and claims it by listening on one address.
 func (s *soak) claimNetwork() (claim net.Listener, err error) {
 	for k := range numberOfNetworks {
 		s.network = firstNetwork + (os.Getpid()+k)%numberOfNetworks
@@ -117,7 +117,7 @@
 			return claim, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback network is free: %w", err)
+	return nil, fmt.Errorf("no free loopback network: %w", err)
 }
 
 func (s *soak) startNodes() error {
@@ -129,8 +129,8 @@
 		s.clients = append(s.clients, &clients{node: n, log: s.log, rand: rand.New(rand.NewPCG(s.o.Seed, uint64(k))), nextID: &next,
 			dense: s.o.Dense, retryRand: newRetryRand(s.o.Seed, k)})
 	}
-	if s.o.Sabotage == frontnode.SabotageReady { // else nobody would be up
-		fmt.Fprintln(os.Stderr, "soak: starts are sabotaged, so nobody is served")
+	if s.o.Sabotage == frontnode.SabotageReady { // the soak can't serve requests then
+		fmt.Fprintln(os.Stderr, "soak: starts are sabotaged, so no request is served")
 	}
 	r := rand.New(rand.NewPCG(s.o.Seed, 0xc10c))
 	for _, n := range s.nodes {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// clockOffset draws how far a starting process's wall clock is off: as it is told, by seconds, or by an hour.
+// clockOffset draws the offset of a starting process's wall clock: none, seconds or an hour, in either direction.
 func (s *soak) clockOffset(r *rand.Rand) time.Duration {
 	steps := []time.Duration{0, 0, time.Second, 3 * time.Second, time.Hour}
 	step := steps[r.IntN(len(steps))]
@@ -157,7 +157,7 @@
 	return step
 }
 
-// sendRequests sends a node's requests.
+// sendRequests sends a node's requests at random intervals until ctx is done.
 func (s *soak) sendRequests(ctx context.Context, c *clients) {
 	for {
 		rate := s.o.Rate
@@ -188,7 +188,7 @@
 	}
 }
 
-// reportFault records a fault, and tells whoever follows the soak.
+// reportFault records a fault and passes it to OnFault.
 func (s *soak) reportFault(name string) {
 	at := s.log.add(record{kind: faultStarted, node: -1, detail: name})
 	if s.o.OnFault != nil {
@@ -196,13 +196,13 @@
 	}
 }
 
-// restart ends a node's process, by SIGKILL or SIGTERM, and starts the next one after a while.
+// restart ends a node's process by SIGKILL or SIGTERM, in the background, and starts the next one after a delay.
 func (s *soak) restart(n *node, kill bool, after, offset time.Duration) {
 	s.background.Go(func() {
 		n.mu.Lock()
 		busy := !n.ready || n.terminatedAt > 0
 		n.mu.Unlock()
-		if busy { // it is being restarted
+		if busy { // it is starting or being restarted
 			return
 		}
 		if kill {
@@ -217,21 +217,21 @@
 	})
 }
 
-// startLoadSurge has a node get several times the mean.
+// startLoadSurge raises a node's request rate by surgeFactor for a duration.
 func (s *soak) startLoadSurge(node int, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.surgeUntil[node] = s.log.now() + duration
 }
 
-// randomServer is one of the servers that are up.
+// randomServer draws one of the running servers.
 func (s *soak) randomServer(r *rand.Rand) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers[r.IntN(len(s.servers))]
 }
 
-// newServer starts a server in a cell and has it told; started is its wall time, 0 for long ago.
+// newServer starts a server in a cell and publishes it. started is its start time in Unix milliseconds; 0 is long ago.
 func (s *soak) newServer(cell int, started int64) error {
 	s.mu.Lock()
 	s.serversMade++
@@ -252,7 +252,8 @@
 	return entry{ID: s.id, Addr: s.Addr().String(), Zone: "a", Kind: "std", Cell: s.cell, State: state, Weight: 1, StartedAtMs: started}
 }
 
-// replace drains a server, or has it die, and starts another one in its place. At least half of them stay.
+// replace drains or kills a server, in the background, and starts another one in its place. It does nothing if no more than
+// half of the servers are running.
 func (s *soak) replace(r *rand.Rand, after time.Duration, drain bool) {
 	s.mu.Lock()
 	if len(s.servers) <= s.o.Servers/2 {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,14 +25,14 @@
 	return path
 }
 
-// shortOptions is a soak that takes little time.
+// shortOptions returns the options of a soak of 12 nodes and 12 s.
 func shortOptions(t *testing.T, program string, seed uint64) Options {
 	o := DefaultOptions()
 	o.Program, o.Folder, o.Seed, o.Nodes, o.Duration = program, t.TempDir(), seed, 12, 12*time.Second
 	return o
 }
 
-// Real processes under overlapping faults keep every invariant.
+// Real node processes under overlapping faults violate no invariant.
 func TestSoak(t *testing.T) {
 	p := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
@@ -48,10 +48,10 @@
 	}
 }
 
-// A handful of processes under many faults at once keep every invariant.
+// A few node processes under many simultaneous faults violate no invariant.
 func TestDenseSoak(t *testing.T) {
 	p := buildProgram(t)
-	for _, seed := range []uint64{1, 3} { // without a crowd, and with one
+	for _, seed := range []uint64{1, 3} { // without and with a load surge
 		o := DenseOptions()
 		o.Program, o.Folder, o.Seed = p, t.TempDir(), seed
 		r, err := Run(context.Background(), o)
@@ -66,21 +66,21 @@
 	}
 }
 
-// Every story has a name of its own, and a seed plays them in the same order.
+// Every scenario has a unique name, and a seed always gives the same schedule.
 func TestScenarios(t *testing.T) {
 	seen := map[string]bool{}
 	for _, s := range scenarios {
 		if s.name == "" || s.run == nil || seen[s.name] {
-			t.Errorf("story %q", s.name)
+			t.Errorf("scenario %q", s.name)
 		}
 		seen[s.name] = true
 	}
 	if a, b := scheduleScenarios(7, DenseOptions().Duration), scheduleScenarios(7, DenseOptions().Duration); !slices.Equal(a, b) || len(a) < 10 {
-		t.Errorf("seed 7 plays %v, then %v", a, b)
+		t.Errorf("seed 7 schedules %v, then %v", a, b)
 	}
 }
 
-// Effects on a server add up, and each ends by itself.
+// Overlapping effects on a server are combined, and each expires on its own.
 func TestEffectsOverlap(t *testing.T) {
 	s := &server{log: &log{startedAt: time.Now()}}
 	s.addEffect(time.Hour, makeHang)
@@ -90,11 +90,11 @@
 	}
 	time.Sleep(30 * time.Millisecond)
 	if b := s.currentBehavior(); b.full != 0 || b.hungUntil == 0 {
-		t.Errorf("one over: %+v", b)
+		t.Errorf("one expired: %+v", b)
 	}
 }
 
-// What the coordinator has counts as told at once, and in an outage within the platform's times.
+// A change counts as notified at once, or during an outage within the platform's time limits.
 func TestNotifiedBy(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
@@ -114,12 +114,12 @@
 		}
 		coord.replicas[1].outageStart, coord.replicas[1].silentUntil = c.outageStart, c.silentUntil
 		if got := coord.notifiedBy(c.now); got != c.want {
-			t.Errorf("%s: told at %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: notified by %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// expectedViolation names the invariant that each sabotage must break.
+// expectedViolation maps each sabotage to the invariant that it must violate.
 var expectedViolation = map[frontnode.Sabotage]Invariant{
 	frontnode.SabotageAnswer: Answered, frontnode.SabotageTwice: Answered, frontnode.SabotageRefusal: NotRepeated,
 	frontnode.SabotageRepeat: NotRepeated, frontnode.SabotageOverlap: OneAttempt, frontnode.SabotageDrain: Drained,
@@ -130,24 +130,24 @@
 	frontnode.SabotageGuard: Guarded, frontnode.SabotageClose: Answered,
 }
 
-// Each invariant has a sabotage, and each sabotage an invariant.
+// Each sabotage violates an invariant, and each invariant is violated by a sabotage.
 func TestEachInvariantHasASabotage(t *testing.T) {
 	seen := map[Invariant]bool{}
 	for _, s := range frontnode.Sabotages {
 		if expectedViolation[s] == "" {
-			t.Errorf("%s breaks nothing", s)
+			t.Errorf("no invariant for sabotage %s", s)
 		}
 		seen[expectedViolation[s]] = true
 	}
 	for _, i := range Invariants {
 		if !seen[i] {
-			t.Errorf("no sabotage breaks %q", i)
+			t.Errorf("no sabotage violates %q", i)
 		}
 	}
 }
 
-// Sabotaged processes are caught: a few in each run, by their seeds; all with SOAK_SABOTAGES set. Those that need particular
-// faults or many processes are played by `rainhaven soak --sabotage`.
+// A soak of sabotaged nodes reports the expected violation. Only three sabotages run by default, all with SOAK_SABOTAGES set.
+// Sabotages that need particular faults or many processes are run with `rainhaven soak --sabotage`.
 func TestSabotagesAreCaught(t *testing.T) {
 	p := buildProgram(t)
 	list := []frontnode.Sabotage{frontnode.SabotageAnswer, frontnode.SabotageOverlap, frontnode.SabotageDeadline}
@@ -165,7 +165,7 @@
 			var b bytes.Buffer
 			r.Write(&b)
 			if !strings.Contains(b.String(), "violated: ") {
-				t.Fatalf("nothing was noticed:\n%s", b.String())
+				t.Fatalf("no violation reported:\n%s", b.String())
 			}
 			for _, v := range r.Violations {
 				if v.Invariant == expectedViolation[s] {
@@ -177,7 +177,7 @@
 	}
 }
 
-// The judge alone, on traffic made by hand: a clean request passes, and each way to break an invariant is found.
+// The checker alone, on hand-written records: valid requests pass, and each kind of violation is found.
 func TestCheck(t *testing.T) {
 	const id = "0003000000000007"
 	sent := record{at: time.Second, kind: requestSent, request: id, node: 3, class: 1, wait: 1430 * time.Millisecond, title: "t"}
@@ -199,27 +199,27 @@
 	}{
 		{"clean", clean, ""},
 		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}}, ""},
-		{"its node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
-		{"it crossed a close", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3}}, ""},
+		{"node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
+		{"crossed a close", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3}}, ""},
 		{"no answer", clean[:5], Answered},
 		{"two answers", append(append([]record{}, clean...), read(1060*ms, 503, "")), Answered},
-		{"another one's answer", append(append([]record{}, clean[:5]...), read(1050*ms, 200, description(id, "s-1"))), Answered},
-		{"late", append(append([]record{}, clean[:5]...), read(3500*ms, 200, description(id, "s-2"))), Answered},
-		{"closed unanswered", []record{sent, {at: 1300 * ms, kind: requestCut, request: id, node: 3}}, Answered},
-		{"repeated", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
-		{"refused", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
-		{"two out", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
-		{"after its end", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
-		{"told longer", []record{sent, {at: 2000 * ms, kind: attemptRead, request: id, server: "s-1", rung: 1, wait: 900 * ms}, read(2100*ms, 500, "")}, Deadline},
+		{"answer of another server", append(append([]record{}, clean[:5]...), read(1050*ms, 200, description(id, "s-1"))), Answered},
+		{"late answer", append(append([]record{}, clean[:5]...), read(3500*ms, 200, description(id, "s-2"))), Answered},
+		{"closed without an answer", []record{sent, {at: 1300 * ms, kind: requestCut, request: id, node: 3}}, Answered},
+		{"retried after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
+		{"refused after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
+		{"two attempts in flight", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
+		{"attempt after its client cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
+		{"deadline too long", []record{sent, {at: 2000 * ms, kind: attemptRead, request: id, server: "s-1", rung: 1, wait: 900 * ms}, read(2100*ms, 500, "")}, Deadline},
 		{"below the floor", []record{sent, {at: 1010 * ms, kind: attemptRead, request: id, server: "s-1", rung: 0}, read(1100*ms, 500, "")}, Terms},
-		{"never released", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}), Released},
-		{"released late", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}, record{at: 3500 * ms, kind: releaseRead, request: id, node: 3}), Released},
-		{"its server died and nothing was said", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: serverDied, server: "s-2", node: -1}), Released},
+		{"release not reported", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}), Released},
+		{"release reported late", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}, record{at: 3500 * ms, kind: releaseRead, request: id, node: 3}), Released},
+		{"server died, release not reported", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: serverDied, server: "s-2", node: -1}), Released},
 		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: maxDescriptors + 1}}, Limits},
 		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: maxMemoryMB + 1}}, Limits},
-		{"a complaint", []record{{at: time.Second, kind: nodeLoggedFault, node: 3, detail: "panic: x"}}, Guarded},
+		{"fault in the log", []record{{at: time.Second, kind: nodeLoggedFault, node: 3, detail: "panic: x"}}, Guarded},
 		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3, detail: detailRead}}, Answered},
-		{"drained", []record{sent, {at: 100 * ms, kind: entryPublished, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
+		{"attempt after a drain", []record{sent, {at: 100 * ms, kind: entryPublished, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
 	} {
 		r := check(c.list, DefaultOptions())
 		found := c.want == ""
@@ -227,7 +227,7 @@
 			found = found || v.Invariant == c.want
 		}
 		if !found || c.want == "" && !r.OK() {
-			t.Errorf("%s: %v where %q is due", c.name, r.Violations, c.want)
+			t.Errorf("%s: got %v, want %q", c.name, r.Violations, c.want)
 		}
 	}
 }
--- a/internal/lab/soak/terms.go
+++ b/internal/lab/soak/terms.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// class is one class of requests and its terms.
+// class is a class of requests and its terms.
 type class struct {
 	name       string
-	sideEffect bool // may not be repeated
+	sideEffect bool // must not be retried once an attempt may have run
 	deadline   time.Duration
 	floor      int
-	seats      int // sessions of a title that one node may hold; 0 is no bound
+	seats      int // maximum sessions of a title on one node; 0 is unlimited
 }
 
-// classes are those of every soak.
+// classes lists the request classes of every soak.
 var classes = []class{
 	{name: "free", deadline: 1790 * time.Millisecond},
 	{name: "paid", sideEffect: true, deadline: 1430 * time.Millisecond, floor: 1},
 	{name: "seated", deadline: 1200 * time.Millisecond, seats: 2},
 }
 
-// The terms of every soak, which the nodes' settings state.
+// The terms of every soak, as in the nodes' settings.
 const (
 	cells             = 12
 	copies            = 4
 	rungs             = 5
-	drainGrace        = 250 * time.Millisecond // of a server that drains
+	drainGrace        = 250 * time.Millisecond // time in which a draining server may still get attempts
 	warmUp            = 6 * time.Second
 	coldCapacityShare = 0.4
 	overloadFactor    = 3.0
@@ -41,7 +41,7 @@
 	maxMemoryMB       = 64
 )
 
-// slowStartBudget is how many attempts a server may get within one fall time, that long after its start.
+// slowStartBudget returns how many attempts a server may get within overloadTime at a given age since its start.
 func slowStartBudget(age time.Duration) float64 {
 	share := coldCapacityShare + (1-coldCapacityShare)*min(age.Seconds()/warmUp.Seconds(), 1)
 	n := overloadFactor * serverCapacity / warmUp.Seconds() * share * overloadTime.Seconds()
@@ -51,7 +51,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// entry is one server's entry in the list.
+// entry is a server's entry in the coordinator's list.
 type entry struct {
 	ID          string `json:"instanceId"`
 	Addr        string `json:"hostPort"`
@@ -63,7 +63,7 @@
 	StartedAtMs int64  `json:"startedAtMs"`
 }
 
-// change is one numbered event of the coordinator's.
+// change is a numbered event from the coordinator.
 type change struct {
 	Index     int64     `json:"index"`
 	Endpoints endpoints `json:"endpoints"`
@@ -75,10 +75,10 @@
 	Instances  []entry `json:"instances"`
 }
 
-// nodeSeed is the seed in a node's configuration.
+// nodeSeed returns the seed in a node's configuration.
 func nodeSeed(node int) uint64 { return 0x9e3779b97f4a7c15 * uint64(node+1) }
 
-// configuration is a node's file.
+// configuration returns a node's configuration file.
 func configuration(listen, coordinator string, node, nodes int, snapshot change) ([]byte, error) {
 	grades := []map[string]any{}
 	var floors, tops, seats []int
