--- a/internal/lab/soak/behavior.go
+++ b/internal/lab/soak/behavior.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// behavior is how a stand-in server treats attempts at present. The numbers are probabilities.
+// behavior is how a stand-in server treats attempts at present. The numbers are probabilities from 0 to 1.
 type behavior struct {
 	full, internalError, notFound, gatewayTimeout float64       // refuses with that status
 	dropAnswer                                    float64       // its answer is not sent
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -364,10 +364,10 @@
 	c.log.add(record{at: now, kind: connectionEnded, node: conn.node, detail: conn.LocalAddr().String()})
 	for id, r := range pending {
 		if read {
-			c.log.add(record{at: now, kind: requestCut, request: id, node: conn.node, detail: detailRead})
+			c.log.add(record{at: now, kind: requestAborted, request: id, node: conn.node, detail: detailRead})
 			continue
 		}
-		c.log.add(record{at: now, kind: requestCut, request: id, node: conn.node, detail: err.Error()})
+		c.log.add(record{at: now, kind: requestAborted, request: id, node: conn.node, detail: err.Error()})
 		if r.resent || now-r.sentAt > crossingWindow || !c.node.acceptsConns() {
 			continue
 		}
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -15,7 +15,7 @@
 
 // The invariants. For each, at least one sabotage of the node must violate it.
 const (
-	Answered    Invariant = "answered"      // each request gets one final answer, within its deadline, and success only as a server answered it
+	Answered    Invariant = "answered"      // each request gets one final answer, within its deadline; a success is one that a server gave
 	NotRepeated Invariant = "not repeated"  // requests with side effects are retried or refused only if no attempt ran
 	OneAttempt  Invariant = "one attempt"   // a request never has two attempts in flight
 	Drained     Invariant = "drained"       // draining and removed servers get no attempts after the grace
@@ -109,13 +109,13 @@
 
 // history is what was recorded of one request.
 type history struct {
-	sent          record
-	answers       []record
-	attempts      []*attempt
-	cancelledAt   time.Duration            // 0 if it was not
-	cutAt         time.Duration            // when the node closed the last connection it was sent on; 0 if it did not
-	readBeforeCut bool                     // the node had read it before the close
-	endedAt       map[string]time.Duration // when its sessions ended, by server
+	sent            record
+	answers         []record
+	attempts        []*attempt
+	cancelledAt     time.Duration            // 0 if it was not
+	abortedAt       time.Duration            // when the node closed the last connection it was sent on; 0 if it did not
+	readBeforeAbort bool                     // the node had read it before the close
+	endedAt         map[string]time.Duration // when its sessions ended, by server
 
 	releaseCause     int             // the cause of its last session's end
 	releaseWrittenAt time.Duration   // when its server last wrote the release; 0 if never
@@ -136,23 +136,23 @@
 }
 
 func check(records []record, o Options) *Report {
-	j := &checker{o: o, requests: map[string]*history{}, kills: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, suspensions: map[int][]record{}, report: &Report{records: records}}
+	c := &checker{o: o, requests: map[string]*history{}, kills: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, suspensions: map[int][]record{}, report: &Report{records: records}}
 	for _, r := range records {
-		j.addRecord(r)
+		c.addRecord(r)
 	}
-	for _, id := range j.order {
-		j.checkFinalAnswer(id, j.requests[id])
-		j.checkAttempts(id, j.requests[id])
+	for _, id := range c.order {
+		c.checkFinalAnswer(id, c.requests[id])
+		c.checkAttempts(id, c.requests[id])
 	}
-	j.checkDrains()
-	j.checkSlowStart()
-	j.checkSeats()
-	j.checkRetryBudget()
-	j.checkProcesses()
-	j.checkReleases()
-	j.checkLimits()
-	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.report
+	c.checkDrains()
+	c.checkSlowStart()
+	c.checkSeats()
+	c.checkRetryBudget()
+	c.checkProcesses()
+	c.checkReleases()
+	c.checkLimits()
+	slices.SortStableFunc(c.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return c.report
 }
 
 func (c *checker) violate(invariant Invariant, id string, at time.Duration, format string, args ...any) {
@@ -164,7 +164,7 @@
 	switch r.kind {
 	case requestSent:
 		if h := c.requests[r.request]; h != nil { // sent again on a new connection
-			h.cutAt = 0
+			h.abortedAt = 0
 			c.report.Resent++
 			return
 		}
@@ -190,8 +190,8 @@
 	switch r.kind {
 	case requestCancelled:
 		h.cancelledAt = r.at
-	case requestCut:
-		h.cutAt, h.readBeforeCut = r.at, r.detail == detailRead
+	case requestAborted:
+		h.abortedAt, h.readBeforeAbort = r.at, r.detail == detailRead
 	case answerRead:
 		h.answers = append(h.answers, r)
 		c.report.Answers++
@@ -284,10 +284,10 @@
 		c.report.Cancelled++
 	case c.killedWithin(h.sent.node, h.sent.at-loadSlack, limit):
 		c.report.AtKilledNodes++
-	case h.cutAt > 0 && !h.readBeforeCut && h.cutAt-h.sent.at <= socketSlack+loadSlack+c.suspendedFor(h.sent.node, h.sent.at, h.cutAt) && len(h.attempts) == 0:
+	case h.abortedAt > 0 && !h.readBeforeAbort && h.abortedAt-h.sent.at <= socketSlack+loadSlack+c.suspendedFor(h.sent.node, h.sent.at, h.abortedAt) && len(h.attempts) == 0:
 		c.report.CrossedClose++
-	case h.cutAt > 0:
-		c.violate(Answered, id, h.cutAt, "read by the node, whose connection closed without an answer")
+	case h.abortedAt > 0:
+		c.violate(Answered, id, h.abortedAt, "read by the node, whose connection closed without an answer")
 	default:
 		c.violate(Answered, id, limit, "got no final answer")
 	}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -224,9 +224,9 @@
 // signalTerminating sends a signal to a process that was already sent SIGTERM.
 func (n *node) signalTerminating(sig syscall.Signal) {
 	n.mu.Lock()
-	ending := n.terminatedAt > 0
+	terminating := n.terminatedAt > 0
 	n.mu.Unlock()
-	if ending {
+	if terminating {
 		n.signal(sig)
 	}
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -10,14 +10,14 @@
 type fault struct {
 	at, duration time.Duration
 	name         string
-	do           func(s *soak, rand *rand.Rand, long time.Duration)
+	inject       func(s *soak, r *rand.Rand, duration time.Duration)
 }
 
 // faultKinds lists the kinds of faults and the longest duration of each. Faults of any kinds may overlap.
 var faultKinds = []struct {
 	name        string
 	maxDuration time.Duration
-	do          func(s *soak, rand *rand.Rand, long time.Duration)
+	inject      func(s *soak, r *rand.Rand, duration time.Duration)
 }{
 	{"node killed", time.Second, func(s *soak, r *rand.Rand, duration time.Duration) {
 		s.restart(s.nodes[r.IntN(len(s.nodes))], true, duration, s.clockOffset(r))
@@ -82,7 +82,7 @@
 	}
 }
 
-// makeHang and vanish are effects on a server.
+// makeHang and makeUnreachable change a server's behavior until a point in time.
 func makeHang(b *behavior, until time.Duration) { b.hungUntil = max(b.hungUntil, until) }
 func makeUnreachable(b *behavior, until time.Duration) {
 	b.unreachableUntil = max(b.unreachableUntil, until)
@@ -104,7 +104,7 @@
 	}
 	for at := quietStart; at < o.Duration-quietEnd; at += time.Duration(r.ExpFloat64() * float64(interval)) {
 		kind := faultKinds[r.IntN(len(faultKinds))]
-		f := fault{at: at, name: kind.name, do: kind.do}
+		f := fault{at: at, name: kind.name, inject: kind.inject}
 		if kind.maxDuration > 0 {
 			f.duration = kind.maxDuration/4 + time.Duration(r.Int64N(int64(kind.maxDuration*3/4)))
 		}
--- a/internal/lab/soak/record.go
+++ b/internal/lab/soak/record.go
@@ -17,7 +17,7 @@
 const (
 	requestSent      kind = iota // a client writes a request's last byte
 	requestCancelled             // its client has cancelled it or closed its connection
-	requestCut                   // the node closed the connection while the request was pending
+	requestAborted               // the node closed the connection while the request was pending
 	answerRead                   // a client has read a final answer
 	releaseRead                  // a client has read a release
 	attemptRead                  // a server has read a complete attempt
@@ -41,7 +41,7 @@
 	faultStarted                 // a fault starts
 )
 
-var kindNames = [...]string{"request sent", "request cancelled", "request cut", "answer read", "release read", "attempt read", "attempt answered",
+var kindNames = [...]string{"request sent", "request cancelled", "request aborted", "answer read", "release read", "attempt read", "attempt answered",
 	"attempt cancelled", "session ended", "release written", "server died", "connection ended", "rung read", "entry published", "node started", "node ready", "node terminated", "node exited", "node killed", "node suspended", "node signalled", "node measured", "node logged a fault", "fault"}
 
 // record is one recorded event. Which fields are set depends on its kind.
--- a/internal/lab/soak/server.go
+++ b/internal/lab/soak/server.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// handleSetup records an attempt, which took delay in transit, and answers it as the current behavior has it.
+// handleSetup records an attempt, which took delay in transit, and answers it according to the current behavior.
 func (c *serverConn) handleSetup(m *rtsp.Message, delay time.Duration) {
 	s := c.server
 	id := m.Session()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Program       string // path of the program whose command `node` is run
 	Folder        string // existing folder for configurations and the nodes' logs
-	Dense         bool   // run scenarios, a load surge and unusual clients beside the other faults
+	Dense         bool   // run scenarios, load surges and unusual clients in addition to the other faults
 	Nodes         int
 	Servers       int
 	Seed          uint64
@@ -42,13 +42,13 @@
 	nodes   []*node
 	clients []*clients
 
-	mu          sync.Mutex
-	servers     []*server // running servers
-	serversMade int
-	surgeUntil  map[int]time.Duration // end of the last load surge, by node
-	seed        uint64
-	background  sync.WaitGroup // restarts and delayed steps in progress
-	network     int            // second byte of the nodes' addresses
+	mu             sync.Mutex
+	servers        []*server // running servers
+	serversStarted int
+	surgeUntil     map[int]time.Duration // end of the last load surge, by node
+	seed           uint64
+	background     sync.WaitGroup // restarts and delayed steps in progress
+	network        int            // second byte of the nodes' addresses
 }
 
 const (
@@ -121,12 +121,12 @@
 }
 
 func (s *soak) startNodes() error {
-	var next atomic.Uint64
-	next.Store(1)
+	var nextID atomic.Uint64
+	nextID.Store(1)
 	for k := range s.o.Nodes {
 		n := &node{index: k, listen: fmt.Sprintf(nodeHost, s.network, k/250, k%250+1), folder: s.o.Folder, o: s.o, log: s.log, coord: s.coord, nodes: s.o.Nodes}
 		s.nodes = append(s.nodes, n)
-		s.clients = append(s.clients, &clients{node: n, log: s.log, rand: rand.New(rand.NewPCG(s.o.Seed, uint64(k))), nextID: &next,
+		s.clients = append(s.clients, &clients{node: n, log: s.log, rand: rand.New(rand.NewPCG(s.o.Seed, uint64(k))), nextID: &nextID,
 			dense: s.o.Dense, retryRand: newRetryRand(s.o.Seed, k)})
 	}
 	if s.o.Sabotage == frontnode.SabotageReady { // the soak can't serve requests then
@@ -184,7 +184,7 @@
 		case <-time.After(f.at - s.log.now()):
 		}
 		s.reportFault(f.String())
-		f.do(s, r, f.duration)
+		f.inject(s, r, f.duration)
 	}
 }
 
@@ -200,9 +200,9 @@
 func (s *soak) restart(n *node, kill bool, after, offset time.Duration) {
 	s.background.Go(func() {
 		n.mu.Lock()
-		busy := !n.ready || n.terminatedAt > 0
+		restarting := !n.ready || n.terminatedAt > 0
 		n.mu.Unlock()
-		if busy { // it is starting or being restarted
+		if restarting { // it is starting or being restarted
 			return
 		}
 		if kill {
@@ -234,8 +234,8 @@
 // newServer starts a server in a cell and publishes it. started is its start time in Unix milliseconds; 0 is long ago.
 func (s *soak) newServer(cell int, started int64) error {
 	s.mu.Lock()
-	s.serversMade++
-	serial := s.serversMade
+	s.serversStarted++
+	serial := s.serversStarted
 	s.mu.Unlock()
 	srv, err := newServer(s.log, fmt.Sprintf("s-%d", serial), fmt.Sprintf(serverHost, serial/250, serial%250+1), cell, s.seed+uint64(serial))
 	if err != nil {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,7 +14,7 @@
 	frontnode "rainhaven/internal/node"
 )
 
-// buildProgram builds the buildProgram whose processes are played.
+// buildProgram builds the program with the build tag trials and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rainhaven")
@@ -200,12 +200,12 @@
 		{"clean", clean, ""},
 		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}}, ""},
 		{"node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
-		{"crossed a close", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3}}, ""},
+		{"crossed a close", []record{sent, {at: 1020 * ms, kind: requestAborted, request: id, node: 3}}, ""},
 		{"no answer", clean[:5], Answered},
 		{"two answers", append(append([]record{}, clean...), read(1060*ms, 503, "")), Answered},
 		{"answer of another server", append(append([]record{}, clean[:5]...), read(1050*ms, 200, description(id, "s-1"))), Answered},
 		{"late answer", append(append([]record{}, clean[:5]...), read(3500*ms, 200, description(id, "s-2"))), Answered},
-		{"closed without an answer", []record{sent, {at: 1300 * ms, kind: requestCut, request: id, node: 3}}, Answered},
+		{"closed without an answer", []record{sent, {at: 1300 * ms, kind: requestAborted, request: id, node: 3}}, Answered},
 		{"retried after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
 		{"refused after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
 		{"two attempts in flight", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
@@ -218,7 +218,7 @@
 		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: maxDescriptors + 1}}, Limits},
 		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: maxMemoryMB + 1}}, Limits},
 		{"fault in the log", []record{{at: time.Second, kind: nodeLoggedFault, node: 3, detail: "panic: x"}}, Guarded},
-		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3, detail: detailRead}}, Answered},
+		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestAborted, request: id, node: 3, detail: detailRead}}, Answered},
 		{"attempt after a drain", []record{sent, {at: 100 * ms, kind: entryPublished, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
 	} {
 		r := check(c.list, DefaultOptions())
