--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -10,227 +10,227 @@
 	"time"
 )
 
-// Invariant names a rule that a soak is judged by.
+// Invariant names a rule that a soak checks.
 type Invariant string
 
-// The invariants. Each has a sabotage of a node that must break it.
+// The invariants. For each, at least one sabotage of the node must violate it.
 const (
-	Answered    Invariant = "answered"      // one final answer a request, within its deadline, and one that a server gave
-	NotRepeated Invariant = "not repeated"  // single requests are repeated or refused only where nothing ran
-	OneAttempt  Invariant = "one attempt"   // never two attempts of one request out
-	Drained     Invariant = "drained"       // nothing new to a draining or removed server past the grace
-	SlowStart   Invariant = "slow start"    // a started server gets no more than its budget, from all nodes together
-	Terms       Invariant = "terms"         // no rung below the floor, no more sessions of a title than its seats
-	RetryBudget Invariant = "retry budget"  // further attempts of a node within the budget
-	NotAfterEnd Invariant = "not after end" // no attempt after its client has cancelled or closed
-	Deadline    Invariant = "deadline"      // servers are told no longer deadlines than clients have left
-	Ready       Invariant = "ready"         // started processes are ready in time
-	Released    Invariant = "released"      // a session's end is told to its client within its time
-	Limits      Invariant = "limits"        // processes keep to their descriptors and memory
-	Guarded     Invariant = "guarded"       // processes log no violation of their own guard, and no crash
-	Ended       Invariant = "ended"         // processes end on SIGTERM, by themselves, and with status 0; none crashes
+	Answered    Invariant = "answered"      // each request gets one final answer, within its deadline; a success is one that a server gave
+	NotRepeated Invariant = "not repeated"  // requests with side effects are retried or refused only if no attempt ran
+	OneAttempt  Invariant = "one attempt"   // a request never has two attempts in flight
+	Drained     Invariant = "drained"       // draining and removed servers get no attempts after the grace
+	SlowStart   Invariant = "slow start"    // a newly started server gets no more than its budget from all nodes together
+	Terms       Invariant = "terms"         // no rung below the floor, no more sessions of a title than seats
+	RetryBudget Invariant = "retry budget"  // each node's retries stay within the budget
+	NotAfterEnd Invariant = "not after end" // no attempt after its client cancelled or closed the connection
+	Deadline    Invariant = "deadline"      // the deadline sent to a server is no longer than what the client has left
+	Ready       Invariant = "ready"         // started processes become ready in time
+	Released    Invariant = "released"      // a session's end is reported to its client in time
+	Limits      Invariant = "limits"        // processes keep within their limits of descriptors and memory
+	Guarded     Invariant = "guarded"       // processes log no violation found by their own guard, and no crash
+	Ended       Invariant = "ended"         // processes exit by themselves on SIGTERM with status 0, and none crashes
 )
 
-// Invariants are all of them.
+// Invariants lists all invariants, in the order of the report.
 var Invariants = []Invariant{Answered, NotRepeated, OneAttempt, Drained, SlowStart, Terms, RetryBudget, NotAfterEnd, Deadline, Released, Limits, Guarded, Ready, Ended}
 
 const (
-	// slack is what every time limit is longer by on sockets.
-	slack = 50 * time.Millisecond
-	// busyMachine is what a loaded machine may add between a write and the record of it.
-	busyMachine = 60 * time.Millisecond
-	// answerGrace is how long after its deadline an answer still counts as one.
+	// socketSlack is added to every time limit for the transport.
+	socketSlack = 50 * time.Millisecond
+	// loadSlack is the delay that a loaded machine may add between a write and its record.
+	loadSlack = 60 * time.Millisecond
+	// answerGrace is how long after the deadline an answer is still accepted.
 	answerGrace = 500 * time.Millisecond
-	// cancelGrace is how long after its client has gone an attempt may still begin.
+	// cancelGrace is how long after its client cancelled an attempt may still start.
 	cancelGrace = 100 * time.Millisecond
-	// deadlineSlack is how much longer than its client waits a server may be told.
+	// deadlineSlack is how far a deadline sent to a server may exceed what its client has left.
 	deadlineSlack = 150 * time.Millisecond
-	// The budget of further attempts is widened by so much.
-	budgetWider, budgetMore = 1.15, 1.0
-	// mostTraces is how many violations are reported with their traces.
-	mostTraces = 5
+	// The retry budget is multiplied by budgetFactor and raised by budgetMargin before a violation counts.
+	budgetFactor, budgetMargin = 1.15, 1.0
+	// maxTraces is the number of violations reported with their traces.
+	maxTraces = 5
 )
 
-// Violation is one broken invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
-	Request   string // the request at fault, where there is one
+	Request   string // the id of the request concerned; empty if there is none
 	At        time.Duration
-	What      string
+	Detail    string
 }
 
-// Report is a soak's outcome.
+// Report is the result of a soak.
 type Report struct {
 	Requests, Answers, Served, Refused, Failed, Attempts int
-	Cancelled, Excused                                   int // requests that were cancelled; at nodes that were killed
-	Cut, Resent                                          int // requests cut by a close that they crossed; sent once more for that
+	Cancelled, AtKilledNodes                             int // unanswered requests that were cancelled; at killed nodes
+	CrossedClose, Resent                                 int // requests that crossed a connection's close; those sent again for that reason
 	Starts, Faults                                       int
-	Descriptors                                          int     // most of one process
-	Megabytes                                            float64 // the same
+	MaxDescriptors                                       int     // the maximum of any process
+	MaxMemoryMB                                          float64 // the maximum of any process
 	Violations                                           []Violation
-	list                                                 []record
+	records                                              []record
 }
 
-// OK tells whether nothing was broken.
+// OK reports whether no invariant was violated.
 func (r *Report) OK() bool { return len(r.Violations) == 0 }
 
-// Write writes the report: counts, and the first violations with their requests' traces.
+// Write writes the first violations with the traces of their requests, then the counts.
 func (r *Report) Write(w io.Writer) {
 	for i, v := range r.Violations {
-		if i == mostTraces {
+		if i == maxTraces {
 			fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(w, "violated: %s, at %.3f s: %s %s\n", v.Invariant, v.At.Seconds(), v.Request, v.What)
+		fmt.Fprintf(w, "violated: %s, at %.3f s: %s %s\n", v.Invariant, v.At.Seconds(), v.Request, v.Detail)
 		if v.Request != "" {
-			trace(w, r.list, v.Request)
+			writeTrace(w, r.records, v.Request)
 		}
 	}
-	broken := map[Invariant]int{}
+	counts := map[Invariant]int{}
 	for _, v := range r.Violations {
-		broken[v.Invariant]++
+		counts[v.Invariant]++
 	}
 	fmt.Fprintf(w, "requests %d answers %d (served %d refused %d failed %d) attempts %d cancelled %d crossed a close %d sent once more %d at killed nodes %d; starts %d faults %d; at most %d descriptors and %.0f MB a process\n",
-		r.Requests, r.Answers, r.Served, r.Refused, r.Failed, r.Attempts, r.Cancelled, r.Cut, r.Resent, r.Excused, r.Starts, r.Faults, r.Descriptors, r.Megabytes)
+		r.Requests, r.Answers, r.Served, r.Refused, r.Failed, r.Attempts, r.Cancelled, r.CrossedClose, r.Resent, r.AtKilledNodes, r.Starts, r.Faults, r.MaxDescriptors, r.MaxMemoryMB)
 	var line []string
 	for _, i := range Invariants {
-		line = append(line, fmt.Sprintf("%s %d", i, broken[i]))
+		line = append(line, fmt.Sprintf("%s %d", i, counts[i]))
 	}
 	fmt.Fprintln(w, "violations:", strings.Join(line, ", "))
 }
 
-// attempt is one attempt, as its server has seen it.
+// attempt is one attempt of a request, as its server saw it.
 type attempt struct {
-	read   record
-	until  time.Duration // it was answered or given up then; far off where it was not
-	unrun  bool          // its server said that nothing ran
-	answer bool          // its server answered it
+	read     record
+	endedAt  time.Duration // when it was answered or cancelled; never if it was neither
+	notRun   bool          // its server answered that nothing ran
+	answered bool          // its server answered it with success
 }
 
-// history is all that was seen of one request.
+// history is what was recorded of one request.
 type history struct {
-	sent      record
-	answers   []record
-	attempts  []*attempt
-	cancelled time.Duration            // 0 is not
-	cut       time.Duration            // the last connection that it was sent on was closed by the node; 0 is not
-	cutRead   bool                     // the node had read it by then
-	ended     map[string]time.Duration // its sessions' ends, by server
+	sent            record
+	answers         []record
+	attempts        []*attempt
+	cancelledAt     time.Duration            // 0 if it was not
+	abortedAt       time.Duration            // when the node closed the last connection it was sent on; 0 if it did not
+	readBeforeAbort bool                     // the node had read it before the close
+	endedAt         map[string]time.Duration // when its sessions ended, by server
 
-	cause          int             // of its last session's end
-	releaseWritten time.Duration   // when its server last wrote that end; 0 is never
-	released       []time.Duration // when its client read of it
+	releaseCause     int             // the cause of its last session's end
+	releaseWrittenAt time.Duration   // when its server last wrote the release; 0 if never
+	releasesReadAt   []time.Duration // when its client read releases
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// judgement gathers what is seen, and what is wrong with it.
-type judgement struct {
-	o        Options
-	requests map[string]*history
-	order    []string
-	killed   map[int][]time.Duration // by node, in their order
-	exits    map[int][]time.Duration // the same of all ends of processes
-	stops    map[int][]record        // by node, when it stood still and for how long
-	report   *Report
+// checker groups the records by request and node and collects violations.
+type checker struct {
+	o           Options
+	requests    map[string]*history
+	order       []string
+	kills       map[int][]time.Duration // when processes were killed, by node, in order
+	exits       map[int][]time.Duration // when processes exited for any reason, by node, in order
+	suspensions map[int][]record        // SIGSTOP periods, by node
+	report      *Report
 }
 
-func judge(list []record, o Options) *Report {
-	j := &judgement{o: o, requests: map[string]*history{}, killed: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, stops: map[int][]record{}, report: &Report{list: list}}
-	for _, r := range list {
-		j.take(r)
+func check(records []record, o Options) *Report {
+	c := &checker{o: o, requests: map[string]*history{}, kills: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, suspensions: map[int][]record{}, report: &Report{records: records}}
+	for _, r := range records {
+		c.addRecord(r)
 	}
-	for _, id := range j.order {
-		j.answered(id, j.requests[id])
-		j.attempts(id, j.requests[id])
+	for _, id := range c.order {
+		c.checkFinalAnswer(id, c.requests[id])
+		c.checkAttempts(id, c.requests[id])
 	}
-	j.drained()
-	j.slowStart()
-	j.seats()
-	j.budget()
-	j.processes()
-	j.released()
-	j.limits()
-	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.report
+	c.checkDrains()
+	c.checkSlowStart()
+	c.checkSeats()
+	c.checkRetryBudget()
+	c.checkProcesses()
+	c.checkReleases()
+	c.checkLimits()
+	slices.SortStableFunc(c.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return c.report
 }
 
-func (j *judgement) broken(i Invariant, id string, at time.Duration, what string, args ...any) {
-	j.report.Violations = append(j.report.Violations, Violation{i, id, at, fmt.Sprintf(what, args...)})
+func (c *checker) violate(invariant Invariant, id string, at time.Duration, format string, args ...any) {
+	c.report.Violations = append(c.report.Violations, Violation{invariant, id, at, fmt.Sprintf(format, args...)})
 }
 
-// take adds a record to its request's history.
-func (j *judgement) take(r record) {
+// addRecord adds a record to the history of its request or node.
+func (c *checker) addRecord(r record) {
 	switch r.kind {
 	case requestSent:
-		if h := j.requests[r.request]; h != nil { // sent once more on a new connection
-			h.cut = 0
-			j.report.Resent++
+		if h := c.requests[r.request]; h != nil { // sent again on a new connection
+			h.abortedAt = 0
+			c.report.Resent++
 			return
 		}
-		j.requests[r.request] = &history{sent: r, ended: map[string]time.Duration{}}
-		j.order = append(j.order, r.request)
-		j.report.Requests++
+		c.requests[r.request] = &history{sent: r, endedAt: map[string]time.Duration{}}
+		c.order = append(c.order, r.request)
+		c.report.Requests++
 		return
 	case nodeKilled:
-		j.killed[r.node] = append(j.killed[r.node], r.at)
-	case nodeStopped:
-		j.stops[r.node] = append(j.stops[r.node], r)
+		c.kills[r.node] = append(c.kills[r.node], r.at)
+	case nodeSuspended:
+		c.suspensions[r.node] = append(c.suspensions[r.node], r)
 	case nodeExited:
-		j.exits[r.node] = append(j.exits[r.node], r.at)
-	case faultBegan:
-		j.report.Faults++
+		c.exits[r.node] = append(c.exits[r.node], r.at)
+	case faultStarted:
+		c.report.Faults++
 	case nodeStarted:
-		j.report.Starts++
+		c.report.Starts++
 	}
-	h := j.requests[r.request]
+	h := c.requests[r.request]
 	if h == nil {
 		return
 	}
 	switch r.kind {
-	case requestCanceled:
-		h.cancelled = r.at
-	case requestCut:
-		h.cut, h.cutRead = r.at, r.detail == detailRead
+	case requestCancelled:
+		h.cancelledAt = r.at
+	case requestAborted:
+		h.abortedAt, h.readBeforeAbort = r.at, r.detail == detailRead
 	case answerRead:
 		h.answers = append(h.answers, r)
-		j.report.Answers++
+		c.report.Answers++
 	case attemptRead:
-		j.report.Attempts++
-		a := &attempt{read: r, until: never}
-		if at, known := h.ended[r.server]; known && r.at-at < slack { // its end came over another connection, and was read first
-			a.until = r.at
+		c.report.Attempts++
+		a := &attempt{read: r, endedAt: never}
+		if at, known := h.endedAt[r.server]; known && r.at-at < socketSlack { // its end arrived over another connection and was read first
+			a.endedAt = r.at
 		}
 		h.attempts = append(h.attempts, a)
 	case attemptAnswered:
-		if a := h.last(r.server); a != nil {
-			a.until, a.answer = min(a.until, r.at), a.answer || r.status == 200
-			a.unrun = r.status == 453 || r.status == 454
+		if a := h.lastAttempt(r.server); a != nil {
+			a.endedAt, a.answered = min(a.endedAt, r.at), a.answered || r.status == 200
+			a.notRun = r.status == 453 || r.status == 454
 		}
-	case attemptGivenUp:
-		if a := h.last(r.server); a != nil {
-			a.until = min(a.until, max(r.at-r.held, a.read.at))
+	case attemptCancelled:
+		if a := h.lastAttempt(r.server); a != nil {
+			a.endedAt = min(a.endedAt, max(r.at-r.transitDelay, a.read.at))
 		}
-		h.over(r.server, r.at-r.held)
+		h.recordEnd(r.server, r.at-r.transitDelay)
 	case sessionEnded:
-		h.over(r.server, r.at)
-		h.cause = r.status
+		h.recordEnd(r.server, r.at)
+		h.releaseCause = r.status
 	case releaseWritten:
-		h.releaseWritten = max(h.releaseWritten, r.at)
+		h.releaseWrittenAt = max(h.releaseWrittenAt, r.at)
 	case releaseRead:
-		h.released = append(h.released, r.at)
+		h.releasesReadAt = append(h.releasesReadAt, r.at)
 	}
 }
 
-// over takes a session's end at a server: the first one that is seen.
-func (h *history) over(server string, at time.Duration) {
-	if _, known := h.ended[server]; !known {
-		h.ended[server] = at
+// recordEnd records a session's end at a server; only the first one counts.
+func (h *history) recordEnd(server string, at time.Duration) {
+	if _, known := h.endedAt[server]; !known {
+		h.endedAt[server] = at
 	}
 }
 
-// last is the request's last attempt at a server.
-func (h *history) last(server string) *attempt {
+// lastAttempt returns the request's last attempt at a server, or nil.
+func (h *history) lastAttempt(server string) *attempt {
 	for _, a := range slices.Backward(h.attempts) {
 		if a.read.server == server {
 			return a
@@ -239,24 +239,25 @@
 	return nil
 }
 
-// killedWithin tells whether a node was killed within a span.
-func (j *judgement) killedWithin(node int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.killed[node], func(at time.Duration) bool { return at >= from && at <= to })
+// killedWithin reports whether a node was killed between two times.
+func (c *checker) killedWithin(node int, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.kills[node], func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// stood is how long a node stood still near a span: it can't act meanwhile, and what comes waits unread.
-func (j *judgement) stood(node int, from, to time.Duration) (sum time.Duration) {
-	for _, r := range j.stops[node] {
-		if r.at <= to && r.at+r.wait+busyMachine >= from {
-			sum += r.wait + busyMachine
+// suspendedFor returns how long a node was suspended in or near a period. A suspended node can't act, and its input stays
+// unread.
+func (c *checker) suspendedFor(node int, from, to time.Duration) (sum time.Duration) {
+	for _, r := range c.suspensions[node] {
+		if r.at <= to && r.at+r.wait+loadSlack >= from {
+			sum += r.wait + loadSlack
 		}
 	}
 	return sum
 }
 
-// nextExit is when the process that ran at an instant ended.
-func (j *judgement) nextExit(node int, after time.Duration) time.Duration {
-	for _, at := range j.exits[node] {
+// nextExit returns when the process that ran at a given time exited; never if it did not.
+func (c *checker) nextExit(node int, after time.Duration) time.Duration {
+	for _, at := range c.exits[node] {
 		if at > after {
 			return at
 		}
@@ -264,92 +265,92 @@
 	return never
 }
 
-// answered judges a request's final answer.
-func (j *judgement) answered(id string, h *history) {
+// checkFinalAnswer checks that a request has one final answer in time, or a reason for having none.
+func (c *checker) checkFinalAnswer(id string, h *history) {
 	limit := h.sent.at + h.sent.wait + answerGrace
-	limit += j.stood(h.sent.node, h.sent.at, limit)
+	limit += c.suspendedFor(h.sent.node, h.sent.at, limit)
 	if len(h.answers) > 1 {
-		j.broken(Answered, id, h.answers[1].at, "has %d final answers", len(h.answers))
+		c.violate(Answered, id, h.answers[1].at, "got %d final answers", len(h.answers))
 	}
 	if len(h.answers) > 0 {
-		j.wording(id, h, h.answers[0])
-		if at := h.answers[0].at; at > limit+busyMachine {
-			j.broken(Answered, id, at, "was answered %.3f s after its deadline", (at - h.sent.at - h.sent.wait).Seconds())
+		c.checkAnswerContent(id, h, h.answers[0])
+		if at := h.answers[0].at; at > limit+loadSlack {
+			c.violate(Answered, id, at, "answered %.3f s after its deadline", (at - h.sent.at - h.sent.wait).Seconds())
 		}
 		return
 	}
 	switch {
-	case h.cancelled > 0:
-		j.report.Cancelled++
-	case j.killedWithin(h.sent.node, h.sent.at-busyMachine, limit):
-		j.report.Excused++
-	case h.cut > 0 && !h.cutRead && h.cut-h.sent.at <= slack+busyMachine+j.stood(h.sent.node, h.sent.at, h.cut) && len(h.attempts) == 0:
-		j.report.Cut++ // it crossed a close
-	case h.cut > 0:
-		j.broken(Answered, id, h.cut, "was read and its connection closed without an answer")
+	case h.cancelledAt > 0:
+		c.report.Cancelled++
+	case c.killedWithin(h.sent.node, h.sent.at-loadSlack, limit):
+		c.report.AtKilledNodes++
+	case h.abortedAt > 0 && !h.readBeforeAbort && h.abortedAt-h.sent.at <= socketSlack+loadSlack+c.suspendedFor(h.sent.node, h.sent.at, h.abortedAt) && len(h.attempts) == 0:
+		c.report.CrossedClose++
+	case h.abortedAt > 0:
+		c.violate(Answered, id, h.abortedAt, "read by the node, whose connection closed without an answer")
 	default:
-		j.broken(Answered, id, limit, "has no final answer")
+		c.violate(Answered, id, limit, "got no final answer")
 	}
 }
 
-// wording judges what an answer says.
-func (j *judgement) wording(id string, h *history, a record) {
+// checkAnswerContent checks an answer's status and body against the attempts.
+func (c *checker) checkAnswerContent(id string, h *history, a record) {
 	switch a.status {
 	case 200:
-		j.report.Served++
-		for _, x := range h.attempts {
-			if x.answer && a.detail == description(id, x.read.server) {
+		c.report.Served++
+		for _, attempt := range h.attempts {
+			if attempt.answered && a.detail == description(id, attempt.read.server) {
 				return
 			}
 		}
-		j.broken(Answered, id, a.at, "is said to be served, and no server gave that answer: %q", a.detail)
+		c.violate(Answered, id, a.at, "answered with success, but no server gave that answer: %q", a.detail)
 	case 453, 454, 503:
-		j.report.Refused++
-		if !classes[h.sent.class].single {
+		c.report.Refused++
+		if !classes[h.sent.class].sideEffect {
 			return
 		}
-		for _, x := range h.attempts {
-			if !x.unrun {
-				j.broken(NotRepeated, id, a.at, "was refused although its attempt at %s may have run", x.read.server)
+		for _, attempt := range h.attempts {
+			if !attempt.notRun {
+				c.violate(NotRepeated, id, a.at, "refused although its attempt at %s may have run", attempt.read.server)
 				return
 			}
 		}
 	default:
-		j.report.Failed++
+		c.report.Failed++
 	}
 }
 
-// attempts judges a request's attempts, one by one.
-func (j *judgement) attempts(id string, h *history) {
+// checkAttempts checks each attempt of a request.
+func (c *checker) checkAttempts(id string, h *history) {
 	for k, a := range h.attempts {
 		if a.read.rung < classes[h.sent.class].floor {
-			j.broken(Terms, id, a.read.at, "rung %d is below the floor", a.read.rung)
+			c.violate(Terms, id, a.read.at, "rung %d is below the floor", a.read.rung)
 		}
-		stood := j.stood(h.sent.node, h.sent.at, a.read.at) + a.read.held // what its way took is not the node's
-		if left := h.sent.at + h.sent.wait - a.read.at; a.read.wait > left+deadlineSlack+busyMachine+stood {
-			j.broken(Deadline, id, a.read.at, "%s is told %v, its client has %v left", a.read.server, a.read.wait, left)
+		delay := c.suspendedFor(h.sent.node, h.sent.at, a.read.at) + a.read.transitDelay // the node is not responsible for delays in transit
+		if left := h.sent.at + h.sent.wait - a.read.at; a.read.wait > left+deadlineSlack+loadSlack+delay {
+			c.violate(Deadline, id, a.read.at, "%s got a deadline of %v, its client had %v left", a.read.server, a.read.wait, left)
 		}
-		if h.cancelled > 0 && a.read.at > h.cancelled+cancelGrace+slack+busyMachine+stood {
-			j.broken(NotAfterEnd, id, a.read.at, "an attempt %.3f s after its client had gone", (a.read.at - h.cancelled).Seconds())
+		if h.cancelledAt > 0 && a.read.at > h.cancelledAt+cancelGrace+socketSlack+loadSlack+delay {
+			c.violate(NotAfterEnd, id, a.read.at, "attempt %.3f s after its client cancelled", (a.read.at - h.cancelledAt).Seconds())
 		}
-		if len(h.answers) > 0 && a.read.at > h.answers[0].at+cancelGrace+slack+busyMachine+stood {
-			j.broken(NotAfterEnd, id, a.read.at, "an attempt after its answer")
+		if len(h.answers) > 0 && a.read.at > h.answers[0].at+cancelGrace+socketSlack+loadSlack+delay {
+			c.violate(NotAfterEnd, id, a.read.at, "attempt after its final answer")
 		}
 		if k == 0 {
 			continue
 		}
-		before := h.attempts[k-1]
-		if a.until <= a.read.at { // it was over as it was read
+		previous := h.attempts[k-1]
+		if a.endedAt <= a.read.at { // it had ended by the time it was read
 			continue
 		}
-		if a.read.held+before.read.held > 0 { // which of them left first is not known
+		if a.read.transitDelay+previous.read.transitDelay > 0 { // it is unknown which was sent first
 			continue
 		}
-		if a.read.at < before.until-slack-busyMachine {
-			j.broken(OneAttempt, id, a.read.at, "attempts at %s and %s are out together", before.read.server, a.read.server)
+		if a.read.at < previous.endedAt-socketSlack-loadSlack {
+			c.violate(OneAttempt, id, a.read.at, "attempts at %s and %s in flight together", previous.read.server, a.read.server)
 		}
-		if classes[h.sent.class].single && !before.unrun {
-			j.broken(NotRepeated, id, a.read.at, "its attempt at %s may have run", before.read.server)
+		if classes[h.sent.class].sideEffect && !previous.notRun {
+			c.violate(NotRepeated, id, a.read.at, "retried although its attempt at %s may have run", previous.read.server)
 		}
 	}
 }
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// killAfter is how long after SIGTERM, beyond the longest deadline, SIGKILL comes.
-	killAfter = 700 * time.Millisecond
-	// takesNewFor is how long after SIGTERM new connections still come.
-	takesNewFor = 300 * time.Millisecond
-	// slowReady is within how long nine in ten restarted processes must be ready, and lastReady all.
-	slowReady, lastReady = 10 * time.Second, 30 * time.Second
-	// readyPoll is how often a starting process is asked.
-	readyPoll = 20 * time.Millisecond
+	// SIGKILL follows SIGTERM after the longest deadline plus killGrace.
+	killGrace = 700 * time.Millisecond
+	// acceptAfterTerm is how long after SIGTERM clients still open connections.
+	acceptAfterTerm = 300 * time.Millisecond
+	// Nine in ten started processes must be ready within readyTarget, and all within readyLimit.
+	readyTarget, readyLimit = 10 * time.Second, 30 * time.Second
+	// readyPollInterval is the interval of health checks on a starting process.
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// node is one front node: a process, and the next one after it.
+// node is one front node. Its process is replaced at each restart.
 type node struct {
 	index  int
 	listen string
@@ -36,19 +36,19 @@
 	coord  *coordinator
 	nodes  int
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	exited  chan struct{} // closed when the process has ended
-	ready   bool
-	ending  time.Duration // it was sent SIGTERM then; 0 is not
-	stopped bool          // the soak is over
-	starts  int
-	door    int // of the coordinator, which its configuration names
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has exited
+	ready        bool
+	terminatedAt time.Duration // when it was sent SIGTERM; 0 if it was not
+	stopped      bool          // the soak has ended; no process is started
+	starts       int
+	replica      int // the coordinator replica that its configuration names
 }
 
 func (n *node) config() string { return filepath.Join(n.folder, fmt.Sprintf("n%d.json", n.index)) }
 
-// start starts a process whose wall clock is off by so much.
+// start writes the configuration and starts a process whose wall clock is shifted by offset.
 func (n *node) start(offset time.Duration) error {
 	text, err := n.configuration()
 	if err != nil {
@@ -63,24 +63,24 @@
 		return nil
 	}
 	n.starts++
-	args := []string{"node", "--log", n.o.Log, "--clock-offset", offset.String(), "--sabotage", string(n.o.Sabotage)}
+	args := []string{"node", "--log", n.o.LogLevel, "--clock-offset", offset.String(), "--sabotage", string(n.o.Sabotage)}
 	if n.o.NetworkFaults {
 		args = append(args, "--network-faults", strconv.FormatUint(n.o.Seed*1000+uint64(n.index*100+n.starts), 10))
 	}
-	out, err := os.OpenFile(filepath.Join(n.folder, fmt.Sprintf("n%d.log", n.index)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(n.folder, fmt.Sprintf("n%d.log", n.index)), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer logFile.Close()
 	cmd := exec.Command(n.o.Program, args...)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+n.config())
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	exited := make(chan struct{})
-	n.cmd, n.exited, n.ready, n.ending = cmd, exited, false, 0
-	n.log.add(record{kind: nodeStarted, node: n.index, detail: fmt.Sprintf("process %d, clock off by %v", cmd.Process.Pid, offset)})
+	n.cmd, n.exited, n.ready, n.terminatedAt = cmd, exited, false, 0
+	n.log.add(record{kind: nodeStarted, node: n.index, detail: fmt.Sprintf("process %d, clock offset %v", cmd.Process.Pid, offset)})
 	go n.wait(cmd, exited)
 	go n.awaitReady(cmd, exited)
 	return nil
@@ -102,12 +102,12 @@
 	close(exited)
 }
 
-// awaitReady asks a process until it passes its first test.
+// awaitReady sends health checks until the process passes one or exits.
 func (n *node) awaitReady(cmd *exec.Cmd, exited chan struct{}) {
 	for {
-		if n.test() {
+		if n.ping() {
 			n.mu.Lock()
-			n.ready = n.cmd == cmd && n.ending == 0
+			n.ready = n.cmd == cmd && n.terminatedAt == 0
 			n.mu.Unlock()
 			n.log.add(record{kind: nodeReady, node: n.index})
 			return
@@ -115,12 +115,12 @@
 		select {
 		case <-exited:
 			return
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-func (n *node) test() bool {
+func (n *node) ping() bool {
 	c, err := net.DialTimeout("tcp", n.listen, 200*time.Millisecond)
 	if err != nil {
 		return false
@@ -130,14 +130,14 @@
 	return err == nil && m.Status == rtsp.OK
 }
 
-// takesNew tells whether clients may open connections to it.
-func (n *node) takesNew() bool {
+// acceptsConns reports whether clients may open connections to the node.
+func (n *node) acceptsConns() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ready && (n.ending == 0 || n.log.now() < n.ending+takesNewFor)
+	return n.ready && (n.terminatedAt == 0 || n.log.now() < n.terminatedAt+acceptAfterTerm)
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the exit.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
@@ -148,11 +148,11 @@
 	<-exited
 }
 
-// terminate ends the process as a planned restart does; whether it ended by itself is judged from the records.
+// terminate ends the process as a planned restart does: SIGTERM, then SIGKILL. The checker reports a needed SIGKILL.
 func (n *node) terminate() {
 	n.mu.Lock()
 	cmd, exited := n.cmd, n.exited
-	n.ending = n.log.now()
+	n.terminatedAt = n.log.now()
 	n.mu.Unlock()
 	n.log.add(record{kind: nodeTerminated, node: n.index})
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -162,46 +162,46 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(longest + killAfter):
+	case <-time.After(longest + killGrace):
 		n.kill()
 	}
 }
 
-// standStill has the process do nothing for so long, as a machine that is short of processor time may.
-func (n *node) standStill(long time.Duration) {
+// suspend stops the process for a duration, as on a machine that is short of processor time.
+func (n *node) suspend(duration time.Duration) {
 	n.mu.Lock()
 	cmd, ready := n.cmd, n.ready
 	n.mu.Unlock()
 	if !ready {
 		return
 	}
-	n.log.add(record{kind: nodeStopped, node: n.index, wait: long})
+	n.log.add(record{kind: nodeSuspended, node: n.index, wait: duration})
 	cmd.Process.Signal(syscall.SIGSTOP)
-	time.AfterFunc(long, func() { cmd.Process.Signal(syscall.SIGCONT) })
+	time.AfterFunc(duration, func() { cmd.Process.Signal(syscall.SIGCONT) })
 }
 
-// configuration is its file as it is to be now.
+// configuration returns the node's configuration file with the current server list.
 func (n *node) configuration() ([]byte, error) {
 	n.mu.Lock()
-	address := n.coord.address(n.door)
+	address := n.coord.address(n.replica)
 	n.mu.Unlock()
-	return configuration(n.listen, address, n.index, n.nodes, n.coord.whole())
+	return configuration(n.listen, address, n.index, n.nodes, n.coord.snapshot())
 }
 
-// follow has further configurations name another door of the coordinator's.
-func (n *node) follow(door int) {
+// useReplica has later configurations name another coordinator replica.
+func (n *node) useReplica(replica int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.door = door
+	n.replica = replica
 }
 
-// reload writes the configuration anew, broken or whole, and has the process read it.
-func (n *node) reload(broken bool) {
+// reload writes the configuration, truncated if asked for, and has the process read it.
+func (n *node) reload(truncate bool) {
 	text, err := n.configuration()
 	if err != nil {
 		return
 	}
-	if broken {
+	if truncate {
 		text = text[:len(text)/2]
 	}
 	if os.WriteFile(n.config(), text, 0o600) != nil {
@@ -210,28 +210,28 @@
 	n.signal(syscall.SIGHUP)
 }
 
-// signal sends a signal to the process, if one runs.
-func (n *node) signal(what syscall.Signal) {
+// signal sends a signal to the process if it is ready or terminating.
+func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd == nil || !n.ready && n.ending == 0 {
+	if n.cmd == nil || !n.ready && n.terminatedAt == 0 {
 		return
 	}
-	n.log.add(record{kind: nodeSignalled, node: n.index, detail: what.String()})
-	n.cmd.Process.Signal(what)
+	n.log.add(record{kind: nodeSignalled, node: n.index, detail: sig.String()})
+	n.cmd.Process.Signal(sig)
 }
 
-// signalEnding sends a further signal to a process that was sent SIGTERM.
-func (n *node) signalEnding(what syscall.Signal) {
+// signalTerminating sends a signal to a process that was already sent SIGTERM.
+func (n *node) signalTerminating(sig syscall.Signal) {
 	n.mu.Lock()
-	ending := n.ending > 0
+	terminating := n.terminatedAt > 0
 	n.mu.Unlock()
-	if ending {
-		n.signal(what)
+	if terminating {
+		n.signal(sig)
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process and prevents further starts.
 func (n *node) stop() {
 	n.mu.Lock()
 	n.stopped = true
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// measureEvery is how often the processes' descriptors and memory are looked at.
-const measureEvery = 100 * time.Millisecond
+// measureInterval is the interval at which the processes' descriptors and memory are measured.
+const measureInterval = 100 * time.Millisecond
 
-// complaints are what a node's log must not hold: violations that its own guard saw, and crashes.
-var complaints = []string{"invariant violated", "panic:", "fatal error:", "DATA RACE"}
+// faultPatterns must not occur in a node's log: violations found by its own guard, and crashes.
+var faultPatterns = []string{"invariant violated", "panic:", "fatal error:", "DATA RACE"}
 
-// watchProcesses looks at the processes' descriptors and memory.
-func (s *soak) watchProcesses(ctx context.Context) {
-	for pause(ctx, measureEvery) {
+// measureProcesses measures all processes until ctx is done.
+func (s *soak) measureProcesses(ctx context.Context) {
+	for sleep(ctx, measureInterval) {
 		for _, n := range s.nodes {
 			n.measure()
 		}
 	}
 }
 
-// measure records how many descriptors and megabytes the process holds.
+// measure records the process's open descriptors and resident memory.
 func (n *node) measure() {
 	n.mu.Lock()
 	cmd, ready := n.cmd, n.ready
@@ -35,15 +35,15 @@
 	if cmd == nil || !ready {
 		return
 	}
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 	if err != nil {
-		return // it has ended
+		return // it has exited
 	}
 	megabytes := residentMemory(cmd.Process.Pid)
-	n.log.add(record{kind: nodeMeasured, node: n.index, descriptors: len(open), megabytes: megabytes})
+	n.log.add(record{kind: nodeMeasured, node: n.index, descriptors: len(descriptors), megabytes: megabytes})
 }
 
-// residentMemory is how many megabytes a process holds; 0 where that can't be read.
+// residentMemory returns a process's resident memory in megabytes; 0 if it can't be read.
 func residentMemory(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -57,8 +57,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// readLogs records what the nodes' logs complain of.
-func (s *soak) readLogs() {
+// scanLogs records the lines of the nodes' logs that match a fault pattern.
+func (s *soak) scanLogs() {
 	for _, n := range s.nodes {
 		text, err := os.ReadFile(filepath.Join(n.folder, fmt.Sprintf("n%d.log", n.index)))
 		if err != nil {
@@ -67,9 +67,9 @@
 		lines := bufio.NewScanner(bytes.NewReader(text))
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			for _, what := range complaints {
-				if strings.Contains(lines.Text(), what) {
-					n.log.add(record{kind: nodeComplained, node: n.index, detail: lines.Text()})
+			for _, pattern := range faultPatterns {
+				if strings.Contains(lines.Text(), pattern) {
+					n.log.add(record{kind: nodeLoggedFault, node: n.index, detail: lines.Text()})
 					break
 				}
 			}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -14,8 +14,8 @@
 	frontnode "rainhaven/internal/node"
 )
 
-// program builds the program whose processes are played.
-func program(t *testing.T) string {
+// buildProgram builds the program with the build tag trials and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "rainhaven")
 	build := exec.Command("go", "build", "-tags", "trials", "-buildvcs=false", "-o", path, "rainhaven/cmd/rainhaven")
@@ -25,18 +25,18 @@
 	return path
 }
 
-// short is a soak that takes little time.
-func short(t *testing.T, program string, seed uint64) Options {
-	o := Usual()
-	o.Program, o.Folder, o.Seed, o.Nodes, o.Long = program, t.TempDir(), seed, 12, 12*time.Second
+// shortOptions returns the options of a soak of 12 nodes and 12 s.
+func shortOptions(t *testing.T, program string, seed uint64) Options {
+	o := DefaultOptions()
+	o.Program, o.Folder, o.Seed, o.Nodes, o.Duration = program, t.TempDir(), seed, 12, 12*time.Second
 	return o
 }
 
-// Real processes under overlapping faults keep every invariant.
+// Real node processes under overlapping faults violate no invariant.
 func TestSoak(t *testing.T) {
-	p := program(t)
+	p := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
-		r, err := Run(context.Background(), short(t, p, seed))
+		r, err := Run(context.Background(), shortOptions(t, p, seed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,11 +48,11 @@
 	}
 }
 
-// A handful of processes under many faults at once keep every invariant.
+// A few node processes under many simultaneous faults violate no invariant.
 func TestDenseSoak(t *testing.T) {
-	p := program(t)
-	for _, seed := range []uint64{1, 3} { // without a crowd, and with one
-		o := Dense()
+	p := buildProgram(t)
+	for _, seed := range []uint64{1, 3} { // without and with a load surge
+		o := DenseOptions()
 		o.Program, o.Folder, o.Seed = p, t.TempDir(), seed
 		r, err := Run(context.Background(), o)
 		if err != nil {
@@ -66,41 +66,41 @@
 	}
 }
 
-// Every story has a name of its own, and a seed plays them in the same order.
-func TestStories(t *testing.T) {
+// Every scenario has a unique name, and a seed always gives the same schedule.
+func TestScenarios(t *testing.T) {
 	seen := map[string]bool{}
-	for _, s := range stories {
-		if s.name == "" || s.play == nil || seen[s.name] {
-			t.Errorf("story %q", s.name)
+	for _, s := range scenarios {
+		if s.name == "" || s.run == nil || seen[s.name] {
+			t.Errorf("scenario %q", s.name)
 		}
 		seen[s.name] = true
 	}
-	if a, b := storyOrder(7, Dense().Long), storyOrder(7, Dense().Long); !slices.Equal(a, b) || len(a) < 10 {
-		t.Errorf("seed 7 plays %v, then %v", a, b)
+	if a, b := scheduleScenarios(7, DenseOptions().Duration), scheduleScenarios(7, DenseOptions().Duration); !slices.Equal(a, b) || len(a) < 10 {
+		t.Errorf("seed 7 schedules %v, then %v", a, b)
 	}
 }
 
-// Effects on a server add up, and each ends by itself.
+// Overlapping effects on a server are combined, and each expires on its own.
 func TestEffectsOverlap(t *testing.T) {
-	s := &server{log: &log{began: time.Now()}}
-	s.behave(time.Hour, hang)
-	s.behave(20*time.Millisecond, func(b *behavior, _ time.Duration) { b.full = 1 })
-	if b := s.behavior(); b.full != 1 || b.hangs == 0 {
+	s := &server{log: &log{startedAt: time.Now()}}
+	s.addEffect(time.Hour, makeHang)
+	s.addEffect(20*time.Millisecond, func(b *behavior, _ time.Duration) { b.full = 1 })
+	if b := s.currentBehavior(); b.full != 1 || b.hungUntil == 0 {
 		t.Errorf("both in force: %+v", b)
 	}
 	time.Sleep(30 * time.Millisecond)
-	if b := s.behavior(); b.full != 0 || b.hangs == 0 {
-		t.Errorf("one over: %+v", b)
+	if b := s.currentBehavior(); b.full != 0 || b.hungUntil == 0 {
+		t.Errorf("one expired: %+v", b)
 	}
 }
 
-// What the coordinator has counts as told at once, and in an outage within the platform's times.
-func TestToldBy(t *testing.T) {
+// A change counts as notified at once, or during an outage within the platform's time limits.
+func TestNotifiedBy(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
-		name               string
-		began, silent, now time.Duration
-		want               time.Duration
+		name                          string
+		outageStart, silentUntil, now time.Duration
+		want                          time.Duration
 	}{
 		{"no outage", 0, 0, 10 * s, 10 * s},
 		{"in a short outage", 8 * s, 11 * s, 10 * s, 12 * s},
@@ -108,19 +108,19 @@
 		{"just after a short one", 8 * s, 9 * s, 10 * s, 12 * s},
 		{"well after one", 2 * s, 3 * s, 10 * s, 10 * s},
 	} {
-		k := &coordinator{}
-		for i := range k.doors {
-			k.doors[i] = &door{c: k}
+		coord := &coordinator{}
+		for i := range coord.replicas {
+			coord.replicas[i] = &replica{coord: coord}
 		}
-		k.doors[1].began, k.doors[1].silent = c.began, c.silent
-		if got := k.toldBy(c.now); got != c.want {
-			t.Errorf("%s: told at %v, not %v", c.name, got, c.want)
+		coord.replicas[1].outageStart, coord.replicas[1].silentUntil = c.outageStart, c.silentUntil
+		if got := coord.notifiedBy(c.now); got != c.want {
+			t.Errorf("%s: notified by %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// caught names the invariant that each sabotage must break.
-var caught = map[frontnode.Sabotage]Invariant{
+// expectedViolation maps each sabotage to the invariant that it must violate.
+var expectedViolation = map[frontnode.Sabotage]Invariant{
 	frontnode.SabotageAnswer: Answered, frontnode.SabotageTwice: Answered, frontnode.SabotageRefusal: NotRepeated,
 	frontnode.SabotageRepeat: NotRepeated, frontnode.SabotageOverlap: OneAttempt, frontnode.SabotageDrain: Drained,
 	frontnode.SabotageSlowStart: SlowStart, frontnode.SabotageFloor: Terms, frontnode.SabotageSeats: Terms,
@@ -130,33 +130,33 @@
 	frontnode.SabotageGuard: Guarded, frontnode.SabotageClose: Answered,
 }
 
-// Each invariant has a sabotage, and each sabotage an invariant.
+// Each sabotage violates an invariant, and each invariant is violated by a sabotage.
 func TestEachInvariantHasASabotage(t *testing.T) {
 	seen := map[Invariant]bool{}
 	for _, s := range frontnode.Sabotages {
-		if caught[s] == "" {
-			t.Errorf("%s breaks nothing", s)
+		if expectedViolation[s] == "" {
+			t.Errorf("no invariant for sabotage %s", s)
 		}
-		seen[caught[s]] = true
+		seen[expectedViolation[s]] = true
 	}
 	for _, i := range Invariants {
 		if !seen[i] {
-			t.Errorf("no sabotage breaks %q", i)
+			t.Errorf("no sabotage violates %q", i)
 		}
 	}
 }
 
-// Sabotaged processes are caught: a few in each run, by their seeds; all with SOAK_SABOTAGES set. Those that need particular
-// faults or many processes are played by `rainhaven soak --sabotage`.
+// A soak of sabotaged nodes reports the expected violation. Only three sabotages run by default, all with SOAK_SABOTAGES set.
+// Sabotages that need particular faults or many processes are run with `rainhaven soak --sabotage`.
 func TestSabotagesAreCaught(t *testing.T) {
-	p := program(t)
+	p := buildProgram(t)
 	list := []frontnode.Sabotage{frontnode.SabotageAnswer, frontnode.SabotageOverlap, frontnode.SabotageDeadline}
 	if os.Getenv("SOAK_SABOTAGES") != "" {
 		list = frontnode.Sabotages
 	}
 	for _, s := range list {
 		t.Run(string(s), func(t *testing.T) {
-			o := short(t, p, 1)
+			o := shortOptions(t, p, 1)
 			o.Sabotage = s
 			r, err := Run(context.Background(), o)
 			if err != nil {
@@ -165,20 +165,20 @@
 			var b bytes.Buffer
 			r.Write(&b)
 			if !strings.Contains(b.String(), "violated: ") {
-				t.Fatalf("nothing was noticed:\n%s", b.String())
+				t.Fatalf("no violation reported:\n%s", b.String())
 			}
 			for _, v := range r.Violations {
-				if v.Invariant == caught[s] {
+				if v.Invariant == expectedViolation[s] {
 					return
 				}
 			}
-			t.Errorf("%q was not violated:\n%s", caught[s], b.String())
+			t.Errorf("%q was not violated:\n%s", expectedViolation[s], b.String())
 		})
 	}
 }
 
-// The judge alone, on traffic made by hand: a clean request passes, and each way to break an invariant is found.
-func TestJudge(t *testing.T) {
+// The checker alone, on hand-written records: valid requests pass, and each kind of violation is found.
+func TestCheck(t *testing.T) {
 	const id = "0003000000000007"
 	sent := record{at: time.Second, kind: requestSent, request: id, node: 3, class: 1, wait: 1430 * time.Millisecond, title: "t"}
 	attempt := func(at time.Duration, server string) record {
@@ -198,36 +198,36 @@
 		want Invariant
 	}{
 		{"clean", clean, ""},
-		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCanceled, request: id, node: 3}}, ""},
-		{"its node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
-		{"it crossed a close", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3}}, ""},
+		{"cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}}, ""},
+		{"node killed", []record{sent, {at: 1100 * ms, kind: nodeKilled, node: 3}}, ""},
+		{"crossed a close", []record{sent, {at: 1020 * ms, kind: requestAborted, request: id, node: 3}}, ""},
 		{"no answer", clean[:5], Answered},
 		{"two answers", append(append([]record{}, clean...), read(1060*ms, 503, "")), Answered},
-		{"another one's answer", append(append([]record{}, clean[:5]...), read(1050*ms, 200, description(id, "s-1"))), Answered},
-		{"late", append(append([]record{}, clean[:5]...), read(3500*ms, 200, description(id, "s-2"))), Answered},
-		{"closed unanswered", []record{sent, {at: 1300 * ms, kind: requestCut, request: id, node: 3}}, Answered},
-		{"repeated", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
-		{"refused", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
-		{"two out", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
-		{"after its end", []record{sent, {at: 1100 * ms, kind: requestCanceled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
-		{"told longer", []record{sent, {at: 2000 * ms, kind: attemptRead, request: id, server: "s-1", rung: 1, wait: 900 * ms}, read(2100*ms, 500, "")}, Deadline},
+		{"answer of another server", append(append([]record{}, clean[:5]...), read(1050*ms, 200, description(id, "s-1"))), Answered},
+		{"late answer", append(append([]record{}, clean[:5]...), read(3500*ms, 200, description(id, "s-2"))), Answered},
+		{"closed without an answer", []record{sent, {at: 1300 * ms, kind: requestAborted, request: id, node: 3}}, Answered},
+		{"retried after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), attempt(1030*ms, "s-2"), read(1050*ms, 500, "")}, NotRepeated},
+		{"refused after it may have run", []record{sent, attempt(1010*ms, "s-1"), answered(1020*ms, "s-1", 500), read(1050*ms, 503, "")}, NotRepeated},
+		{"two attempts in flight", []record{sent, attempt(1010*ms, "s-1"), attempt(1030*ms, "s-2"), answered(1200*ms, "s-1", 453), answered(1200*ms, "s-2", 200), read(1210*ms, 200, description(id, "s-2"))}, OneAttempt},
+		{"attempt after its client cancelled", []record{sent, {at: 1100 * ms, kind: requestCancelled, request: id, node: 3}, attempt(1400*ms, "s-1")}, NotAfterEnd},
+		{"deadline too long", []record{sent, {at: 2000 * ms, kind: attemptRead, request: id, server: "s-1", rung: 1, wait: 900 * ms}, read(2100*ms, 500, "")}, Deadline},
 		{"below the floor", []record{sent, {at: 1010 * ms, kind: attemptRead, request: id, server: "s-1", rung: 0}, read(1100*ms, 500, "")}, Terms},
-		{"never released", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}), Released},
-		{"released late", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}, record{at: 3500 * ms, kind: releaseRead, request: id, node: 3}), Released},
-		{"its server died and nothing was said", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: serverDied, server: "s-2", node: -1}), Released},
-		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: sockets + 1}}, Limits},
-		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: memoryMB + 1}}, Limits},
-		{"a complaint", []record{{at: time.Second, kind: nodeComplained, node: 3, detail: "panic: x"}}, Guarded},
-		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestCut, request: id, node: 3, detail: detailRead}}, Answered},
-		{"drained", []record{sent, {at: 100 * ms, kind: entryTold, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
+		{"release not reported", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}), Released},
+		{"release reported late", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: sessionEnded, request: id, server: "s-2", status: 16}, record{at: 2 * time.Second, kind: releaseWritten, request: id, server: "s-2", node: 3}, record{at: 3500 * ms, kind: releaseRead, request: id, node: 3}), Released},
+		{"server died, release not reported", append(append([]record{}, clean...), record{at: 2 * time.Second, kind: serverDied, server: "s-2", node: -1}), Released},
+		{"too many descriptors", []record{{at: time.Second, kind: nodeMeasured, node: 3, descriptors: maxDescriptors + 1}}, Limits},
+		{"too much memory", []record{{at: time.Second, kind: nodeMeasured, node: 3, megabytes: maxMemoryMB + 1}}, Limits},
+		{"fault in the log", []record{{at: time.Second, kind: nodeLoggedFault, node: 3, detail: "panic: x"}}, Guarded},
+		{"read and closed at once", []record{sent, {at: 1020 * ms, kind: requestAborted, request: id, node: 3, detail: detailRead}}, Answered},
+		{"attempt after a drain", []record{sent, {at: 100 * ms, kind: entryPublished, server: "s-1", detail: "draining", wait: 100 * ms}, attempt(1010*ms, "s-1"), read(1100*ms, 500, "")}, Drained},
 	} {
-		r := judge(c.list, Usual())
+		r := check(c.list, DefaultOptions())
 		found := c.want == ""
 		for _, v := range r.Violations {
 			found = found || v.Invariant == c.want
 		}
 		if !found || c.want == "" && !r.OK() {
-			t.Errorf("%s: %v where %q is due", c.name, r.Violations, c.want)
+			t.Errorf("%s: got %v, want %q", c.name, r.Violations, c.want)
 		}
 	}
 }
