--- a/cmd/rainhaven/ctl.go
+++ b/cmd/rainhaven/ctl.go
@@ -15,60 +15,60 @@
 )
 
 func ctlCommand() *cobra.Command {
-	var config string
+	var configPath string
 	var instance int
-	c := &cobra.Command{Use: "ctl", Short: "Ask a front that runs on this machine, by the settings it was started with"}
-	c.PersistentFlags().StringVarP(&config, "config", "c", "", "the front's settings; they name its state folder")
-	c.PersistentFlags().IntVar(&instance, "instance", 0, "which of many fronts of one script")
+	c := &cobra.Command{Use: "ctl", Short: "Query or control a front on this machine, found by the settings it was started with"}
+	c.PersistentFlags().StringVarP(&configPath, "config", "c", "", "the front's settings, which name its state folder")
+	c.PersistentFlags().IntVar(&instance, "instance", 0, "index of the front in a script for many fronts")
 	c.MarkPersistentFlagRequired("config")
-	ask := func(c *cobra.Command, method string, in map[string]any) (map[string]any, error) {
-		t, err := settings.ReadInstanceConfig(config, instance)
-		var wrong settings.Diagnostics
-		if errors.As(err, &wrong) {
+	call := func(c *cobra.Command, method string, request map[string]any) (map[string]any, error) {
+		config, err := settings.ReadInstanceConfig(configPath, instance)
+		var diagnostics settings.Diagnostics
+		if errors.As(err, &diagnostics) {
 			return nil, err
 		}
 		if err != nil {
 			return nil, failure{exitFailed, err}
 		}
-		if t.StateDir == "" {
-			return nil, failed("front(state = ...) names no folder, and without one nobody can ask the front")
+		if config.StateDir == "" {
+			return nil, failed("front(state = ...) is not set, and the control socket is in the state folder")
 		}
-		out, err := control.Call(c.Context(), state.PathOf(t.StateDir, t.Name, daemon.ControlSocket), method, in)
+		response, err := control.Call(c.Context(), state.PathOf(config.StateDir, config.Name, daemon.ControlSocket), method, request)
 		if err != nil {
 			return nil, failure{exitFailed, err}
 		}
-		return out, nil
+		return response, nil
 	}
-	for _, x := range []struct{ method, short string }{
-		{"Status", "The process and its health"}, {"Sessions", "Sessions with their boxes and rungs"}, {"Boxes", "What the front knows of each box"},
-		{"Drain", "Drain and end the front"}, {"Reload", "Read the settings again"},
+	for _, action := range []struct{ method, short string }{
+		{"Status", "Print the state of the process and its health"}, {"Sessions", "List sessions with their boxes and rungs"}, {"Boxes", "List the front's view of each box"},
+		{"Drain", "Drain and stop the front"}, {"Reload", "Reload the settings"},
 	} {
-		use := strings.ToLower(x.method)
-		c.AddCommand(&cobra.Command{Use: use, Short: x.short, Example: "  rainhaven ctl " + use + " --config FILE", Args: cobra.NoArgs,
+		use := strings.ToLower(action.method)
+		c.AddCommand(&cobra.Command{Use: use, Short: action.short, Example: "  rainhaven ctl " + use + " --config FILE", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				out, err := ask(c, x.method, nil)
-				if err != nil || len(out) == 0 {
+				response, err := call(c, action.method, nil)
+				if err != nil || len(response) == 0 {
 					return err
 				}
-				e := json.NewEncoder(c.OutOrStdout())
-				e.SetIndent("", "  ")
-				return e.Encode(out)
+				encoder := json.NewEncoder(c.OutOrStdout())
+				encoder.SetIndent("", "  ")
+				return encoder.Encode(response)
 			}})
 	}
-	c.AddCommand(&cobra.Command{Use: "explain [SESSION]", Short: "Why a session got its box and rung, or was turned away; without one, the last that was",
+	c.AddCommand(&cobra.Command{Use: "explain [SESSION]", Short: "Explain why a session got its box and rung, or was turned away; without SESSION, the last one turned away",
 		Example: "  rainhaven ctl explain 4f1c... --config FILE", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			in := map[string]any{}
+			request := map[string]any{}
 			if len(args) > 0 {
-				in["session"] = args[0]
+				request["session"] = args[0]
 			}
-			out, err := ask(c, "Explain", in)
+			response, err := call(c, "Explain", request)
 			if err != nil {
 				return err
 			}
-			lines, _ := out["lines"].([]any)
-			for _, l := range lines {
-				fmt.Fprintln(c.OutOrStdout(), l)
+			lines, _ := response["lines"].([]any)
+			for _, line := range lines {
+				fmt.Fprintln(c.OutOrStdout(), line)
 			}
 			return nil
 		}})
--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -30,12 +30,12 @@
 	var watch, timeout time.Duration
 	var bandwidth float64
 	var tracks int
-	c := &cobra.Command{Use: "play URL", Short: "Play a session and look at every frame",
+	c := &cobra.Command{Use: "play URL", Short: "Play a session and check every frame",
 		Example: "  rainhaven play rtsp://127.0.0.1:8554/fault-clips/demo\n  rainhaven play --for 10s --json rtsp://127.0.0.1:8554/fault-clips/demo", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			p, err := rtsp.ParseURL(args[0])
 			if err != nil {
-				return fmt.Errorf("%w; rtsp://host:port/group/title would be right", err)
+				return fmt.Errorf("%w; the URL must be rtsp://host:port/group/title", err)
 			}
 			if _, _, err := net.SplitHostPort(p.Host); err != nil {
 				p.Host = net.JoinHostPort(p.Host, "554")
@@ -55,7 +55,7 @@
 				if ca != "" {
 					pem, err := os.ReadFile(ca)
 					if w.TLS.RootCAs = x509.NewCertPool(); err != nil || !w.TLS.RootCAs.AppendCertsFromPEM(pem) {
-						return failed("--ca %s holds no certificate that can be read", ca)
+						return failed("--ca %s contains no readable certificate", ca)
 					}
 				}
 			}
@@ -88,17 +88,18 @@
 			}
 			return nil
 		}}
-	c.Flags().BoolVar(&asJSON, "json", false, "what was seen, as one JSON object")
-	c.Flags().StringVar(&out, "out", "", "file for the first track's payloads")
-	c.Flags().StringVar(&ca, "ca", "", "file of the certificates that an rtsps front's must be signed by")
-	c.Flags().BoolVar(&insecure, "insecure", false, "take any certificate of an rtsps front")
-	c.Flags().DurationVar(&watch, "for", 0, "media to watch; 0 is to the end")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the result as one JSON object")
+	c.Flags().StringVar(&out, "out", "", "file to write the payloads of the first track to")
+	c.Flags().StringVar(&ca, "ca", "", "file of CA certificates that an rtsps front's certificate is verified against")
+	c.Flags().BoolVar(&insecure, "insecure", false, "accept any certificate of an rtsps front")
+	c.Flags().DurationVar(&watch, "for", 0, "length of media to watch; 0 plays to the end")
 	c.Flags().DurationVar(&timeout, "setup-timeout", 5*time.Second, "how long to wait for the answer")
-	c.Flags().Float64Var(&bandwidth, "bandwidth", 0, "bits a second that this viewer can take; 0 is not told")
-	c.Flags().IntVar(&tracks, "tracks", 2, "1 for video, 2 with sound")
+	c.Flags().Float64Var(&bandwidth, "bandwidth", 0, "bandwidth of this viewer in bits per second, sent to the front; 0 sends none")
+	c.Flags().IntVar(&tracks, "tracks", 2, "1 for video only, 2 for video and audio")
 	return c
 }
 
+// errText returns the text of err, or "" if it is nil.
 func errText(err error) string {
 	if err == nil {
 		return ""
@@ -111,13 +112,13 @@
 	var asJSON, quiet bool
 	var shorten float64
 	var seed uint64
-	c := &cobra.Command{Use: "day FILE", Short: "Play a scripted day on loopback sockets and judge the rules from the traffic",
+	c := &cobra.Command{Use: "day FILE", Short: "Play a scripted day on loopback sockets and check the rules from the traffic",
 		Example: "  rainhaven day examples/bad-day.star\n  rainhaven day --sabotage drains examples/bad-day.star",
-		Long: `Plays a scripted day: stand-in boxes, fronts, viewers and troubles. The report's last line counts what was taken and
-answered and how often each rule was broken; the exit status is 1 if any was. With --sabotage the fronts are made to
-break a rule, and the status is 1 as it must be.`, Args: cobra.ExactArgs(1),
+		Long: `Plays a scripted day: stand-in boxes, fronts, viewers and faults. The report's last line counts the requests taken and
+answered and how often each rule was violated; the exit status is 1 if any was. With --sabotage the fronts break a rule
+on purpose, and the exit status must be 1.`, Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			log, err := logger(level, format)
+			log, err := newLogger(level, format)
 			if err != nil {
 				return err
 			}
@@ -127,14 +128,14 @@
 			}
 			d, err := day.Read(args[0])
 			if err != nil {
-				var wrong settings.Diagnostics
-				if errors.As(err, &wrong) {
+				var diagnostics settings.Diagnostics
+				if errors.As(err, &diagnostics) {
 					return err
 				}
 				return failure{exitFailed, err}
 			}
 			if shorten <= 0 || shorten > 1 {
-				return fmt.Errorf("--shorten %v: above 0 and at most 1 would be right", shorten)
+				return fmt.Errorf("--shorten is %v; it must be greater than 0 and at most 1", shorten)
 			}
 			d.Shorten(shorten)
 			if seed != 0 {
@@ -158,13 +159,13 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&sabotage, "sabotage", "", "have the fronts break a rule: answers, doubles, drains, cold, terms, ration")
-	c.Flags().BoolVar(&asJSON, "json", false, "the report as one JSON object")
-	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "the report only")
-	c.Flags().Float64Var(&shorten, "shorten", 1, "play the day in this share of its length")
-	c.Flags().Uint64Var(&seed, "seed", 0, "another seed than the script's")
-	c.Flags().StringVar(&level, "log", "error", "least level logged: debug, info, warn, error")
-	c.Flags().StringVar(&format, "log-format", "console", "form of the log: json or console")
+	c.Flags().StringVar(&sabotage, "sabotage", "", "rule that the fronts break on purpose: answers, doubles, drains, cold, terms, ration")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the report as one JSON object")
+	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "print the report only")
+	c.Flags().Float64Var(&shorten, "shorten", 1, "factor on the length of the day, at most 1")
+	c.Flags().Uint64Var(&seed, "seed", 0, "seed to use in place of the script's; 0 keeps the script's")
+	c.Flags().StringVar(&level, "log", "error", "minimum log level: debug, info, warn, error")
+	c.Flags().StringVar(&format, "log-format", "console", "log format: json or console")
 	return c
 }
 
@@ -172,25 +173,25 @@
 	var asJSON, overTLS, reloads bool
 	var against string
 	o := measure.Options{}
-	c := &cobra.Command{Use: "measure", Short: "Compare viewers through a front with the same ones straight at the boxes",
+	c := &cobra.Command{Use: "measure", Short: "Compare viewers that play through a front with the same viewers directly at the boxes",
 		Example: "  rainhaven measure\n  rainhaven measure --sessions 1,100,1000 --setups 2000 --reps 5", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return failure{exitFailed, err}
 			}
-			o.Builds = []measure.Build{{Name: "this", Program: self}}
+			o.Builds = []measure.Build{{Name: "this", Program: executable}}
 			if against != "" {
 				o.Builds = append(o.Builds, measure.Build{Name: "other", Program: against})
 			}
 			if overTLS {
-				o.Builds = append(o.Builds, measure.Build{Name: "this, TLS", Program: self, TLS: true})
+				o.Builds = append(o.Builds, measure.Build{Name: "this, TLS", Program: executable, TLS: true})
 			}
 			if reloads {
-				o.Builds = append(o.Builds, measure.Build{Name: "reloading", Program: self, Reloads: true})
+				o.Builds = append(o.Builds, measure.Build{Name: "reloading", Program: executable, Reloads: true})
 			}
 			if o.Setups < 1 || o.Reps < 1 || o.Seconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
-				return fmt.Errorf("--sessions, --setups, --reps and --seconds must be above 0")
+				return fmt.Errorf("--sessions, --setups, --reps and --seconds must be greater than 0")
 			}
 			rows, err := measure.Run(c.Context(), o, nil)
 			if err != nil {
@@ -203,14 +204,14 @@
 			measure.Write(c.OutOrStdout(), rows)
 			return nil
 		}}
-	c.Flags().IntSliceVar(&o.Sessions, "sessions", []int{1, 100, 1000}, "playing sessions to measure under")
-	c.Flags().IntVar(&o.Setups, "setups", 1000, "set-ups timed, each way in turns")
-	c.Flags().IntVar(&o.Reps, "reps", 5, "transfers at full speed, each way in turns")
+	c.Flags().IntSliceVar(&o.Sessions, "sessions", []int{1, 100, 1000}, "numbers of playing sessions to measure with")
+	c.Flags().IntVar(&o.Setups, "setups", 1000, "SETUPs to time on each path, alternating between the paths")
+	c.Flags().IntVar(&o.Reps, "reps", 5, "transfers at full speed on each path, alternating between the paths")
 	c.Flags().Float64Var(&o.Seconds, "seconds", 1, "length of a transfer")
-	c.Flags().StringVar(&against, "against", "", "another build of rainhaven, measured in turns with this one")
-	c.Flags().BoolVar(&reloads, "reloads", false, "measure a front that takes new settings each second, too")
-	c.Flags().BoolVar(&overTLS, "tls", false, "measure viewers over TLS too")
-	c.Flags().BoolVar(&asJSON, "json", false, "the rows as JSON")
+	c.Flags().StringVar(&against, "against", "", "another build of rainhaven to measure alternately with this one")
+	c.Flags().BoolVar(&reloads, "reloads", false, "also measure a front that reloads its settings each second")
+	c.Flags().BoolVar(&overTLS, "tls", false, "also measure viewers over TLS")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the rows as JSON")
 	return c
 }
 
@@ -219,11 +220,11 @@
 	var remember bool
 	var first uint64
 	var rate float64
-	c := &cobra.Command{Use: "storm", Short: "Play drawn days of faults on both sides, seed after seed, and judge the rules",
+	c := &cobra.Command{Use: "storm", Short: "Play random days of faults among viewers and boxes, one for each seed, and check the rules",
 		Example: "  rainhaven storm --requests 2000 --seeds 20", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if requests < 1 || seeds < 1 || rate <= 0 {
-				return fmt.Errorf("--requests, --seeds and --rate must be above 0")
+				return fmt.Errorf("--requests, --seeds and --rate must be greater than 0")
 			}
 			broken := 0
 			for seed := first; seed < first+uint64(seeds); seed++ {
@@ -244,14 +245,14 @@
 				broken += v.Broken() + r.Left
 			}
 			if broken > 0 {
-				return failed("rules were broken %d times", broken)
+				return failed("rules were violated %d times", broken)
 			}
 			return nil
 		}}
-	c.Flags().IntVar(&requests, "requests", 2000, "first requests of viewers, about")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many days")
+	c.Flags().IntVar(&requests, "requests", 2000, "approximate number of first requests of viewers")
+	c.Flags().IntVar(&seeds, "seeds", 1, "number of days, each with its own seed")
 	c.Flags().Uint64Var(&first, "first", 1, "the first seed")
-	c.Flags().BoolVar(&remember, "remember", false, "fronts that are killed know on their return what they had stored")
-	c.Flags().Float64Var(&rate, "rate", 100, "requests a second")
+	c.Flags().BoolVar(&remember, "remember", false, "fronts that were killed restore their saved state when they start again")
+	c.Flags().Float64Var(&rate, "rate", 100, "requests per second")
 	return c
 }
--- a/cmd/rainhaven/main.go
+++ b/cmd/rainhaven/main.go
@@ -1,5 +1,5 @@
-// Command rainhaven is the session front and what belongs to it: the front itself, stand-in boxes, a viewer, scripted
-// days and the check of settings.
+// Command rainhaven runs a session front for RTSP video and its tools: a node of the operators' platform, a supervisor of
+// many fronts, stand-in boxes, a viewer, scripted days of faults, measurements, and the check and migration of settings.
 package main
 
 import (
@@ -20,13 +20,13 @@
 	"rainhaven/internal/settings"
 )
 
-// Exit codes beside 0.
+// Exit codes of the command line other than 0. The commands front and node have further ones of their own.
 const (
-	exitFailed = 1 // what was asked did not go well: a mistake in settings, a broken rule, a session not served
-	exitUsage  = 2 // wrong use of the command line
+	exitFailed = 1 // the command failed: invalid settings, a violated rule, a session that was not served
+	exitUsage  = 2 // invalid arguments or flags
 )
 
-// failure is an error with its own exit code whose text was printed already, or is to be.
+// failure is an error that sets the exit code. Other errors exit with exitUsage, settings.Diagnostics with exitFailed.
 type failure struct {
 	code int
 	err  error
@@ -34,6 +34,7 @@
 
 func (f failure) Error() string { return f.err.Error() }
 
+// failed returns a failure with the code exitFailed.
 func failed(format string, args ...any) error {
 	return failure{exitFailed, fmt.Errorf(format, args...)}
 }
@@ -44,39 +45,40 @@
 	os.Exit(run(ctx, os.Args[1:]))
 }
 
-// run carries out one command line and gives its exit code.
+// run executes one command line and returns its exit code.
 func run(ctx context.Context, args []string) int {
-	root := command()
+	root := rootCommand()
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
 		return 0
 	}
 	code := exitUsage
-	var f failure
-	var wrong settings.Diagnostics
-	if errors.As(err, &f) {
-		code = f.code
-	} else if errors.As(err, &wrong) {
+	var fail failure
+	var diagnostics settings.Diagnostics
+	if errors.As(err, &fail) {
+		code = fail.code
+	} else if errors.As(err, &diagnostics) {
 		code = exitFailed
 	}
-	if len(wrong) > 0 {
-		fmt.Fprintln(os.Stderr, wrong.Error())
+	if len(diagnostics) > 0 {
+		fmt.Fprintln(os.Stderr, diagnostics.Error())
 	} else {
 		fmt.Fprintln(os.Stderr, "rainhaven:", strings.Join(strings.Fields(err.Error()), " ")) // one line
 	}
 	return code
 }
 
-// trialCommands are further commands of a program that was built with the tag trials.
+// trialCommands construct the additional commands of a build with the tag trials.
 var trialCommands []func() *cobra.Command
 
-func command() *cobra.Command {
+// rootCommand returns the command line with all commands of this build.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "rainhaven",
-		Short: "A session front: where video sessions land on streaming servers and how they are shaped",
-		Long: `rainhaven takes RTSP requests of viewers, decides which box holds each session and at which rung of the rate
-ladder, and carries the media from the box to the viewer. Begin with "rainhaven try".`,
+		Short: "A session front: assigns video sessions to streaming servers and adapts their rate",
+		Long: `rainhaven accepts RTSP requests from viewers, decides which box (streaming server) holds each session and at which
+rung of the rate ladder, and relays the media from the box to the viewer. Start with "rainhaven try".`,
 		SilenceErrors: true, SilenceUsage: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
@@ -87,45 +89,47 @@
 	return root
 }
 
-// logger writes structured logs to stderr; above the debug level lines of one kind are sampled past the first hundred a second.
-func logger(level, format string) (*zap.Logger, error) {
-	log, _, err := leveled(level, format)
+// newLogger returns a logger that writes structured lines to stderr. At levels other than debug, lines with equal level and
+// message are sampled: after the first 100 in a second, one in 100 is written.
+func newLogger(level, format string) (*zap.Logger, error) {
+	log, _, err := newLeveledLogger(level, format)
 	return log, err
 }
 
-// leveled is a logger whose least level can be set by name; an empty one is that it began with.
-func leveled(level, format string) (*zap.Logger, func(string), error) {
+// newLeveledLogger returns a logger like newLogger and a function that sets its minimum level by name; an empty name
+// restores the initial level.
+func newLeveledLogger(level, format string) (*zap.Logger, func(string), error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
-		return nil, nil, fmt.Errorf("--log %q: debug, info, warn or error would be right", level)
+		return nil, nil, fmt.Errorf("--log is %q; it must be debug, info, warn or error", level)
 	}
-	enc := zap.NewProductionEncoderConfig()
-	enc.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	var e zapcore.Encoder
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
+	var encoder zapcore.Encoder
 	switch format {
 	case "json":
-		e = zapcore.NewJSONEncoder(enc)
+		encoder = zapcore.NewJSONEncoder(encoderConfig)
 	case "console":
-		e = zapcore.NewConsoleEncoder(enc)
+		encoder = zapcore.NewConsoleEncoder(encoderConfig)
 	default:
-		return nil, nil, fmt.Errorf("--log-format %q: json or console would be right", format)
+		return nil, nil, fmt.Errorf("--log-format is %q; it must be json or console", format)
 	}
-	least := zap.NewAtomicLevelAt(l)
-	set := func(name string) {
+	minLevel := zap.NewAtomicLevelAt(l)
+	setLevel := func(name string) {
 		if n, err := zapcore.ParseLevel(cmp.Or(name, level)); err == nil {
-			least.SetLevel(n)
+			minLevel.SetLevel(n)
 		}
 	}
-	core := zapcore.NewCore(e, zapcore.Lock(os.Stderr), least)
-	if l == zapcore.DebugLevel { // whoever follows one request needs every line of it
-		return zap.New(core), set, nil
+	core := zapcore.NewCore(encoder, zapcore.Lock(os.Stderr), minLevel)
+	if l == zapcore.DebugLevel { // not sampled, so that every line of a request is kept
+		return zap.New(core), setLevel, nil
 	}
-	return zap.New(zapcore.NewSamplerWithOptions(core, 1e9, 100, 100)), set, nil
+	return zap.New(zapcore.NewSamplerWithOptions(core, 1e9, 100, 100)), setLevel, nil
 }
 
-func logFlags(c *cobra.Command, level, format *string) {
-	c.Flags().StringVar(level, "log", "info", "least level logged: debug, info, warn, error")
-	c.Flags().StringVar(format, "log-format", "json", "form of the log: json or console")
+func addLogFlags(c *cobra.Command, level, format *string) {
+	c.Flags().StringVar(level, "log", "info", "minimum log level: debug, info, warn, error")
+	c.Flags().StringVar(format, "log-format", "json", "log format: json or console")
 }
 
 func versionCommand() *cobra.Command {
@@ -147,20 +151,20 @@
 
 func checkCommand() *cobra.Command {
 	var instance int
-	c := &cobra.Command{Use: "check FILE", Short: "Check a front's settings: every mistake with its line and what would be right",
+	c := &cobra.Command{Use: "check FILE", Short: "Check a front's settings and report every mistake with its line and how to correct it",
 		Example: "  rainhaven check examples/front.star", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			t, err := settings.ReadInstanceConfig(args[0], instance)
-			var wrong settings.Diagnostics
-			if err != nil && !errors.As(err, &wrong) {
+			config, err := settings.ReadInstanceConfig(args[0], instance)
+			var diagnostics settings.Diagnostics
+			if err != nil && !errors.As(err, &diagnostics) {
 				return failure{exitFailed, err}
 			}
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: front %s, %d boxes, %d titles, %d service groups: nothing wrong\n", args[0], t.Name, len(t.Boxes), len(t.Titles), len(t.Groups))
+			fmt.Fprintf(c.OutOrStdout(), "%s: front %s, %d boxes, %d titles, %d service groups: no mistakes\n", args[0], config.Name, len(config.Boxes), len(config.Titles), len(config.Groups))
 			return nil
 		}}
-	c.Flags().IntVar(&instance, "instance", 0, "which of many fronts of one script")
+	c.Flags().IntVar(&instance, "instance", 0, "index of the front in a script for many fronts")
 	return c
 }
--- a/cmd/rainhaven/migrate.go
+++ b/cmd/rainhaven/migrate.go
@@ -13,32 +13,32 @@
 func migrateCommand() *cobra.Command {
 	var layout, out string
 	var instance int
-	var dry bool
-	c := &cobra.Command{Use: "migrate FILE", Short: "Rewrite a front's settings for another layout, and list what could not be carried over",
-		Long: `migrate reads a front's settings and a layout: a script of the same forms that names only what is otherwise at
-the new place, by the same names. It writes settings for the new place to a new file, checked, and never over a file
-that is there. See docs/migration.md.`,
+	var dryRun bool
+	c := &cobra.Command{Use: "migrate FILE", Short: "Rewrite a front's settings for another layout, and list what could not be migrated",
+		Long: `migrate reads a front's settings and a layout: a script of the same forms that lists only what differs at the new
+site, under the same names. It checks the settings for the new site and writes them to a new file; it never overwrites
+an existing file. See docs/migration.md.`,
 		Example: "  rainhaven migrate old.star --layout new-place.star --dry-run\n  rainhaven migrate old.star --layout new-place.star --out new.star",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if layout == "" || (out == "") != dry {
+			if layout == "" || (out == "") != dryRun {
 				return fmt.Errorf("migrate needs --layout, and either --out or --dry-run")
 			}
-			m, err := settings.Migrate(args[0], layout, instance)
-			var wrong settings.Diagnostics
-			if errors.As(err, &wrong) {
-				return err // printed a line each
+			migration, err := settings.Migrate(args[0], layout, instance)
+			var diagnostics settings.Diagnostics
+			if errors.As(err, &diagnostics) {
+				return err // run prints one line for each
 			}
 			if err != nil {
 				return failure{exitFailed, err}
 			}
-			for _, line := range m.Changed {
+			for _, line := range migration.Changed {
 				fmt.Fprintln(c.OutOrStdout(), "changed:", line)
 			}
-			for _, line := range m.NotMigrated {
+			for _, line := range migration.NotMigrated {
 				fmt.Fprintln(c.OutOrStdout(), "not carried over:", line)
 			}
-			if dry {
+			if dryRun {
 				fmt.Fprintln(c.OutOrStdout(), "nothing was written")
 				return nil
 			}
@@ -47,9 +47,9 @@
 			if err != nil {
 				return failure{exitFailed, fmt.Errorf("writing settings: %w", err)}
 			}
-			_, err = f.Write(m.Script)
-			if e := f.Close(); err == nil {
-				err = e
+			_, err = f.Write(migration.Script)
+			if closeErr := f.Close(); err == nil {
+				err = closeErr
 			}
 			if err != nil {
 				return failure{exitFailed, fmt.Errorf("writing settings: %w", err)}
@@ -57,9 +57,9 @@
 			fmt.Fprintln(c.OutOrStdout(), "wrote", out)
 			return nil
 		}}
-	c.Flags().StringVar(&layout, "layout", "", "file that names what is otherwise at the new place")
-	c.Flags().StringVar(&out, "out", "", "file to write, which must not be there yet")
-	c.Flags().BoolVar(&dry, "dry-run", false, "write nothing")
-	c.Flags().IntVar(&instance, "instance", 0, "which of many fronts of one script")
+	c.Flags().StringVar(&layout, "layout", "", "script that lists what differs at the new site")
+	c.Flags().StringVar(&out, "out", "", "file to write, which must not exist")
+	c.Flags().BoolVar(&dryRun, "dry-run", false, "print the changes without writing a file")
+	c.Flags().IntVar(&instance, "instance", 0, "index of the front in a script for many fronts")
 	return c
 }
--- a/cmd/rainhaven/migrate_test.go
+++ b/cmd/rainhaven/migrate_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func TestMigrateWritesOnceAndNeverInADryRun(t *testing.T) {
+// A dry run and a run with invalid arguments must not create the file, and an existing file is never overwritten.
+func TestMigrateWritesNewFileOnly(t *testing.T) {
 	dir := t.TempDir()
 	old, layout, out := filepath.Join(dir, "old.star"), filepath.Join(dir, "layout.star"), filepath.Join(dir, "new.star")
 	write := func(file, text string) {
@@ -25,9 +26,9 @@
 `)
 	write(layout, "group(name = \"g\", live = True)\nfleet(shared_adds = 0.5)\n")
 	for _, c := range []struct {
-		args []string
-		code int
-		made bool
+		args    []string
+		code    int
+		written bool
 	}{
 		{[]string{"migrate", old, "--layout", layout, "--dry-run"}, 0, false},
 		{[]string{"migrate", old, "--layout", layout}, exitUsage, false},
@@ -37,8 +38,8 @@
 		{[]string{"migrate", old, "--layout", layout, "--out", out}, exitFailed, true},
 	} {
 		code := run(context.Background(), c.args)
-		if _, err := os.Stat(out); code != c.code || (err == nil) != c.made {
-			t.Errorf("%v: exit %d, file there: %v", c.args, code, err == nil)
+		if _, err := os.Stat(out); code != c.code || (err == nil) != c.written {
+			t.Errorf("%v: exit code %d, file exists: %v; want %d, %v", c.args, code, err == nil, c.code, c.written)
 		}
 	}
 }
--- a/cmd/rainhaven/node.go
+++ b/cmd/rainhaven/node.go
@@ -14,23 +14,24 @@
 	"rainhaven/internal/node/start"
 )
 
-// trialFlags adds the flags of trials to a node's command, and gives what they do to its options; nil in a program that was built
-// without the tag trials.
+// trialFlags adds the fault injection flags to the command node and returns a function that applies them to the node's
+// options. It is nil in a build without the tag trials.
 var trialFlags func(*cobra.Command) func(*node.Options) error
 
 func nodeCommand() *cobra.Command {
 	var level, format string
-	trials := func(*node.Options) error { return nil }
-	c := &cobra.Command{Use: "node", Short: "Run as a front node of the platform that GW_CONFIG describes, until SIGTERM; SIGHUP reads that file again",
+	applyTrialFlags := func(*node.Options) error { return nil }
+	c := &cobra.Command{Use: "node", Short: "Run a front node of the platform described by the file named in GW_CONFIG, until SIGTERM; SIGHUP reloads the file",
 		Example: "  GW_CONFIG=/run/balancer/config.json rainhaven node", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			// A channel each: many wishes to reload, which come to one, must not crowd out the one to end.
-			hangups, ends := make(chan os.Signal, 1), make(chan os.Signal, 3)
-			signal.Notify(hangups, syscall.SIGHUP)
-			signal.Notify(ends, syscall.SIGINT, syscall.SIGTERM)
-			defer signal.Stop(hangups)
-			defer signal.Stop(ends)
-			log, err := logger(level, format)
+			// Separate channels: repeated SIGHUPs coalesce into one pending reload, and must not fill the channel that
+			// delivers SIGTERM.
+			reloadSignals, terminationSignals := make(chan os.Signal, 1), make(chan os.Signal, 3)
+			signal.Notify(reloadSignals, syscall.SIGHUP)
+			signal.Notify(terminationSignals, syscall.SIGINT, syscall.SIGTERM)
+			defer signal.Stop(reloadSignals)
+			defer signal.Stop(terminationSignals)
+			log, err := newLogger(level, format)
 			if err != nil {
 				return err
 			}
@@ -39,29 +40,30 @@
 			if path == "" {
 				return failed("GW_CONFIG names no configuration file")
 			}
-			read := func() (*start.Start, error) { return start.Read(path) }
-			s, err := read()
+			load := func() (*start.Start, error) { return start.Read(path) }
+			config, err := load()
 			if err != nil {
 				return failed("%s: %w", path, err)
 			}
 			runtime.GOMAXPROCS(1)
-			if s.MemoryMB > 0 {
-				// Three fifths for the heap: the rest is for stacks, the program itself and what the kernel counts.
-				debug.SetMemoryLimit(int64(s.MemoryMB) << 20 * 3 / 5)
+			if config.MemoryMB > 0 {
+				// Three fifths for the heap; the rest is for stacks, the program image and memory that the kernel accounts to
+				// the process.
+				debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 3 / 5)
 			}
-			o := node.Options{Config: s, ReloadConfig: read, Log: log, ReloadSignals: hangups, TerminationSignals: ends}
-			if err := trials(&o); err != nil {
+			options := node.Options{Config: config, ReloadConfig: load, Log: log, ReloadSignals: reloadSignals, TerminationSignals: terminationSignals}
+			if err := applyTrialFlags(&options); err != nil {
 				return err
 			}
-			code, err := node.Run(o)
+			code, err := node.Run(options)
 			if err != nil {
 				return failure{int(code), fmt.Errorf("node: %w", err)}
 			}
 			return nil
 		}}
-	logFlags(c, &level, &format)
+	addLogFlags(c, &level, &format)
 	if trialFlags != nil {
-		trials = trialFlags(c)
+		applyTrialFlags = trialFlags(c)
 	}
 	return c
 }
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -24,15 +24,15 @@
 )
 
 func frontCommand() *cobra.Command {
-	var config, level, format string
+	var configPath, level, format string
 	var drain time.Duration
 	var instance int
 	var supervised, upgrade bool
-	c := &cobra.Command{Use: "front --config FILE", Short: "Run a front until it is told to stop; it drains first, and reads its settings again on SIGHUP",
+	c := &cobra.Command{Use: "front --config FILE", Short: "Run a front until it is stopped; it drains before it exits, and reloads its settings on SIGHUP",
 		Example: "  rainhaven front --config examples/front.star\n  rainhaven front --config examples/front.star --log debug --log-format console",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			log, set, err := leveled(level, format)
+			log, setLevel, err := newLeveledLogger(level, format)
 			if err != nil {
 				return err
 			}
@@ -40,25 +40,25 @@
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM)
 			defer signal.Stop(signals)
-			var owner io.Reader
+			var parent io.Reader
 			if supervised {
-				owner = os.Stdin
+				parent = os.Stdin
 			}
-			code, err := daemon.Run(daemon.Options{LoadTerms: func() (settings.Config, error) { return settings.ReadInstanceConfig(config, instance) }, DrainTimeout: drain,
-				Log: log, SetLogLevel: set, Signals: signals, Parent: owner, Upgrade: upgrade})
-			var wrong settings.Diagnostics
-			if err == nil || errors.As(err, &wrong) {
+			code, err := daemon.Run(daemon.Options{LoadTerms: func() (settings.Config, error) { return settings.ReadInstanceConfig(configPath, instance) }, DrainTimeout: drain,
+				Log: log, SetLogLevel: setLevel, Signals: signals, Parent: parent, Upgrade: upgrade})
+			var diagnostics settings.Diagnostics
+			if err == nil || errors.As(err, &diagnostics) {
 				return err
 			}
 			return failure{int(code), err}
 		}}
-	c.Flags().StringVarP(&config, "config", "c", "", "settings, a Starlark script")
-	c.Flags().DurationVar(&drain, "drain", 30*time.Second, "how long sessions may play on once the front is told to stop")
-	c.Flags().IntVar(&instance, "instance", 0, "which of many fronts of one script: what the name instance stands for in it")
-	c.Flags().BoolVar(&upgrade, "upgrade", false, "take the sockets of the front of this name that runs; it drains then")
-	c.Flags().BoolVar(&supervised, "supervised", false, "drain and end once standard input ends")
+	c.Flags().StringVarP(&configPath, "config", "c", "", "the front's settings, a Starlark script")
+	c.Flags().DurationVar(&drain, "drain", 30*time.Second, "how long sessions may continue once the front is told to stop")
+	c.Flags().IntVar(&instance, "instance", 0, "index of the front in a script for many fronts: the value of instance in the script")
+	c.Flags().BoolVar(&upgrade, "upgrade", false, "take over the sockets of the running front of the same name, which then drains")
+	c.Flags().BoolVar(&supervised, "supervised", false, "drain and exit when standard input reaches its end, which shows that the parent process has exited")
 	c.MarkFlagRequired("config")
-	logFlags(c, &level, &format)
+	addLogFlags(c, &level, &format)
 	return c
 }
 
@@ -68,11 +68,11 @@
 	var link, thin float64
 	var cold bool
 	var rates []float64
-	c := &cobra.Command{Use: "box", Short: "Run a stand-in media server with made-up media",
+	c := &cobra.Command{Use: "box", Short: "Run a stand-in box (streaming server) that sends synthetic media",
 		Example: "  rainhaven box --listen 127.0.0.1:9001 --id 1 --link 20000", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(rates) == 0 || places < 1 || fps < 1 || link <= 0 {
-				return fmt.Errorf("--rates, --places, --fps and --link must be above 0")
+				return fmt.Errorf("--rates must not be empty, and --places, --fps and --link must be greater than 0")
 			}
 			start := time.Now()
 			base := float64(start.UnixNano()) / 1e9
@@ -88,20 +88,20 @@
 			<-c.Context().Done()
 			return nil
 		}}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "host:port")
-	c.Flags().IntVar(&id, "id", 1, "its number")
-	c.Flags().IntVar(&places, "places", 20, "streams at most")
-	c.Flags().IntVar(&fps, "fps", 25, "frames a second")
-	c.Flags().Float64Var(&link, "link", 10000, "kB a second of its link")
-	c.Flags().Float64Var(&thin, "thin", 1, "bytes sent over those of the rate")
-	c.Flags().Float64SliceVar(&rates, "rates", []float64{250, 600, 1200, 2500}, "kB a second of each rung")
-	c.Flags().BoolVar(&cold, "cold", false, "it has just started")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "host:port to listen on")
+	c.Flags().IntVar(&id, "id", 1, "number of the box")
+	c.Flags().IntVar(&places, "places", 20, "maximum number of streams")
+	c.Flags().IntVar(&fps, "fps", 25, "frames per second")
+	c.Flags().Float64Var(&link, "link", 10000, "capacity of the link in kB/s")
+	c.Flags().Float64Var(&thin, "thin", 1, "bytes sent per byte of the nominal rate")
+	c.Flags().Float64SliceVar(&rates, "rates", []float64{250, 600, 1200, 2500}, "rate of each rung in kB/s")
+	c.Flags().BoolVar(&cold, "cold", false, "start cold, with the limits of a box that has just started")
 	return c
 }
 
-// tryTerms are a front before six boxes, with nothing to configure.
-func tryTerms(boxes []settings.Box, rates []float64) settings.Config {
-	s := settings.Read("try", []byte(`
+// tryConfig returns the built-in settings of the command try for a front of these boxes.
+func tryConfig(boxes []settings.Box, rates []float64) settings.Config {
+	script := settings.Read("try", []byte(`
 front(name = "try", listen = "127.0.0.1:0")
 kind(name = "small", places = 20)
 ladder(rates = [60, 125, 250, 500])
@@ -112,50 +112,51 @@
 title(name = "vents", span = 4)
 box(id = 1, address = "127.0.0.1:1", cell = 0)
 `), settings.FrontForms)
-	t := settings.FrontConfig(s)
-	if len(s.Diagnostics) > 0 {
-		panic(s.Diagnostics) // a fault of this file's
+	config := settings.FrontConfig(script)
+	if len(script.Diagnostics) > 0 {
+		panic(script.Diagnostics) // the script above is wrong
 	}
-	t.Boxes = boxes
-	return t
+	config.Boxes = boxes
+	return config
 }
 
 func tryCommand() *cobra.Command {
 	var listen, level, format string
-	var length time.Duration
+	var duration time.Duration
 	var viewers int
-	c := &cobra.Command{Use: "try", Short: "Run a front, six boxes and a few viewers here and now; prints a URL that any RTSP client can play",
+	c := &cobra.Command{Use: "try", Short: "Run a demo in one process: a front, six boxes and a few viewers; prints a URL that any RTSP client can play",
 		Example: "  rainhaven try\n  rainhaven try --for 10s --viewers 12", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			log, err := logger(level, format)
+			log, err := newLogger(level, format)
 			if err != nil {
 				return err
 			}
 			defer log.Sync()
 			ctx := c.Context()
-			if length > 0 {
+			if duration > 0 {
 				var cancel context.CancelFunc
-				ctx, cancel = context.WithTimeout(ctx, length)
+				ctx, cancel = context.WithTimeout(ctx, duration)
 				defer cancel()
 			}
 			return try(ctx, c, log, listen, viewers)
 		}}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8554", "host:port for viewers")
-	c.Flags().DurationVar(&length, "for", 0, "end by itself after so long; 0 is when told")
-	c.Flags().IntVar(&viewers, "viewers", 6, "viewers of its own at a time")
-	logFlags(c, &level, &format)
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8554", "host:port to listen on for viewers")
+	c.Flags().DurationVar(&duration, "for", 0, "stop after this time; 0 runs until interrupted")
+	c.Flags().IntVar(&viewers, "viewers", 6, "number of simulated viewers")
+	addLogFlags(c, &level, &format)
 	c.Flags().Lookup("log").DefValue = "warn"
 	level = "warn"
 	return c
 }
 
+// try runs a front, six boxes and simulated viewers until ctx is done, and prints a status line each second.
 func try(ctx context.Context, c *cobra.Command, log *zap.Logger, listen string, viewers int) error {
 	start := time.Now()
 	base := float64(start.UnixNano()) / 1e9
 	site := &box.Site{Ladder: []float64{60, 125, 250, 500}, Places: 20, Length: func(string) float64 { return 0 }, ReportEvery: 0.4, NoteEvery: 3,
 		SetupTime: 0.02, Vary: 0.1, FPS: 25, Thin: 1, Now: func() float64 { return base + time.Since(start).Seconds() }}
 	var boxes []*box.Box
-	var list []settings.Box
+	var configured []settings.Box
 	racks := []*box.Rack{box.NewRack(7000), box.NewRack(7000), box.NewRack(7000)}
 	for i := range 6 {
 		b, err := box.Start(site, i+1, "", 3000, racks[i%3], false)
@@ -164,26 +165,26 @@
 		}
 		defer b.Close()
 		boxes = append(boxes, b)
-		list = append(list, settings.Box{Address: b.Address, Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
+		configured = append(configured, settings.Box{Address: b.Address, Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
 	}
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return failed("the address for viewers: %w; another one goes with --listen 127.0.0.1:0", err)
+		return failed("listen for viewers: %w; choose another address with --listen, such as 127.0.0.1:0", err)
 	}
-	f, err := front.New(tryTerms(list, site.Ladder), front.Options{Log: log})
+	f, err := front.New(tryConfig(configured, site.Ladder), front.Options{Log: log})
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return failure{exitFailed, err}
 	}
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer f.Close()
-	work.Go(func() { f.Serve(l) })
-	address := l.Addr().String()
+	wg.Go(func() { f.Serve(listener) })
+	address := listener.Addr().String()
 	out := c.OutOrStdout()
-	fmt.Fprintf(out, "rtsp://%s/fault-clips/demo plays with any RTSP client over TCP, or: rainhaven play rtsp://%s/fault-clips/demo\n", address, address)
+	fmt.Fprintf(out, "Play rtsp://%s/fault-clips/demo in any RTSP client over TCP, or run: rainhaven play rtsp://%s/fault-clips/demo\n", address, address)
 	for i := range viewers {
-		work.Go(func() {
+		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				group := [2]string{"fault-clips", "grower-guides"}[(i+n)%2]
 				player.Watch(ctx, player.Want{Address: address, Group: group, Title: [2]string{"demo", "vents"}[n%2], Watch: float64(3 + (i*7+n*5)%9), Tracks: 1 + i%2})
@@ -194,14 +195,14 @@
 			}
 		})
 	}
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			fmt.Fprintln(out)
 			return nil
-		case <-t.C:
+		case <-ticker.C:
 		}
 		line := fmt.Sprintf("%3.0f s  sessions %d  at boxes", time.Since(start).Seconds(), f.Sessions())
 		frames := int64(0)
--- a/cmd/rainhaven/soak.go
+++ b/cmd/rainhaven/soak.go
@@ -18,17 +18,17 @@
 	o := soak.Usual()
 	var sabotage, folder string
 	var quiet, dense bool
-	var names []string
+	var sabotageNames []string
 	for _, s := range node.Sabotages {
-		names = append(names, string(s))
+		sabotageNames = append(sabotageNames, string(s))
 	}
-	c := &cobra.Command{Use: "soak", Short: "Run many front nodes under overlapping faults and judge the rules from the traffic",
+	c := &cobra.Command{Use: "soak", Short: "Run many front nodes under overlapping faults and check the rules from the traffic",
 		Example: "  rainhaven soak --nodes 30 --seed 7 --for 60s\n  rainhaven soak --sabotage drain --for 30s", Args: cobra.NoArgs,
-		Long: `Runs real processes of "rainhaven node" on loopback among stand-in clients, servers and a coordinator, with faults drawn
-by the seed: processes killed and restarted, configurations read again, servers that die, drain, hang, err, lose and spoil
-answers, connections reset, discovery down, wall clocks that are off, system calls that fail. The exit status is 1 if an
-invariant was violated; each violation is reported with its request's trace. With --sabotage the nodes break a rule, and
-the status is 1 as it must be.`,
+		Long: `Runs processes of "rainhaven node" on loopback with stand-in clients, servers and a coordinator, under random faults that
+the seed determines: processes killed and restarted, configurations reloaded, servers that crash, drain, hang, return
+errors, and lose or corrupt answers, connections reset, discovery down, wall clocks with an offset, system calls that fail.
+The exit status is 1 if an invariant was violated; each violation is reported with the trace of its request. With
+--sabotage the nodes break a rule on purpose, and the exit status must be 1.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
 			if dense {
@@ -64,22 +64,22 @@
 			}
 			return nil
 		}}
-	c.Flags().BoolVar(&dense, "dense", false, "a handful of processes under many faults at once, in stories of faults that follow each other")
-	c.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "front nodes")
-	c.Flags().IntVar(&o.Servers, "servers", o.Servers, "streaming servers")
-	c.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "faults and traffic follow from it")
+	c.Flags().BoolVar(&dense, "dense", false, "few processes under many simultaneous faults, in sequences of related faults")
+	c.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "number of front nodes")
+	c.Flags().IntVar(&o.Servers, "servers", o.Servers, "number of streaming servers")
+	c.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "seed of the faults and the traffic")
 	c.Flags().DurationVar(&o.Long, "for", o.Long, "how long")
-	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "requests a second at each node, in the mean")
+	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "mean requests per second at each node")
 	c.Flags().BoolVar(&o.Clocks, "clocks", o.Clocks, "start processes by wall clocks that are off by seconds or an hour")
-	c.Flags().BoolVar(&o.NetworkFaults, "network-faults", o.NetworkFaults, "have system calls of the nodes' network fail")
-	c.Flags().StringVar(&sabotage, "sabotage", "", "have the nodes break a rule: "+strings.Join(names, ", "))
-	c.Flags().StringVar(&folder, "keep", "", "a folder in which the nodes' configurations and logs are kept")
+	c.Flags().BoolVar(&o.NetworkFaults, "network-faults", o.NetworkFaults, "inject failures of the nodes' network system calls")
+	c.Flags().StringVar(&sabotage, "sabotage", "", "rule that the nodes break on purpose: "+strings.Join(sabotageNames, ", "))
+	c.Flags().StringVar(&folder, "keep", "", "folder in which to keep the nodes' configurations and logs")
 	c.Flags().StringVar(&o.Log, "log", o.Log, "least level that the nodes log: debug, info, warn, error")
-	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "the report only")
+	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "print the report only")
 	return c
 }
 
-// denseOptions are those of a dense soak, with what was asked for by flags.
+// denseOptions returns the options of a dense soak, overridden by the flags that were set.
 func denseOptions(c *cobra.Command, asked soak.Options) soak.Options {
 	o := soak.Dense()
 	o.Seed, o.Log, o.Clocks, o.NetworkFaults = asked.Seed, asked.Log, asked.Clocks, asked.NetworkFaults
--- a/cmd/rainhaven/trials.go
+++ b/cmd/rainhaven/trials.go
@@ -16,20 +16,20 @@
 	trialCommands = []func() *cobra.Command{soakCommand}
 }
 
-// addTrialFlags adds the flags with which the soak starts its nodes.
+// addTrialFlags adds the flags with which the soak starts its nodes, and returns a function that applies them.
 func addTrialFlags(c *cobra.Command) func(*node.Options) error {
-	var sabotage string
+	var sabotageName string
 	var clockOffset time.Duration
 	var networkFaults uint64
-	c.Flags().StringVar(&sabotage, "sabotage", "", "break a rule, for trials of the soak")
-	c.Flags().DurationVar(&clockOffset, "clock-offset", 0, "start by a wall clock that is off by so much, for the soak")
-	c.Flags().Uint64Var(&networkFaults, "network-faults", 0, "have system calls of the network fail by this seed, for the soak")
+	c.Flags().StringVar(&sabotageName, "sabotage", "", "rule to break on purpose, to check that the soak detects it")
+	c.Flags().DurationVar(&clockOffset, "clock-offset", 0, "offset of the wall clock at the start, for the soak")
+	c.Flags().Uint64Var(&networkFaults, "network-faults", 0, "seed of injected failures of network system calls, for the soak; 0 injects none")
 	return func(o *node.Options) error {
-		spoil, err := node.ParseSabotage(sabotage)
+		sabotage, err := node.ParseSabotage(sabotageName)
 		if err != nil {
 			return err
 		}
-		o.Trials = node.Trials{WallOffset: clockOffset, Sabotage: spoil}
+		o.Trials = node.Trials{WallOffset: clockOffset, Sabotage: sabotage}
 		if networkFaults != 0 {
 			o.Network = faults.New(networkFaults, faults.Usual)
 		}
--- a/cmd/rainhaven/trials_test.go
+++ b/cmd/rainhaven/trials_test.go
@@ -4,18 +4,19 @@
 
 import "testing"
 
-// The program that operators run has no flag and no command that breaks a rule or has its network fail.
-func TestNoTrialsWithoutTheirTag(t *testing.T) {
-	for _, c := range command().Commands() {
+// Builds without the tag trials, which operators run, must not have a flag or a command that breaks a rule or injects
+// network failures.
+func TestNoFaultInjectionWithoutTrialsTag(t *testing.T) {
+	for _, c := range rootCommand().Commands() {
 		if c.Name() == "soak" {
-			t.Error("there is a command soak")
+			t.Error("the command soak exists in a build without the tag trials")
 		}
 		if c.Name() != "node" {
 			continue
 		}
 		for _, flag := range []string{"sabotage", "clock-offset", "network-faults"} {
 			if c.Flags().Lookup(flag) != nil {
-				t.Errorf("node has the flag --%s", flag)
+				t.Errorf("node has the flag --%s in a build without the tag trials", flag)
 			}
 		}
 	}
