--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -21,12 +21,12 @@
 	connsPerNode = 3
 	// clientIdleTimeout is how long a client keeps a connection that has no sessions.
 	clientIdleTimeout = 4 * time.Second
-	// A request sent at most crossingWindow before the node closed its connection is sent again on a new one: the two crossed.
+	// A request sent at most crossingWindow before the node closed its connection is sent again on a new one: it crossed the close.
 	crossingWindow = 50 * time.Millisecond
 	// nodeIdleTimeout is how long a node keeps a connection that has no sessions. An idle client sends from idleSendLead before
 	// that, within idleSendWindow.
 	nodeIdleTimeout, idleSendLead, idleSendWindow = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
-	// resetWait is how long a reset may arrive after the end of a connection.
+	// resetWait is how long after the end of a connection its reset may still arrive.
 	resetWait = 30 * time.Millisecond
 	// Shares of requests whose client cancels early, closes its connection early, or sends the request in two writes.
 	cancelShare, closeShare, splitShare = 0.06, 0.03, 0.15
--- a/internal/lab/soak/judge.go
+++ b/internal/lab/soak/judge.go
@@ -122,6 +122,7 @@
 	releasesReadAt   []time.Duration // when its client read releases
 }
 
+// never stands for a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
 // checker groups the records by request and node and collects violations.
@@ -135,6 +136,7 @@
 	report      *Report
 }
 
+// check builds the report of a soak from its records, which are in order of time.
 func check(records []record, o Options) *Report {
 	c := &checker{o: o, requests: map[string]*history{}, kills: map[int][]time.Duration{}, exits: map[int][]time.Duration{}, suspensions: map[int][]record{}, report: &Report{records: records}}
 	for _, r := range records {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -35,6 +35,7 @@
 	return Options{Nodes: 30, Servers: 12, Seed: 1, Duration: time.Minute, Rate: 8, SkewClocks: true, NetworkFaults: true, LogLevel: "info"}
 }
 
+// soak is a running soak.
 type soak struct {
 	o       Options
 	log     *log
