--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -142,7 +142,7 @@
 			}
 			o := day.Options{Log: log, Sabotage: s}
 			if !quiet && !asJSON {
-				o.Tell = func(at float64, what string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, what) }
+				o.OnEvent = func(at float64, what string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, what) }
 			}
 			r, err := day.Run(c.Context(), d, o)
 			if err != nil {
@@ -153,7 +153,7 @@
 			} else {
 				r.Write(c.OutOrStdout())
 			}
-			if n := r.Verdict.Broken(); n > 0 {
+			if n := r.Verdict.Violations(); n > 0 {
 				return failed("rules were broken %d times", n)
 			}
 			return nil
@@ -231,17 +231,17 @@
 				if err != nil {
 					return failure{exitFailed, err}
 				}
-				r, err := day.Run(c.Context(), d, day.Options{Remember: remember})
+				r, err := day.Run(c.Context(), d, day.Options{RestoreState: remember})
 				if err != nil {
 					return failure{exitFailed, err}
 				}
 				v := r.Verdict
 				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v; further SETUPs %d, busy-replied %d, torn down %d, given up %d, left at boxes %d\n", seed, v,
-					v.Further, v.Busy, v.TornDown, v.GivenUp, r.Left)
+					v.Retries, v.Busy, v.Failed, v.Abandoned, r.SessionsLeft)
 				for _, n := range v.Notes {
 					fmt.Fprintln(c.OutOrStdout(), "  broken:", n)
 				}
-				broken += v.Broken() + r.Left
+				broken += v.Violations() + r.SessionsLeft
 			}
 			if broken > 0 {
 				return failed("rules were broken %d times", broken)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -97,8 +97,8 @@
 	s := &site{t: t, n: fronts, dir: t.TempDir(), listen: ports(t, 2*fronts), over: make(chan error, 1),
 		now: func() float64 { return base + time.Since(began).Seconds() }}
 	// The ration's window goes on over restarts here: no start of a front is told.
-	s.wit = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3}, "exam": {SetupTimeout: 3, Paid: true}},
-		Grace: 0.5, AnswerBy: 0.1, Places: 40, WarmUp: 8, ColdShare: 0.4, FallFactor: 4, FallTime: 1.5, Spare: 5, Share: 0.1, Window: 10})
+	s.wit = witness.New(witness.Rules{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3}, "exam": {SetupTimeout: 3, Paid: true}},
+		DrainGrace: 0.5, AnswerTolerance: 0.1, MaxStreams: 40, WarmUp: 8, ColdShare: 0.4, OverloadFactor: 4, OverloadTime: 1.5, BaseRetries: 5, RetriesPerSession: 0.1, RetryWindow: 10})
 	lab := &box.Site{Ladder: []float64{100, 200}, Places: 40, Length: func(string) float64 { return 0 }, WarmUp: 8, ColdShare: 0.4, FallFactor: 4,
 		FallTime: 1.5, ReportEvery: 0.2, NoteEvery: 1, SetupTime: 0.01, FPS: 25, Thin: 0.05, Keep: 1, Now: s.now, Witness: s.wit}
 	rack := box.NewRack(8000 * float64(boxes))
@@ -318,9 +318,9 @@
 			ok++
 		}
 	}
-	v := s.wit.Judge(s.now())
+	v := s.wit.Evaluate(s.now())
 	t.Logf("%v; %d served, %d moments without a front", v, ok, refused)
-	if v.Broken() > 0 || ok < v.Taken/2 {
+	if v.Violations() > 0 || ok < v.Taken/2 {
 		t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
 	if s := s.logs.String(); strings.Contains(s, "panic") || strings.Contains(s, "in use") {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -45,8 +45,8 @@
 	epoch := time.Now()
 	base := float64(epoch.UnixNano()) / 1e9
 	b := &bench{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
-	b.wit = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
-		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
+	b.wit = witness.New(witness.Rules{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
+		"exam": {SetupTimeout: 2, Paid: true}}, DrainGrace: 0.5, AnswerTolerance: 0.04, BaseRetries: 20, RetriesPerSession: 0.1, RetryWindow: 10})
 	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
 		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.wit}
 	b.terms = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
@@ -123,8 +123,8 @@
 		}
 		return n == 0
 	})
-	v := b.wit.Judge(b.now())
-	if v.Broken() > 0 {
+	v := b.wit.Evaluate(b.now())
+	if v.Violations() > 0 {
 		b.t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
 	return v
@@ -351,7 +351,7 @@
 			on = i
 		}
 	}
-	b.wit.Told("front-0", on+1, false, b.now())
+	b.wit.FrontNotified("front-0", on+1, false, b.now())
 	b.UpdateBoxes(true, b.terms.Boxes[1-on:2-on])
 	for range 10 {
 		if seen, err := player.Watch(context.Background(), b.want("clips")); err != nil {
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -99,7 +99,7 @@
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
-	b.wit.Told("front-0", 2, false, b.now())
+	b.wit.FrontNotified("front-0", 2, false, b.now())
 	for range 6 {
 		w := b.want("clips")
 		w.Title, w.Watch = "fans", 0.1
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -299,7 +299,7 @@
 		if err != nil {
 			// The front closed its sending side, or all: SETUPs out on it are withdrawn.
 			if w := c.b.site.Witness; w != nil {
-				w.Withdrawn(c.b.ID, c.num, c.b.site.Now())
+				w.SetupsCancelled(c.b.ID, c.num, c.b.site.Now())
 			}
 			if !errors.Is(err, io.EOF) { // broken, not closed on one side: nothing more can be said there
 				c.out.Close()
@@ -352,13 +352,13 @@
 		if err != nil {
 			rung = len(b.site.Ladder) - 1
 		}
-		w.Setup(b.ID, c.num, m.CSeq(), b.site.Now(), strings.TrimPrefix(p.Query, "viewer="), peer, p.Group, p.Title, rung)
+		w.SetupReceived(b.ID, c.num, m.CSeq(), b.site.Now(), strings.TrimPrefix(p.Query, "viewer="), peer, p.Group, p.Title, rung)
 	case m.Method == rtsp.SetParameter:
 		if r, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"]); err == nil {
-			w.Rung(b.ID, m.Session(), r, b.site.Now())
+			w.RungRequested(b.ID, m.Session(), r, b.site.Now())
 		}
 	case m.Method == rtsp.TearDown:
-		w.Over(b.ID, m.Session(), b.site.Now())
+		w.SessionEnded(b.ID, m.Session(), b.site.Now())
 	}
 }
 
@@ -543,7 +543,7 @@
 	}
 	b.cold = slices.DeleteFunc(b.cold, func(at float64) bool { return now-at >= s.FallTime })
 	b.cold = append(b.cold, now)
-	if float64(len(b.cold)) <= witness.Limit(float64(s.Places), s.WarmUp, s.ColdShare, s.FallFactor, s.FallTime, now-b.born) {
+	if float64(len(b.cold)) <= witness.ColdSetupLimit(float64(s.Places), s.WarmUp, s.ColdShare, s.FallFactor, s.FallTime, now-b.born) {
 		return false
 	}
 	b.fallen = true
@@ -563,7 +563,7 @@
 		}
 		// It may go on over another connection for a while; to the front whose connection this was it is over.
 		if s.lost = b.site.Now(); b.site.Witness != nil {
-			b.site.Witness.Over(b.ID, id, s.lost)
+			b.site.Witness.SessionEnded(b.ID, id, s.lost)
 		}
 		if b.site.Keep <= 0 {
 			delete(b.streams, id)
@@ -575,6 +575,6 @@
 func (b *Box) drop(id string) {
 	delete(b.streams, id)
 	if w := b.site.Witness; w != nil {
-		w.Over(b.ID, id, b.site.Now())
+		w.SessionEnded(b.ID, id, b.site.Now())
 	}
 }
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(context.Background(), d, Options{Sabotage: s, Remember: s == None})
+	r, err := Run(context.Background(), d, Options{Sabotage: s, RestoreState: s == NoSabotage})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 
 func TestBadDayKeepsTheRules(t *testing.T) {
 	t.Parallel()
-	r := play(t, None)
-	if v := r.Verdict; v.Broken() > 0 || v.Taken < 150 || v.Answered != v.Taken || v.Further == 0 {
+	r := play(t, NoSabotage)
+	if v := r.Verdict; v.Violations() > 0 || v.Taken < 150 || v.Answered != v.Taken || v.Retries == 0 {
 		t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
 	for _, g := range r.Groups {
@@ -68,8 +68,8 @@
 			t.Errorf("%s: %d of %d served", g.Name, g.Served, g.Viewers)
 		}
 	}
-	if r.Jumps > 0 || r.Lost > 0 {
-		t.Errorf("%d leaps in time, %d packets lost", r.Jumps, r.Lost)
+	if r.TimestampJumps > 0 || r.PacketsLost > 0 {
+		t.Errorf("%d leaps in time, %d packets lost", r.TimestampJumps, r.PacketsLost)
 	}
 	var out bytes.Buffer
 	r.Write(&out)
@@ -82,7 +82,7 @@
 	for _, s := range Sabotages {
 		t.Run(string(s), func(t *testing.T) {
 			t.Parallel()
-			if r := play(t, s); !s.Noticed(r) {
+			if r := play(t, s); !s.Detected(r) {
 				t.Errorf("%v", r.Verdict)
 			}
 		})
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := r.Verdict; v.Broken() > 0 || r.Left > 0 || v.Answered != v.Taken || v.Taken < 300 || v.Further == 0 {
-		t.Errorf("%v, left at boxes %d\n%s", v, r.Left, strings.Join(v.Notes, "\n"))
+	if v := r.Verdict; v.Violations() > 0 || r.SessionsLeft > 0 || v.Answered != v.Taken || v.Taken < 300 || v.Retries == 0 {
+		t.Errorf("%v, left at boxes %d\n%s", v, r.SessionsLeft, strings.Join(v.Notes, "\n"))
 	}
 }
--- a/internal/lab/day/report.go
+++ b/internal/lab/day/report.go
@@ -11,44 +11,44 @@
 
 // Report is what a day came to.
 type Report struct {
-	Seed     uint64          `json:"seed"`
-	Length   float64         `json:"length_s"`
-	Viewers  int             `json:"viewers"`
-	Groups   []GroupReport   `json:"groups"`
-	Boxes    []BoxReport     `json:"boxes"`
-	Worst    float64         `json:"worst_frame_gap_s"`
-	Lost     int             `json:"packets_lost"`
-	Jumps    int             `json:"timestamp_jumps"`
-	Rungs    int             `json:"rung_changes"`
-	Verdict  witness.Verdict `json:"verdict"`
-	Sabotage Sabotage        `json:"sabotage,omitempty"`
-	Left     int             `json:"sessions_left_at_boxes"` // once all was over and a while had passed
+	Seed           uint64          `json:"seed"`
+	LengthSeconds  float64         `json:"length_s"`
+	Viewers        int             `json:"viewers"`
+	Groups         []GroupReport   `json:"groups"`
+	Boxes          []BoxReport     `json:"boxes"`
+	WorstFrameGap  float64         `json:"worst_frame_gap_s"`
+	PacketsLost    int             `json:"packets_lost"`
+	TimestampJumps int             `json:"timestamp_jumps"`
+	RungChanges    int             `json:"rung_changes"`
+	Verdict        witness.Verdict `json:"verdict"`
+	Sabotage       Sabotage        `json:"sabotage,omitempty"`
+	SessionsLeft   int             `json:"sessions_left_at_boxes"` // once all was over and a while had passed
 }
 
 // GroupReport is what a service group's viewers got.
 type GroupReport struct {
-	Name    string  `json:"name"`
-	Viewers int     `json:"viewers"`
-	Served  int     `json:"served"`       // by any of their tries
-	First   int     `json:"served_first"` // by the first
-	Start50 float64 `json:"start_p50_s"`  // from SETUP to the first frame
-	Start99 float64 `json:"start_p99_s"`
-	Share   float64 `json:"delivered_share"` // mean of those that played
-	Rung    float64 `json:"mean_rung"`
+	Name           string  `json:"name"`
+	Viewers        int     `json:"viewers"`
+	Served         int     `json:"served"`       // by any of their tries
+	ServedFirst    int     `json:"served_first"` // by the first
+	StartP50       float64 `json:"start_p50_s"`  // from SETUP to the first frame
+	StartP99       float64 `json:"start_p99_s"`
+	DeliveredShare float64 `json:"delivered_share"` // mean of those that played
+	MeanRung       float64 `json:"mean_rung"`
 }
 
 // BoxReport is what a box saw.
 type BoxReport struct {
-	ID     int   `json:"id"`
-	Setups int64 `json:"setups"`
-	Full   int64 `json:"full"`
-	Frames int64 `json:"frames"`
-	Fallen bool  `json:"fallen_over"`
+	ID          int   `json:"id"`
+	Setups      int64 `json:"setups"`
+	FullReplies int64 `json:"full"`
+	Frames      int64 `json:"frames"`
+	Overloaded  bool  `json:"fallen_over"`
 }
 
 func (r *run) report() *Report {
-	rep := &Report{Seed: r.d.Seed, Length: r.d.Length, Viewers: len(r.seen), Sabotage: r.spoil, Verdict: r.wit.Judge(r.now())}
-	for i, g := range r.d.Terms.Groups {
+	rep := &Report{Seed: r.d.Seed, LengthSeconds: r.d.Length, Viewers: len(r.seen), Sabotage: r.spoil, Verdict: r.wit.Evaluate(r.now())}
+	for i, g := range r.d.Config.Groups {
 		gr := GroupReport{Name: g.Name}
 		start := hdrhistogram.New(1, 60_000_000, 3)
 		played := 0
@@ -61,35 +61,35 @@
 				gr.Served++
 			}
 			if o.first {
-				gr.First++
+				gr.ServedFirst++
 			}
 			if s := o.seen; s.FirstFrame > 0 {
 				start.RecordValue(int64(s.FirstFrame * 1e6))
 				if s.Played > 0.5 {
 					played++
-					gr.Share += s.Share()
-					gr.Rung += float64(s.Rung)
+					gr.DeliveredShare += s.Share()
+					gr.MeanRung += float64(s.Rung)
 				}
 			}
 		}
-		gr.Start50, gr.Start99 = float64(start.ValueAtQuantile(50))/1e6, float64(start.ValueAtQuantile(99))/1e6
+		gr.StartP50, gr.StartP99 = float64(start.ValueAtQuantile(50))/1e6, float64(start.ValueAtQuantile(99))/1e6
 		if played > 0 {
-			gr.Share /= float64(played)
-			gr.Rung /= float64(played)
+			gr.DeliveredShare /= float64(played)
+			gr.MeanRung /= float64(played)
 		}
 		rep.Groups = append(rep.Groups, gr)
 	}
 	for _, o := range r.seen {
-		rep.Worst = max(rep.Worst, o.seen.WorstGap)
-		rep.Lost += o.seen.Lost
-		rep.Jumps += o.seen.Jumps
-		rep.Rungs += o.seen.Rungs
+		rep.WorstFrameGap = max(rep.WorstFrameGap, o.seen.WorstGap)
+		rep.PacketsLost += o.seen.Lost
+		rep.TimestampJumps += o.seen.Jumps
+		rep.RungChanges += o.seen.Rungs
 	}
 	for _, s := range r.d.boxes {
 		if b := r.boxes[s.id]; b != nil {
 			c := b.Count()
-			rep.Left += c.Sessions
-			rep.Boxes = append(rep.Boxes, BoxReport{ID: s.id, Setups: c.Setups, Full: c.Full, Frames: c.Frames, Fallen: c.Fallen})
+			rep.SessionsLeft += c.Sessions
+			rep.Boxes = append(rep.Boxes, BoxReport{ID: s.id, Setups: c.Setups, FullReplies: c.Full, Frames: c.Frames, Overloaded: c.Fallen})
 		}
 	}
 	return rep
@@ -97,25 +97,25 @@
 
 // Write prints the report; its last line is the witness's.
 func (r *Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d viewers in %.0f s, seed %d\n", r.Viewers, r.Length, r.Seed)
+	fmt.Fprintf(w, "%d viewers in %.0f s, seed %d\n", r.Viewers, r.LengthSeconds, r.Seed)
 	fmt.Fprintf(w, "%-16s %8s %8s %8s %10s %10s %8s %6s\n", "service group", "viewers", "served", "at once", "start p50", "start p99", "share", "rung")
 	for _, g := range r.Groups {
-		fmt.Fprintf(w, "%-16s %8d %8d %8d %9.3fs %9.3fs %8.3f %6.2f\n", g.Name, g.Viewers, g.Served, g.First, g.Start50, g.Start99, g.Share, g.Rung)
+		fmt.Fprintf(w, "%-16s %8d %8d %8d %9.3fs %9.3fs %8.3f %6.2f\n", g.Name, g.Viewers, g.Served, g.ServedFirst, g.StartP50, g.StartP99, g.DeliveredShare, g.MeanRung)
 	}
 	fmt.Fprintf(w, "boxes:")
 	for _, b := range r.Boxes {
 		fmt.Fprintf(w, " %d:%d", b.ID, b.Setups)
-		if b.Full > 0 {
-			fmt.Fprintf(w, "(%d full)", b.Full)
+		if b.FullReplies > 0 {
+			fmt.Fprintf(w, "(%d full)", b.FullReplies)
 		}
-		if b.Fallen {
+		if b.Overloaded {
 			fmt.Fprint(w, "(FALLEN OVER)")
 		}
 	}
 	v := r.Verdict
-	fmt.Fprintf(w, " SETUPs\nrung changes %d, packets lost %d, timestamp jumps %d, worst gap between frames %.2f s\n", r.Rungs, r.Lost, r.Jumps, r.Worst)
+	fmt.Fprintf(w, " SETUPs\nrung changes %d, packets lost %d, timestamp jumps %d, worst gap between frames %.2f s\n", r.RungChanges, r.PacketsLost, r.TimestampJumps, r.WorstFrameGap)
 	fmt.Fprintf(w, "busy-replied %d, torn down %d, given up by viewers %d, held by killed fronts %d, further SETUPs %d, sessions left at boxes %d\n",
-		v.Busy, v.TornDown, v.GivenUp, v.Killed, v.Further, r.Left)
+		v.Busy, v.Failed, v.Abandoned, v.HeldByKilled, v.Retries, r.SessionsLeft)
 	for _, n := range v.Notes {
 		fmt.Fprintln(w, "broken:", n)
 	}
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -72,10 +72,10 @@
 
 // Options are what a day is run with.
 type Options struct {
-	Log      *zap.Logger
-	Sabotage Sabotage
-	Tell     func(at float64, what string) // troubles as they happen; may be nil
-	Remember bool                          // fronts that are started again know what they had stored; their ration's window goes on
+	Log          *zap.Logger
+	Sabotage     Sabotage
+	OnEvent      func(at float64, what string) // troubles as they happen; may be nil
+	RestoreState bool                          // fronts that are started again know what they had stored; their ration's window goes on
 }
 
 // Run plays a day and reports. The error tells what kept it from being played; broken rules are in the report.
@@ -83,27 +83,27 @@
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
-	if o.Tell == nil {
-		o.Tell = func(float64, string) {}
+	if o.OnEvent == nil {
+		o.OnEvent = func(float64, string) {}
 	}
 	start := time.Now()
 	r := &run{d: d, ctx: ctx, log: o.Log, base: float64(start.UnixNano()) / 1e9, start: start, spoil: o.Sabotage, o: o,
 		kept: map[int]restore.Snapshot{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
-	f := &d.Terms.Choice
-	terms := witness.Terms{Groups: map[string]witness.Group{}, Grace: d.Terms.DrainGrace, AnswerBy: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
-		FallFactor: f.OverloadFactor, FallTime: f.OverloadTime, Spare: f.BaseRetries, Share: f.RetriesPerSession, Window: f.RetryWindow}
+	f := &d.Config.Choice
+	terms := witness.Rules{Groups: map[string]witness.Group{}, DrainGrace: d.Config.DrainGrace, AnswerTolerance: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
+		OverloadFactor: f.OverloadFactor, OverloadTime: f.OverloadTime, BaseRetries: f.BaseRetries, RetriesPerSession: f.RetriesPerSession, RetryWindow: f.RetryWindow}
 	if len(f.MaxStreams) > 0 {
-		terms.Places = slices.Min(f.MaxStreams)
+		terms.MaxStreams = slices.Min(f.MaxStreams)
 	}
 	scale := map[string]float64{}
 	for i, g := range f.Groups {
-		name := d.Terms.Groups[i].Name
-		terms.Groups[name] = witness.Group{SetupTimeout: d.Terms.Groups[i].SetupTimeout, Paid: g.Paid, Floor: g.Floor, Seats: g.Seats}
+		name := d.Config.Groups[i].Name
+		terms.Groups[name] = witness.Group{SetupTimeout: d.Config.Groups[i].SetupTimeout, Paid: g.Paid, Floor: g.Floor, Seats: g.Seats}
 		scale[name] = g.Scale
 	}
 	r.wit = witness.New(terms)
-	r.site = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Terms.Titles[t].Length },
-		Places: int(terms.Places), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
+	r.site = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Config.Titles[t].Length },
+		Places: int(terms.MaxStreams), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
 		ReportEvery: d.report, NoteEvery: f.NoteInterval, SetupTime: d.setup, Vary: d.vary, FullAt: f.FullThreshold, FPS: d.fps, Thin: d.thin, Keep: 4, Mischief: d.mischief,
 		Now: r.now, Witness: r.wit}
 	for range max(f.Racks, 1) {
@@ -128,7 +128,7 @@
 			return nil, err
 		}
 	}
-	return r.play(o.Tell)
+	return r.play(o.OnEvent)
 }
 
 // open starts a stand-in and puts it on the list.
@@ -144,7 +144,7 @@
 
 // termsOf are one front's terms as the list stands now.
 func (r *run) termsOf(i int) settings.Config {
-	terms := r.d.Terms
+	terms := r.d.Config
 	terms.Name, terms.Choice.FrontIndex = frontName(i), i
 	// Zones take turns, so that each has its fronts.
 	terms.Choice.Zone = i % max(len(terms.Zones), 1)
@@ -177,7 +177,7 @@
 		r.wit.FrontStarted(terms.Name, r.now())
 	}
 	for _, b := range terms.Boxes {
-		r.wit.Told(terms.Name, int(b.ID), b.State == choice.Ready, r.now())
+		r.wit.FrontNotified(terms.Name, int(b.ID), b.State == choice.Ready, r.now())
 	}
 	f, err := front.New(terms, o)
 	if err != nil {
@@ -248,7 +248,7 @@
 				r.mu.Lock()
 				addr := r.fronts[a.front].addr
 				r.mu.Unlock()
-				player.Rude(ctx, addr, r.d.Terms.Groups[a.group].Name, a.title, a.rude)
+				player.Rude(ctx, addr, r.d.Config.Groups[a.group].Name, a.title, a.rude)
 			})
 		}
 	}
@@ -284,7 +284,7 @@
 // quiet waits until no front and no box holds a session any more.
 func (r *run) quiet(ctx context.Context) {
 	wait := quietTime
-	if r.spoil != None {
+	if r.spoil != NoSabotage {
 		wait = time.Second // what a spoilt front leaves behind goes by no rule
 	}
 	end := time.Now().Add(wait)
@@ -315,8 +315,8 @@
 		r.mu.Lock()
 		p := r.fronts[front%len(r.fronts)]
 		r.mu.Unlock()
-		w := player.Want{Address: p.addr, Front: frontName(p.i), Group: r.d.Terms.Groups[a.group].Name, Title: a.title,
-			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.d.Terms.Groups[a.group].SetupTimeout, Watch: left, LeaveAfter: a.hasty,
+		w := player.Want{Address: p.addr, Front: frontName(p.i), Group: r.d.Config.Groups[a.group].Name, Title: a.title,
+			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.d.Config.Groups[a.group].SetupTimeout, Watch: left, LeaveAfter: a.hasty,
 			Bandwidth: a.bandwidth, Tracks: a.tracks, Now: r.now, Witness: r.wit}
 		seen, err := player.Watch(ctx, w)
 		o.seen, o.retries = seen, try
@@ -468,7 +468,7 @@
 		return []step{{h.at, what + fmt.Sprintf("an uplink %g times slower", n), func() { rack.Short(n) }},
 			{h.at + h.length, what + "its uplink back", func() { rack.Short(1) }}}
 	case "cut_zone":
-		zone := slices.Index(r.d.Terms.Zones, h.e.Text("zone"))
+		zone := slices.Index(r.d.Config.Zones, h.e.Text("zone"))
 		set := func(on bool) func() {
 			return func() {
 				r.mu.Lock()
@@ -517,7 +517,7 @@
 	r.mu.Lock()
 	p := r.fronts[i]
 	r.mu.Unlock()
-	if r.o.Remember {
+	if r.o.RestoreState {
 		if m, ok := p.f.Snapshot(); ok {
 			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
 		}
@@ -556,7 +556,7 @@
 			p.f.UpdateBoxes(false, []settings.Box{e})
 			// Stamped once the loop has taken it, or the front would be given less than its grace.
 			p.f.Sessions()
-			r.wit.Told(frontName(i), int(e.ID), e.State == choice.Ready, r.now())
+			r.wit.FrontNotified(frontName(i), int(e.ID), e.State == choice.Ready, r.now())
 		})
 	}
 }
--- a/internal/lab/day/sabotage.go
+++ b/internal/lab/day/sabotage.go
@@ -16,17 +16,17 @@
 // The sabotages, one a rule: answers left out, SETUPs not withdrawn, SETUPs to a drained box, all SETUPs to a cold one,
 // rungs under the floor and no seats, no ration.
 const (
-	None    Sabotage = ""
-	Answers Sabotage = "answers"
-	Doubles Sabotage = "doubles"
-	Drains  Sabotage = "drains"
-	Cold    Sabotage = "cold"
-	Terms   Sabotage = "terms"
-	Ration  Sabotage = "ration"
+	NoSabotage          Sabotage = ""
+	OmitAnswers         Sabotage = "answers"
+	OverlapSetups       Sabotage = "doubles"
+	UseDrained          Sabotage = "drains"
+	OverloadCold        Sabotage = "cold"
+	IgnoreFloorAndSeats Sabotage = "terms"
+	IgnoreRetryBudget   Sabotage = "ration"
 )
 
 // Sabotages are all of them.
-var Sabotages = []Sabotage{Answers, Doubles, Drains, Cold, Terms, Ration}
+var Sabotages = []Sabotage{OmitAnswers, OverlapSetups, UseDrained, OverloadCold, IgnoreFloorAndSeats, IgnoreRetryBudget}
 
 // ParseSabotage reads a sabotage's name.
 func ParseSabotage(s string) (Sabotage, error) {
@@ -37,48 +37,48 @@
 	for _, x := range Sabotages {
 		names = append(names, string(x))
 	}
-	return None, fmt.Errorf("there is no sabotage %q; %s would be right", s, strings.Join(names, ", "))
+	return NoSabotage, fmt.Errorf("there is no sabotage %q; %s would be right", s, strings.Join(names, ", "))
 }
 
-// Noticed tells whether a verdict shows the sabotage.
-func (s Sabotage) Noticed(r *Report) bool {
+// Detected tells whether a verdict shows the sabotage.
+func (s Sabotage) Detected(r *Report) bool {
 	v := r.Verdict
 	switch s {
-	case Answers:
+	case OmitAnswers:
 		return v.Lost > 0
-	case Doubles:
+	case OverlapSetups:
 		return v.Doubled > 0
-	case Drains:
+	case UseDrained:
 		return v.DrainedLate > 0
-	case Cold:
-		return v.ColdOver > 0
-	case Terms:
-		return v.Floor > 0 && v.Seats > 0
-	case Ration:
-		return v.Ration > 0
+	case OverloadCold:
+		return v.ColdOverload > 0
+	case IgnoreFloorAndSeats:
+		return v.BelowFloor > 0 && v.OverSeats > 0
+	case IgnoreRetryBudget:
+		return v.RetryBudget > 0
 	}
-	return v.Broken() == 0
+	return v.Violations() == 0
 }
 
 // terms spoils what a front is told of the rules.
 func (s Sabotage) terms(t *settings.Config) {
 	f := &t.Choice
 	switch s {
-	case Cold:
+	case OverloadCold:
 		f.WarmUp, f.OverloadTime = 0, 0
-	case Terms:
+	case IgnoreFloorAndSeats:
 		f.Groups = slices.Clone(f.Groups)
 		for i := range f.Groups {
 			f.Groups[i].Seats = 0
 		}
-	case Ration:
+	case IgnoreRetryBudget:
 		f.RetryWindow, f.MaxSetups = 0, 6
 	}
 }
 
 // orders spoils what a front does.
 func (s Sabotage) orders(r *run) func(session.Actions) session.Actions {
-	if s == None {
+	if s == NoSabotage {
 		return nil
 	}
 	return func(o session.Actions) session.Actions {
@@ -96,7 +96,7 @@
 
 // Answer leaves out one in twenty.
 func (s *spoiler) Answer(id choice.SessID, v session.FinalAnswer, comeBack float64) {
-	if s.n++; s.s == Answers && s.n%20 == 0 {
+	if s.n++; s.s == OmitAnswers && s.n%20 == 0 {
 		return
 	}
 	s.Actions.Answer(id, v, comeBack)
@@ -104,7 +104,7 @@
 
 // CancelSetup leaves a SETUP out when the next one goes.
 func (s *spoiler) CancelSetup(id choice.SessID, try int) {
-	if s.s != Doubles {
+	if s.s != OverlapSetups {
 		s.Actions.CancelSetup(id, try)
 	}
 }
@@ -112,15 +112,15 @@
 // Setup sends it where it must not go, or at a rung that it must not have.
 func (s *spoiler) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
 	var is func(settings.Box) bool
-	now, warm := s.r.now(), s.r.d.Terms.Choice.WarmUp
+	now, warm := s.r.now(), s.r.d.Config.Choice.WarmUp
 	switch s.s {
-	case Drains:
+	case UseDrained:
 		is = func(b settings.Box) bool { return b.State == choice.Draining }
-	case Cold:
+	case OverloadCold:
 		is = func(b settings.Box) bool { return b.StartedAt > 0 && now-b.StartedAt < warm }
-	case Ration: // box after box that turns it away
+	case IgnoreRetryBudget: // box after box that turns it away
 		is = func(b settings.Box) bool { return s.r.refusing[int(b.ID)] }
-	case Terms:
+	case IgnoreFloorAndSeats:
 		rung = 0
 	}
 	if is != nil {
--- a/internal/lab/day/script.go
+++ b/internal/lab/day/script.go
@@ -85,7 +85,7 @@
 
 // Day is a script that was read.
 type Day struct {
-	Terms    settings.Config // of a front; Name, Me, Listen and Boxes are each front's
+	Config   settings.Config // of a front; Name, Me, Listen and Boxes are each front's
 	Fronts   int
 	Length   float64
 	Seed     uint64
@@ -137,7 +137,7 @@
 func Parse(name string, src []byte) (*Day, error) { return fromSheet(settings.Read(name, src, Forms)) }
 
 func fromSheet(s *settings.Document) (*Day, error) {
-	d := &Day{Terms: settings.CommonConfig(s)}
+	d := &Day{Config: settings.CommonConfig(s)}
 	e, _ := s.Single("day")
 	d.Length, d.Seed, d.Fronts = e.Number("length"), uint64(e.Number("seed")), max(e.Int("fronts"), 1)
 	d.fps, d.thin, d.setup, d.report, d.vary, d.mischief = e.Int("fps"), e.Number("thin"), e.Number("setup_time"), e.Number("report_every"), e.Number("vary"), e.Number("mischief")
@@ -148,10 +148,10 @@
 		pause: pair(s, e, "viewers", "pause", [2]float64{0.6, 1.9})}
 	known := map[int]bool{}
 	for _, e := range s.Entries("box") {
-		b := stand{id: e.Int("id"), zone: d.Terms.Zone(s, e), kind: d.Terms.Kind(s, e), cell: e.Int("cell"), link: e.Number("link"),
+		b := stand{id: e.Int("id"), zone: d.Config.Zone(s, e), kind: d.Config.Kind(s, e), cell: e.Int("cell"), link: e.Number("link"),
 			starts: e.Number("starts")}
-		if b.cell >= d.Terms.Choice.Cells {
-			s.Errorf(e.Line, "box %d: cell is %d; 0 to %d would be right", b.id, b.cell, d.Terms.Choice.Cells-1)
+		if b.cell >= d.Config.Choice.Cells {
+			s.Errorf(e.Line, "box %d: cell is %d; 0 to %d would be right", b.id, b.cell, d.Config.Choice.Cells-1)
 		}
 		known[b.id] = true
 		d.boxes = append(d.boxes, b)
@@ -170,9 +170,9 @@
 				s.Errorf(e.Line, "%s: there is no box %d", what, e.Int("box"))
 			case e.Has("front") && e.Int("front") >= d.Fronts:
 				s.Errorf(e.Line, "%s: there is no front %d; 0 to %d would be right", what, e.Int("front"), d.Fronts-1)
-			case what == "short_rack" && e.Int("rack") >= d.Terms.Choice.Racks:
-				s.Errorf(e.Line, "%s: there is no rack %d; 0 to %d would be right", what, e.Int("rack"), d.Terms.Choice.Racks-1)
-			case what == "cut_zone" && !slices.Contains(d.Terms.Zones, e.Text("zone")):
+			case what == "short_rack" && e.Int("rack") >= d.Config.Choice.Racks:
+				s.Errorf(e.Line, "%s: there is no rack %d; 0 to %d would be right", what, e.Int("rack"), d.Config.Choice.Racks-1)
+			case what == "cut_zone" && !slices.Contains(d.Config.Zones, e.Text("zone")):
 				s.Errorf(e.Line, "%s: there is no zone %s", what, e.Text("zone"))
 			}
 			d.troubles = append(d.troubles, h)
@@ -186,7 +186,7 @@
 		}
 		return 0
 	})
-	d.Terms.Choice.Fronts = d.Fronts
+	d.Config.Choice.Fronts = d.Fronts
 	if len(s.Diagnostics) > 0 {
 		return nil, s.Diagnostics
 	}
@@ -269,7 +269,7 @@
 			a.hasty = r.Float64() * 2
 		}
 		if r.Float64() < d.viewers.small {
-			g := d.Terms.Groups[a.group]
+			g := d.Config.Groups[a.group]
 			a.bandwidth = g.Rates[len(g.Rates)/2] * 8000
 		}
 		if r.Float64() < d.viewers.two {
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -115,7 +115,7 @@
 	p := &play{w: w, c: rtsp.NewConn(raw, rtsp.Limits{})}
 	err = p.run(ctx)
 	if w.Witness != nil && w.Token != "" {
-		w.Witness.Left(w.Token, w.Now())
+		w.Witness.ViewerLeft(w.Token, w.Now())
 	}
 	if !p.first.IsZero() {
 		p.seen.Played = p.last.Sub(p.first).Seconds()
@@ -210,7 +210,7 @@
 	p.asked = time.Now()
 	w := p.w.Witness
 	if w != nil && p.w.Token != "" {
-		w.Asked(p.w.Token, p.w.Front, p.w.Group, p.w.Now())
+		w.Requested(p.w.Token, p.w.Front, p.w.Group, p.w.Now())
 	}
 	if _, err := p.c.Write(m.Append(nil)); err != nil {
 		return "", p.broke(err)
@@ -250,7 +250,7 @@
 func (p *play) broke(err error) error {
 	p.seen.Broke = true
 	if w := p.w.Witness; w != nil && p.w.Token != "" {
-		w.Broke(p.w.Token, p.w.Now())
+		w.ConnectionLost(p.w.Token, p.w.Now())
 	}
 	return fmt.Errorf("the session broke: %w", err)
 }
--- a/internal/lab/witness/witness.go
+++ b/internal/lab/witness/witness.go
@@ -13,19 +13,19 @@
 	"sync"
 )
 
-// Terms are the rules' figures.
-type Terms struct {
-	Groups     map[string]Group
-	Grace      float64 // seconds after which nothing new reaches a box told to be draining or gone
-	AnswerBy   float64 // seconds past the setup timeout in which an answer still counts
-	Places     float64 // streams of a box at most
-	WarmUp     float64
-	ColdShare  float64
-	FallFactor float64
-	FallTime   float64
-	Spare      float64 // further SETUPs however few sessions are taken
-	Share      float64 // and for each session taken
-	Window     float64 // within so many seconds; 0 is no ration
+// Rules are the rules' figures.
+type Rules struct {
+	Groups            map[string]Group
+	DrainGrace        float64 // seconds after which nothing new reaches a box told to be draining or gone
+	AnswerTolerance   float64 // seconds past the setup timeout in which an answer still counts
+	MaxStreams        float64 // streams of a box at most
+	WarmUp            float64
+	ColdShare         float64
+	OverloadFactor    float64
+	OverloadTime      float64
+	BaseRetries       float64 // further SETUPs however few sessions are taken
+	RetriesPerSession float64 // and for each session taken
+	RetryWindow       float64 // within so many seconds; 0 is no ration
 }
 
 // Group is a service group's part of the rules.
@@ -75,7 +75,7 @@
 // Witness collects what taps see. It grows with the day and is emptied by nothing: a day is bounded.
 type Witness struct {
 	mu     sync.Mutex
-	terms  Terms
+	terms  Rules
 	asks   []*ask
 	byTok  map[string]*ask
 	setups []*setup
@@ -90,13 +90,13 @@
 }
 
 // New makes a witness.
-func New(t Terms) *Witness {
+func New(t Rules) *Witness {
 	return &Witness{terms: t, byTok: map[string]*ask{}, out: map[string]*setup{}, held: map[string]*setup{},
 		starts: map[string][]float64{}, kills: map[string][]float64{}, born: map[int][]float64{}}
 }
 
-// Asked: a viewer has sent its first SETUP to a front. Times are seconds on one clock.
-func (w *Witness) Asked(token, front, group string, at float64) {
+// Requested: a viewer has sent its first SETUP to a front. Times are seconds on one clock.
+func (w *Witness) Requested(token, front, group string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a := &ask{token: token, front: front, group: group, at: at, left: math.Inf(1), broke: math.Inf(1)}
@@ -113,8 +113,8 @@
 	}
 }
 
-// Left: a viewer has closed its connection, or given up.
-func (w *Witness) Left(token string, at float64) {
+// ViewerLeft: a viewer has closed its connection, or given up.
+func (w *Witness) ViewerLeft(token string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a := w.byTok[token]; a != nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Broke: a viewer's connection was ended from the front's side.
-func (w *Witness) Broke(token string, at float64) {
+// ConnectionLost: a viewer's connection was ended from the front's side.
+func (w *Witness) ConnectionLost(token string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if a := w.byTok[token]; a != nil {
@@ -134,8 +134,8 @@
 func connKey(box int, conn uint64, cseq int) string { return fmt.Sprint(box, "/", conn, "/", cseq) }
 func heldKey(box int, session string) string        { return fmt.Sprint(box, "/", session) }
 
-// Setup: a box has received a SETUP for a new session.
-func (w *Witness) Setup(box int, conn uint64, cseq int, at float64, token, front, group, title string, rung int) {
+// SetupReceived: a box has received a SETUP for a new session.
+func (w *Witness) SetupReceived(box int, conn uint64, cseq int, at float64, token, front, group, title string, rung int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := &setup{token: token, front: front, group: group, title: title, box: box, at: at, rung: rung,
@@ -167,8 +167,8 @@
 	}
 }
 
-// Withdrawn: the front has closed its sending side of a connection to a box: SETUPs out on it are out no longer.
-func (w *Witness) Withdrawn(box int, conn uint64, at float64) {
+// SetupsCancelled: the front has closed its sending side of a connection to a box: SETUPs out on it are out no longer.
+func (w *Witness) SetupsCancelled(box int, conn uint64, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	prefix := fmt.Sprint(box, "/", conn, "/")
@@ -180,8 +180,8 @@
 	}
 }
 
-// Over: a box holds a session no longer.
-func (w *Witness) Over(box int, session string, at float64) {
+// SessionEnded: a box holds a session no longer.
+func (w *Witness) SessionEnded(box int, session string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s := w.held[heldKey(box, session)]; s != nil {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Rung: a box was asked to play a session at a rung.
-func (w *Witness) Rung(box int, session string, rung int, at float64) {
+// RungRequested: a box was asked to play a session at a rung.
+func (w *Witness) RungRequested(box int, session string, rung int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.held[heldKey(box, session)]
@@ -204,8 +204,8 @@
 	}
 }
 
-// Told: a front was told that a box is ready, or that it is not.
-func (w *Witness) Told(front string, box int, ready bool, at float64) {
+// FrontNotified: a front was told that a box is ready, or that it is not.
+func (w *Witness) FrontNotified(front string, box int, ready bool, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.told = append(w.told, told{front, box, at, ready})
@@ -240,29 +240,42 @@
 
 // Verdict counts what was seen.
 type Verdict struct {
-	Taken, Answered                                                  int
-	Lost, Doubled, Late, DrainedLate, ColdOver, Floor, Seats, Ration int
-	Busy, TornDown, GivenUp, Killed, Further, Orphans                int
-	Notes                                                            []string
-}
-
-// Broken is how many times any rule was broken.
-func (v Verdict) Broken() int {
-	return v.Lost + v.Doubled + v.Late + v.DrainedLate + v.ColdOver + v.Floor + v.Seats + v.Ration
+	Taken        int      `json:"Taken"`
+	Answered     int      `json:"Answered"`
+	Lost         int      `json:"Lost"`
+	Doubled      int      `json:"Doubled"`
+	Late         int      `json:"Late"`
+	DrainedLate  int      `json:"DrainedLate"`
+	ColdOverload int      `json:"ColdOver"`
+	BelowFloor   int      `json:"Floor"`
+	OverSeats    int      `json:"Seats"`
+	RetryBudget  int      `json:"Ration"`
+	Busy         int      `json:"Busy"`
+	Failed       int      `json:"TornDown"`
+	Abandoned    int      `json:"GivenUp"`
+	HeldByKilled int      `json:"Killed"`
+	Retries      int      `json:"Further"`
+	Orphans      int      `json:"Orphans"`
+	Notes        []string `json:"Notes"`
+}
+
+// Violations is how many times any rule was broken.
+func (v Verdict) Violations() int {
+	return v.Lost + v.Doubled + v.Late + v.DrainedLate + v.ColdOverload + v.BelowFloor + v.OverSeats + v.RetryBudget
 }
 
 func (v Verdict) String() string {
 	return fmt.Sprintf("taken %d answered %d lost %d doubled %d late %d drained-late %d cold-over %d floor %d seats %d ration %d",
-		v.Taken, v.Answered, v.Lost, v.Doubled, v.Late, v.DrainedLate, v.ColdOver, v.Floor, v.Seats, v.Ration)
+		v.Taken, v.Answered, v.Lost, v.Doubled, v.Late, v.DrainedLate, v.ColdOverload, v.BelowFloor, v.OverSeats, v.RetryBudget)
 }
 
-// Judge counts up to instant now, at which nothing may be under way any more.
-func (w *Witness) Judge(now float64) Verdict {
+// Evaluate counts up to instant now, at which nothing may be under way any more.
+func (w *Witness) Evaluate(now float64) Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	notes := len(w.notes)
 	defer func() { w.notes = w.notes[:notes] }()
-	v := Verdict{Floor: w.floors}
+	v := Verdict{BelowFloor: w.floors}
 	w.answers(&v, now)
 	w.doubles(&v)
 	w.drains(&v)
@@ -281,15 +294,15 @@
 func (w *Witness) answers(v *Verdict, now float64) {
 	for _, a := range w.asks {
 		v.Taken++
-		by := a.at + w.terms.Groups[a.group].SetupTimeout + w.terms.AnswerBy
+		by := a.at + w.terms.Groups[a.group].SetupTimeout + w.terms.AnswerTolerance
 		switch len(a.answers) {
 		case 0:
 			switch {
 			case w.killed(a.front, a.at, min(by, a.broke)):
-				v.Killed++
+				v.HeldByKilled++
 				v.Taken--
 			case a.left < by:
-				v.GivenUp++
+				v.Abandoned++
 				v.Taken--
 			case now >= by:
 				v.Lost++
@@ -312,7 +325,7 @@
 		case first.status == 503:
 			v.Busy++
 		case first.status/100 != 2:
-			v.TornDown++
+			v.Failed++
 		}
 	}
 }
@@ -332,7 +345,7 @@
 		mayRan := false
 		for i, s := range list {
 			if i > 0 {
-				v.Further++
+				v.Retries++
 			}
 			for _, o := range list[:i] {
 				if o.ended > s.at+tolerance {
@@ -369,7 +382,7 @@
 				ready = t.ready
 			}
 		}
-		if !ready && s.at-since > w.terms.Grace {
+		if !ready && s.at-since > w.terms.DrainGrace {
 			v.DrainedLate++
 			w.note("%.2f: %s sent a SETUP to box %d, %.2f s after it was told not to", s.at, s.front, s.box, s.at-since)
 		}
@@ -378,7 +391,7 @@
 
 // cold counts windows in which a cold box was sent more than it can take, as the box itself falls over by.
 func (w *Witness) cold(v *Verdict) {
-	if w.terms.WarmUp <= 0 || w.terms.FallTime <= 0 {
+	if w.terms.WarmUp <= 0 || w.terms.OverloadTime <= 0 {
 		return
 	}
 	at := map[int][]float64{}
@@ -395,21 +408,21 @@
 					continue
 				}
 				n := 0
-				for j := i; j >= 0 && at[box][j] > t-w.terms.FallTime && at[box][j] >= born; j-- {
+				for j := i; j >= 0 && at[box][j] > t-w.terms.OverloadTime && at[box][j] >= born; j-- {
 					n++
 				}
-				if limit := Limit(w.terms.Places, w.terms.WarmUp, w.terms.ColdShare, w.terms.FallFactor, w.terms.FallTime, t-born); float64(n) > limit {
-					v.ColdOver++
-					w.note("%.2f: cold box %d got %d SETUPs within %.1f s, %.1f are its limit", t, box, n, w.terms.FallTime, limit)
+				if limit := ColdSetupLimit(w.terms.MaxStreams, w.terms.WarmUp, w.terms.ColdShare, w.terms.OverloadFactor, w.terms.OverloadTime, t-born); float64(n) > limit {
+					v.ColdOverload++
+					w.note("%.2f: cold box %d got %d SETUPs within %.1f s, %.1f are its limit", t, box, n, w.terms.OverloadTime, limit)
 				}
 			}
 		}
 	}
 }
 
-// Limit is how many SETUPs a cold box that started age seconds ago can be sent within the fall time: its places over
+// ColdSetupLimit is how many SETUPs a cold box that started age seconds ago can be sent within the fall time: its places over
 // its warm-up, times the share that it has warmed, times the factor.
-func Limit(places, warmUp, coldShare, factor, fall, age float64) float64 {
+func ColdSetupLimit(places, warmUp, coldShare, factor, fall, age float64) float64 {
 	share := min(coldShare+(1-coldShare)*age/warmUp, 1)
 	return factor * places / warmUp * share * fall
 }
@@ -434,7 +447,7 @@
 				}
 			}
 			if n > most && s.over > s.at+tolerance {
-				v.Seats++
+				v.OverSeats++
 				w.note("%.2f: %s holds %d sessions of %s in %s, %d are its seats", s.at, k.front, n, k.title, k.group, most)
 			}
 		}
@@ -442,7 +455,7 @@
 }
 
 func (w *Witness) ration(v *Verdict) {
-	if w.terms.Window <= 0 {
+	if w.terms.RetryWindow <= 0 {
 		return
 	}
 	taken, further, seen := map[string][]float64{}, map[string][]float64{}, map[string]bool{}
@@ -459,7 +472,7 @@
 	}
 	for front, list := range further {
 		for i, t := range list {
-			from := t - w.terms.Window
+			from := t - w.terms.RetryWindow
 			for _, start := range w.starts[front] {
 				if start <= t {
 					from = max(from, start)
@@ -474,9 +487,9 @@
 					sessions++
 				}
 			}
-			if float64(n) > w.terms.Spare+w.terms.Share*float64(sessions) {
-				v.Ration++
-				w.note("%.2f: %s sent %d further SETUPs within %.0f s, with %d sessions taken", t, front, n, w.terms.Window, sessions)
+			if float64(n) > w.terms.BaseRetries+w.terms.RetriesPerSession*float64(sessions) {
+				v.RetryBudget++
+				w.note("%.2f: %s sent %d further SETUPs within %.0f s, with %d sessions taken", t, front, n, w.terms.RetryWindow, sessions)
 			}
 		}
 	}
