--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -11,9 +11,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// short is a bad day in a few seconds, with all that the six sabotages need: a box that drains, one that starts cold, one
-// that answers nothing, one that refuses, a title that everyone wants.
-const short = `
+// shortDay is a day of a few seconds with all that the six sabotages need: a box that drains, one that starts cold, one
+// that answers nothing, one that refuses, and a title that most viewers want.
+const shortDay = `
 day(length = 7, seed = 3, fronts = 2, list_lag = [0.05, 0.2], fps = 10, thin = 0.01, setup_time = 0.01)
 zone(name = "a")
 zone(name = "b")
@@ -45,8 +45,8 @@
 reload_front(at = 5.5, front = 1)
 `
 
-func play(t *testing.T, s Sabotage) *Report {
-	d, err := Parse("short.star", []byte(short))
+func runDay(t *testing.T, s Sabotage) *Report {
+	d, err := Parse("short.star", []byte(shortDay))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,9 +57,9 @@
 	return r
 }
 
-func TestBadDayKeepsTheRules(t *testing.T) {
+func TestDayWithoutViolations(t *testing.T) {
 	t.Parallel()
-	r := play(t, NoSabotage)
+	r := runDay(t, NoSabotage)
 	if v := r.Verdict; v.Violations() > 0 || v.Taken < 150 || v.Answered != v.Taken || v.Retries == 0 {
 		t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
@@ -69,57 +69,58 @@
 		}
 	}
 	if r.TimestampJumps > 0 || r.PacketsLost > 0 {
-		t.Errorf("%d leaps in time, %d packets lost", r.TimestampJumps, r.PacketsLost)
+		t.Errorf("%d timestamp jumps, %d packets lost", r.TimestampJumps, r.PacketsLost)
 	}
 	var out bytes.Buffer
 	r.Write(&out)
 	if lines := strings.Split(strings.TrimSpace(out.String()), "\n"); !strings.HasPrefix(lines[len(lines)-1], "taken ") {
-		t.Errorf("the last line is %q", lines[len(lines)-1])
+		t.Errorf("last line is %q, want it to start with \"taken \"", lines[len(lines)-1])
 	}
 }
 
-func TestEverySabotageIsNoticed(t *testing.T) {
+// Each sabotage must be detected: a witness that misses one would pass fronts that break its rule.
+func TestEverySabotageIsDetected(t *testing.T) {
 	for _, s := range Sabotages {
 		t.Run(string(s), func(t *testing.T) {
 			t.Parallel()
-			if r := play(t, s); !s.Detected(r) {
+			if r := runDay(t, s); !s.Detected(r) {
 				t.Errorf("%v", r.Verdict)
 			}
 		})
 	}
 }
 
-func TestMistakesInDays(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, says string }{
+func TestScriptErrors(t *testing.T) {
+	for name, c := range map[string]struct{ from, to, want string }{
 		"box":   {"hold(at = 1, box = 1", "hold(at = 1, box = 77", "no box 77"},
 		"front": {"front = 1", "front = 2", "0 to 1 would be right"},
 		"zone":  {`cut_zone(at = 5, zone = "a"`, `cut_zone(at = 5, zone = "c"`, "no zone c"},
-		"pair":  {"watch = [1, 2]", "watch = [2, 1]", "the least and the most"},
+		"pair":  {"watch = [1, 2]", "watch = [2, 1]", "want the minimum and the maximum"},
 		"word":  {"crowd(", "croud(", "crowd may be meant"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("d.star", []byte(strings.Replace(short, c.from, c.to, 1)))
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v", err)
+			_, err := Parse("d.star", []byte(strings.Replace(shortDay, c.from, c.to, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want it to contain %q", err, c.want)
 			}
 		})
 	}
 }
 
 func TestArrivalsFollowTheSeed(t *testing.T) {
-	a, _ := Parse("a", []byte(short))
-	b, _ := Parse("b", []byte(short))
+	a, _ := Parse("a", []byte(shortDay))
+	b, _ := Parse("b", []byte(shortDay))
 	x, y := a.arrivals(), b.arrivals()
 	if len(x) != len(y) || x[len(x)/2] != y[len(x)/2] {
-		t.Error("two drawings of one seed differ")
+		t.Error("arrivals of the same seed differ")
 	}
 	b.Seed++
 	if z := b.arrivals(); z[0] == x[0] {
-		t.Error("another seed draws the same")
+		t.Error("arrivals of different seeds are the same")
 	}
 }
 
-// A small storm of faults on both sides: one answer each, and nothing left at any box.
+// Under faults of boxes and clients, each request gets exactly one answer and no session is left at a box.
 func TestStorm(t *testing.T) {
 	t.Parallel()
 	d, err := Storm(2, 400, 80)
@@ -131,6 +132,6 @@
 		t.Fatal(err)
 	}
 	if v := r.Verdict; v.Violations() > 0 || r.SessionsLeft > 0 || v.Answered != v.Taken || v.Taken < 300 || v.Retries == 0 {
-		t.Errorf("%v, left at boxes %d\n%s", v, r.SessionsLeft, strings.Join(v.Notes, "\n"))
+		t.Errorf("%v, sessions left at boxes %d\n%s", v, r.SessionsLeft, strings.Join(v.Notes, "\n"))
 	}
 }
--- a/internal/lab/day/report.go
+++ b/internal/lab/day/report.go
@@ -9,7 +9,7 @@
 	"rainhaven/internal/lab/witness"
 )
 
-// Report is what a day came to.
+// Report holds the results of a day.
 type Report struct {
 	Seed           uint64          `json:"seed"`
 	LengthSeconds  float64         `json:"length_s"`
@@ -22,22 +22,22 @@
 	RungChanges    int             `json:"rung_changes"`
 	Verdict        witness.Verdict `json:"verdict"`
 	Sabotage       Sabotage        `json:"sabotage,omitempty"`
-	SessionsLeft   int             `json:"sessions_left_at_boxes"` // once all was over and a while had passed
+	SessionsLeft   int             `json:"sessions_left_at_boxes"` // after all viewers had left and the idle timeout had passed
 }
 
-// GroupReport is what a service group's viewers got.
+// GroupReport summarizes what the viewers of a service group got.
 type GroupReport struct {
 	Name           string  `json:"name"`
 	Viewers        int     `json:"viewers"`
-	Served         int     `json:"served"`       // by any of their tries
-	ServedFirst    int     `json:"served_first"` // by the first
+	Served         int     `json:"served"`       // viewers served by any of their tries
+	ServedFirst    int     `json:"served_first"` // by the first try
 	StartP50       float64 `json:"start_p50_s"`  // from SETUP to the first frame
 	StartP99       float64 `json:"start_p99_s"`
-	DeliveredShare float64 `json:"delivered_share"` // mean of those that played
+	DeliveredShare float64 `json:"delivered_share"` // mean over viewers that played more than half a second
 	MeanRung       float64 `json:"mean_rung"`
 }
 
-// BoxReport is what a box saw.
+// BoxReport holds the counts of a box.
 type BoxReport struct {
 	ID          int   `json:"id"`
 	Setups      int64 `json:"setups"`
@@ -46,13 +46,14 @@
 	Overloaded  bool  `json:"fallen_over"`
 }
 
+// report checks the rules and summarizes what viewers and boxes saw.
 func (r *run) report() *Report {
-	rep := &Report{Seed: r.d.Seed, LengthSeconds: r.d.Length, Viewers: len(r.seen), Sabotage: r.spoil, Verdict: r.wit.Evaluate(r.now())}
-	for i, g := range r.d.Config.Groups {
+	rep := &Report{Seed: r.day.Seed, LengthSeconds: r.day.Length, Viewers: len(r.outcomes), Sabotage: r.sabotage, Verdict: r.witness.Evaluate(r.now())}
+	for i, g := range r.day.Config.Groups {
 		gr := GroupReport{Name: g.Name}
 		start := hdrhistogram.New(1, 60_000_000, 3)
 		played := 0
-		for _, o := range r.seen {
+		for _, o := range r.outcomes {
 			if o.group != i {
 				continue
 			}
@@ -60,10 +61,10 @@
 			if o.served {
 				gr.Served++
 			}
-			if o.first {
+			if o.firstServed {
 				gr.ServedFirst++
 			}
-			if s := o.seen; s.FirstFrame > 0 {
+			if s := o.result; s.FirstFrame > 0 {
 				start.RecordValue(int64(s.FirstFrame * 1e6))
 				if s.Played > 0.5 {
 					played++
@@ -79,13 +80,13 @@
 		}
 		rep.Groups = append(rep.Groups, gr)
 	}
-	for _, o := range r.seen {
-		rep.WorstFrameGap = max(rep.WorstFrameGap, o.seen.WorstGap)
-		rep.PacketsLost += o.seen.Lost
-		rep.TimestampJumps += o.seen.Jumps
-		rep.RungChanges += o.seen.Rungs
+	for _, o := range r.outcomes {
+		rep.WorstFrameGap = max(rep.WorstFrameGap, o.result.WorstGap)
+		rep.PacketsLost += o.result.Lost
+		rep.TimestampJumps += o.result.Jumps
+		rep.RungChanges += o.result.Rungs
 	}
-	for _, s := range r.d.boxes {
+	for _, s := range r.day.boxes {
 		if b := r.boxes[s.id]; b != nil {
 			c := b.Count()
 			rep.SessionsLeft += c.Sessions
@@ -95,7 +96,7 @@
 	return rep
 }
 
-// Write prints the report; its last line is the witness's.
+// Write prints the report. Its last line is the verdict.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d viewers in %.0f s, seed %d\n", r.Viewers, r.LengthSeconds, r.Seed)
 	fmt.Fprintf(w, "%-16s %8s %8s %8s %10s %10s %8s %6s\n", "service group", "viewers", "served", "at once", "start p50", "start p99", "share", "rung")
@@ -109,12 +110,12 @@
 			fmt.Fprintf(w, "(%d full)", b.FullReplies)
 		}
 		if b.Overloaded {
-			fmt.Fprint(w, "(FALLEN OVER)")
+			fmt.Fprint(w, "(OVERLOADED)")
 		}
 	}
 	v := r.Verdict
 	fmt.Fprintf(w, " SETUPs\nrung changes %d, packets lost %d, timestamp jumps %d, worst gap between frames %.2f s\n", r.RungChanges, r.PacketsLost, r.TimestampJumps, r.WorstFrameGap)
-	fmt.Fprintf(w, "busy-replied %d, torn down %d, given up by viewers %d, held by killed fronts %d, further SETUPs %d, sessions left at boxes %d\n",
+	fmt.Fprintf(w, "busy-replied %d, failed %d, abandoned by viewers %d, held by killed fronts %d, retries %d, sessions left at boxes %d\n",
 		v.Busy, v.Failed, v.Abandoned, v.HeldByKilled, v.Retries, r.SessionsLeft)
 	for _, n := range v.Notes {
 		fmt.Fprintln(w, "broken:", n)
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -22,63 +22,65 @@
 	"rainhaven/internal/settings"
 )
 
-// run is one day under way.
+// run is a day in progress.
 type run struct {
-	d      *Day
-	o      Options
-	ctx    context.Context
-	log    *zap.Logger
-	base   float64 // seconds since 1970 at start
-	start  time.Time
-	wit    *witness.Witness
-	spoil  Sabotage
-	site   *box.Site
-	racks  []*box.Rack
-	boxes  map[int]*box.Box
-	stands map[int]stand
-	rand   *rand.Rand // of the list's lags; the troubles' goroutine owns it
+	day       *Day
+	options   Options
+	ctx       context.Context
+	log       *zap.Logger
+	startUnix float64 // start in seconds since 1970
+	start     time.Time
+	witness   *witness.Witness
+	sabotage  Sabotage
+	boxConfig *box.Site
+	racks     []*box.Rack
+	boxes     map[int]*box.Box
+	boxSpecs  map[int]boxSpec
+	lagRand   *rand.Rand // draws the list lags; used only by the goroutine of runEvents
 
-	mu       sync.Mutex
-	fronts   []*place
-	list     []settings.Box // as the source knows it
-	cut      map[int]bool   // zones cut off
-	seen     []outcome
-	refusing map[int]bool             // boxes that answer full
-	kept     map[int]restore.Snapshot // of fronts that were killed, where they remember; one each
+	mu        sync.Mutex
+	fronts    []*frontInstance
+	boxList   []settings.Box // current state of the box list; fronts learn of changes later
+	zonesCut  map[int]bool   // zones unreachable from others
+	outcomes  []outcome
+	refusing  map[int]bool             // boxes that refuse SETUPs as full
+	snapshots map[int]restore.Snapshot // saved state of killed fronts, by front, with Options.RestoreState
 
-	work sync.WaitGroup // list words under way
+	notifications sync.WaitGroup // notifications of fronts in flight
 }
 
-// place is where a front runs: its address stays while fronts come and go.
-type place struct {
-	i       int
-	addr    string
-	f       *front.Front
-	done    chan error
-	gen     int
-	reloads int // of this process
+// frontInstance is a running or killed front. A front that is started again keeps its index and address.
+type frontInstance struct {
+	index      int
+	addr       string
+	front      *front.Front
+	done       chan error
+	generation int
+	reloads    int // since its start
 }
 
+// outcome is what a viewer got over all of its tries.
 type outcome struct {
-	group   int
-	first   bool // the viewer's first try
-	seen    player.Seen
-	retries int
-	served  bool // any of its tries
-	start   float64
+	group       int
+	firstServed bool // served by the first try
+	result      player.Seen
+	retries     int
+	served      bool // served by any try
+	start       float64
 }
 
-func (r *run) now() float64 { return r.base + time.Since(r.start).Seconds() }
+// now returns the time in seconds since 1970, by the monotonic clock.
+func (r *run) now() float64 { return r.startUnix + time.Since(r.start).Seconds() }
 
-// Options are what a day is run with.
+// Options are the settings of a run.
 type Options struct {
 	Log          *zap.Logger
 	Sabotage     Sabotage
-	OnEvent      func(at float64, what string) // troubles as they happen; may be nil
-	RestoreState bool                          // fronts that are started again know what they had stored; their ration's window goes on
+	OnEvent      func(at float64, description string) // called for each event as it happens; may be nil
+	RestoreState bool                                 // restarted fronts restore their saved state, which continues the retry budget's window
 }
 
-// Run plays a day and reports. The error tells what kept it from being played; broken rules are in the report.
+// Run plays a day and returns its report. Violations are in the report; an error means that the day could not be played.
 func Run(ctx context.Context, d *Day, o Options) (*Report, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -87,25 +89,25 @@
 		o.OnEvent = func(float64, string) {}
 	}
 	start := time.Now()
-	r := &run{d: d, ctx: ctx, log: o.Log, base: float64(start.UnixNano()) / 1e9, start: start, spoil: o.Sabotage, o: o,
-		kept: map[int]restore.Snapshot{}, boxes: map[int]*box.Box{}, stands: map[int]stand{}, cut: map[int]bool{}, refusing: map[int]bool{}, rand: rand.New(rand.NewPCG(d.Seed, 2))}
+	r := &run{day: d, ctx: ctx, log: o.Log, startUnix: float64(start.UnixNano()) / 1e9, start: start, sabotage: o.Sabotage, options: o,
+		snapshots: map[int]restore.Snapshot{}, boxes: map[int]*box.Box{}, boxSpecs: map[int]boxSpec{}, zonesCut: map[int]bool{}, refusing: map[int]bool{}, lagRand: rand.New(rand.NewPCG(d.Seed, 2))}
 	f := &d.Config.Choice
-	terms := witness.Rules{Groups: map[string]witness.Group{}, DrainGrace: d.Config.DrainGrace, AnswerTolerance: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
+	rules := witness.Rules{Groups: map[string]witness.Group{}, DrainGrace: d.Config.DrainGrace, AnswerTolerance: 0.04, WarmUp: f.WarmUp, ColdShare: f.ColdShare,
 		OverloadFactor: f.OverloadFactor, OverloadTime: f.OverloadTime, BaseRetries: f.BaseRetries, RetriesPerSession: f.RetriesPerSession, RetryWindow: f.RetryWindow}
 	if len(f.MaxStreams) > 0 {
-		terms.MaxStreams = slices.Min(f.MaxStreams)
+		rules.MaxStreams = slices.Min(f.MaxStreams)
 	}
 	scale := map[string]float64{}
 	for i, g := range f.Groups {
 		name := d.Config.Groups[i].Name
-		terms.Groups[name] = witness.Group{SetupTimeout: d.Config.Groups[i].SetupTimeout, Paid: g.Paid, Floor: g.Floor, Seats: g.Seats}
+		rules.Groups[name] = witness.Group{SetupTimeout: d.Config.Groups[i].SetupTimeout, Paid: g.Paid, Floor: g.Floor, Seats: g.Seats}
 		scale[name] = g.Scale
 	}
-	r.wit = witness.New(terms)
-	r.site = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Config.Titles[t].Length },
-		Places: int(terms.MaxStreams), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
-		ReportEvery: d.report, NoteEvery: f.NoteInterval, SetupTime: d.setup, Vary: d.vary, FullAt: f.FullThreshold, FPS: d.fps, Thin: d.thin, Keep: 4, Mischief: d.mischief,
-		Now: r.now, Witness: r.wit}
+	r.witness = witness.New(rules)
+	r.boxConfig = &box.Site{Ladder: f.Ladder, Scale: scale, Length: func(t string) float64 { return d.Config.Titles[t].Length },
+		Places: int(rules.MaxStreams), WarmUp: f.WarmUp, ColdShare: f.ColdShare, FallFactor: f.OverloadFactor, FallTime: f.OverloadTime,
+		ReportEvery: d.reportInterval, NoteEvery: f.NoteInterval, SetupTime: d.setupTime, Vary: d.rateVariation, FullAt: f.FullThreshold, FPS: d.fps, Thin: d.payloadScale, Keep: 4, Mischief: d.randomFaultShare,
+		Now: r.now, Witness: r.witness}
 	for range max(f.Racks, 1) {
 		r.racks = append(r.racks, box.NewRack(f.MeanUplinkCapacity))
 	}
@@ -115,49 +117,49 @@
 		}
 	}()
 	for _, s := range d.boxes {
-		r.stands[s.id] = s
+		r.boxSpecs[s.id] = s
 		if s.starts == 0 {
-			if err := r.open(s, false); err != nil {
+			if err := r.startBox(s, false); err != nil {
 				return nil, err
 			}
 		}
 	}
 	defer r.stopFronts()
 	for i := range d.Fronts {
-		if err := r.begin(i, ""); err != nil {
+		if err := r.startFront(i, ""); err != nil {
 			return nil, err
 		}
 	}
-	return r.play(o.OnEvent)
+	return r.execute(o.OnEvent)
 }
 
-// open starts a stand-in and puts it on the list.
-func (r *run) open(s stand, cold bool) error {
-	b, err := box.Start(r.site, s.id, "", s.link, r.racks[s.cell%len(r.racks)], cold)
+// startBox starts a simulated box and adds it to the list.
+func (r *run) startBox(s boxSpec, cold bool) error {
+	b, err := box.Start(r.boxConfig, s.id, "", s.link, r.racks[s.cell%len(r.racks)], cold)
 	if err != nil {
 		return err
 	}
 	r.boxes[s.id] = b
-	r.list = append(r.list, settings.Box{Listing: s.listing(b.Born(), choice.Ready), Address: b.Address})
+	r.boxList = append(r.boxList, settings.Box{Listing: s.listing(b.Born(), choice.Ready), Address: b.Address})
 	return nil
 }
 
-// termsOf are one front's terms as the list stands now.
-func (r *run) termsOf(i int) settings.Config {
-	terms := r.d.Config
-	terms.Name, terms.Choice.FrontIndex = frontName(i), i
-	// Zones take turns, so that each has its fronts.
-	terms.Choice.Zone = i % max(len(terms.Zones), 1)
-	terms.Choice.Seed = r.d.Seed*1000 + uint64(i) + 1
+// frontConfig returns the settings of a front, with the current box list.
+func (r *run) frontConfig(i int) settings.Config {
+	config := r.day.Config
+	config.Name, config.Choice.FrontIndex = frontName(i), i
+	// Fronts are spread over the zones in turn.
+	config.Choice.Zone = i % max(len(config.Zones), 1)
+	config.Choice.Seed = r.day.Seed*1000 + uint64(i) + 1
 	r.mu.Lock()
-	terms.Boxes = slices.Clone(r.list)
+	config.Boxes = slices.Clone(r.boxList)
 	r.mu.Unlock()
-	return terms
+	return config
 }
 
-// begin starts a front, at its address where it had one.
-func (r *run) begin(i int, addr string) error {
-	terms := r.termsOf(i)
+// startFront starts a front at addr, or at any free port if addr is empty.
+func (r *run) startFront(i int, addr string) error {
+	config := r.frontConfig(i)
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -165,31 +167,31 @@
 	if err != nil {
 		return fmt.Errorf("front %d: %w", i, err)
 	}
-	zone := terms.Choice.Zone
-	r.spoil.terms(&terms)
-	o := front.Options{Log: r.log, WrapActions: r.spoil.orders(r),
+	zone := config.Choice.Zone
+	r.sabotage.alterConfig(&config)
+	o := front.Options{Log: r.log, WrapActions: r.sabotage.wrapActions(r),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
-	if kept, ok := r.kept[i]; ok {
-		x := terms.Choice
-		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
+	if snapshot, ok := r.snapshots[i]; ok {
+		x := config.Choice
+		m, _ := restore.FromSnapshot(r.now(), snapshot, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
 		o.Snapshot = &m
 	} else {
-		r.wit.FrontStarted(terms.Name, r.now())
+		r.witness.FrontStarted(config.Name, r.now())
 	}
-	for _, b := range terms.Boxes {
-		r.wit.FrontNotified(terms.Name, int(b.ID), b.State == choice.Ready, r.now())
+	for _, b := range config.Boxes {
+		r.witness.FrontNotified(config.Name, int(b.ID), b.State == choice.Ready, r.now())
 	}
-	f, err := front.New(terms, o)
+	f, err := front.New(config, o)
 	if err != nil {
 		l.Close()
 		return err
 	}
-	p := &place{i: i, addr: l.Addr().String(), f: f, done: make(chan error, 1)}
+	p := &frontInstance{index: i, addr: l.Addr().String(), front: f, done: make(chan error, 1)}
 	go func() { p.done <- f.Serve(l) }()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i < len(r.fronts) {
-		p.gen = r.fronts[i].gen + 1
+		p.generation = r.fronts[i].generation + 1
 		r.fronts[i] = p
 	} else {
 		r.fronts = append(r.fronts, p)
@@ -197,18 +199,18 @@
 	return nil
 }
 
-// dial connects a front of a zone to a box; a zone that is cut off is out of reach from others, both ways.
+// dial connects a front of a zone to a box. Connections into or out of a zone that is cut off hang until ctx ends.
 func (r *run) dial(ctx context.Context, zone int, address string) (net.Conn, error) {
 	r.mu.Lock()
 	to := zone
-	for _, b := range r.list {
+	for _, b := range r.boxList {
 		if b.Address == address {
 			to = b.Zone
 		}
 	}
-	cut := to != zone && (r.cut[to] || r.cut[zone])
+	unreachable := to != zone && (r.zonesCut[to] || r.zonesCut[zone])
 	r.mu.Unlock()
-	if cut {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -216,6 +218,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
+// stopFronts closes all fronts and waits for them and for pending notifications.
 func (r *run) stopFronts() {
 	r.mu.Lock()
 	list := slices.Clone(r.fronts)
@@ -223,47 +226,47 @@
 	var all sync.WaitGroup
 	for _, p := range list {
 		all.Go(func() {
-			p.f.Close()
+			p.front.Close()
 			<-p.done
 		})
 	}
 	all.Wait()
-	r.work.Wait()
+	r.notifications.Wait()
 }
 
-// play lets viewers come and troubles happen, waits until all is over and judges.
-func (r *run) play(tell func(float64, string)) (*Report, error) {
+// execute runs the viewers and the events, waits until all have ended and checks the rules.
+func (r *run) execute(onEvent func(float64, string)) (*Report, error) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	defer cancel()
 	var viewers, events sync.WaitGroup
-	events.Go(func() { r.happen(ctx, tell) })
-	list := r.d.arrivals()
+	events.Go(func() { r.runEvents(ctx, onEvent) })
+	list := r.day.arrivals()
 	for i, a := range list {
-		if !r.until(ctx, a.at) {
+		if !r.sleepUntil(ctx, a.at) {
 			break
 		}
-		viewers.Go(func() { r.view(ctx, i, a) })
-		if a.rude > 0 {
+		viewers.Go(func() { r.runViewer(ctx, i, a) })
+		if a.misbehavior > 0 {
 			viewers.Go(func() {
 				r.mu.Lock()
 				addr := r.fronts[a.front].addr
 				r.mu.Unlock()
-				player.Rude(ctx, addr, r.d.Config.Groups[a.group].Name, a.title, a.rude)
+				player.Rude(ctx, addr, r.day.Config.Groups[a.group].Name, a.title, a.misbehavior)
 			})
 		}
 	}
 	viewers.Wait()
 	events.Wait()
-	r.work.Wait()
+	r.notifications.Wait()
 	if err := r.ctx.Err(); err != nil {
 		return nil, err
 	}
-	r.quiet(ctx)
+	r.awaitIdle(ctx)
 	return r.report(), nil
 }
 
-// until waits for an instant of the day; false where the day was ended.
-func (r *run) until(ctx context.Context, at float64) bool {
+// sleepUntil waits for an instant of the day, in seconds from its start. It returns false if ctx ended first.
+func (r *run) sleepUntil(ctx context.Context, at float64) bool {
 	wait := time.Until(r.start.Add(time.Duration(at * 1e9)))
 	if wait <= 0 {
 		return ctx.Err() == nil
@@ -278,14 +281,14 @@
 	}
 }
 
-// quietTime is how long the end of all sessions is waited for: what a box may hold of a withdrawn SETUP, and more.
-const quietTime = 8 * time.Second
+// idleTimeout bounds the wait for all sessions to end. It is longer than a box may hold the session of a cancelled SETUP.
+const idleTimeout = 8 * time.Second
 
-// quiet waits until no front and no box holds a session any more.
-func (r *run) quiet(ctx context.Context) {
-	wait := quietTime
-	if r.spoil != NoSabotage {
-		wait = time.Second // what a spoilt front leaves behind goes by no rule
+// awaitIdle waits until no front and no box holds a session, at most for idleTimeout.
+func (r *run) awaitIdle(ctx context.Context) {
+	wait := idleTimeout
+	if r.sabotage != NoSabotage {
+		wait = time.Second // a sabotaged front may leave sessions behind
 	}
 	end := time.Now().Add(wait)
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -294,135 +297,135 @@
 			n += b.Sessions()
 		}
 		for _, p := range r.fronts {
-			n += p.f.Sessions()
+			n += p.front.Sessions()
 		}
 		if n == 0 {
 			return
 		}
-		r.until(ctx, time.Since(r.start).Seconds()+0.05)
+		r.sleepUntil(ctx, time.Since(r.start).Seconds()+0.05)
 	}
 }
 
-// mostTries is how often a viewer comes, its first time included.
-const mostTries = 4
+// maxTries is how often a viewer tries at most, including the first time.
+const maxTries = 4
 
-// view is one viewer: it comes, and comes again after a busy reply or a break as its dice say.
-func (r *run) view(ctx context.Context, i int, a arrival) {
-	o := outcome{group: a.group, start: a.at}
-	left := a.watch
+// runViewer runs one viewer, which retries after a busy reply or a broken connection as its draws decide.
+func (r *run) runViewer(ctx context.Context, i int, a arrival) {
+	out := outcome{group: a.group, start: a.at}
+	remaining := a.watch
 	front := a.front
-	for try := range mostTries {
+	for try := range maxTries {
 		r.mu.Lock()
 		p := r.fronts[front%len(r.fronts)]
 		r.mu.Unlock()
-		w := player.Want{Address: p.addr, Front: frontName(p.i), Group: r.d.Config.Groups[a.group].Name, Title: a.title,
-			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.d.Config.Groups[a.group].SetupTimeout, Watch: left, LeaveAfter: a.hasty,
-			Bandwidth: a.bandwidth, Tracks: a.tracks, Now: r.now, Witness: r.wit}
-		seen, err := player.Watch(ctx, w)
-		o.seen, o.retries = seen, try
-		if o.served = o.served || seen.Status == 200; try == 0 {
-			o.first = seen.Status == 200
+		w := player.Want{Address: p.addr, Front: frontName(p.index), Group: r.day.Config.Groups[a.group].Name, Title: a.title,
+			Token: fmt.Sprintf("%d.%d", i, try), SetupTimeout: r.day.Config.Groups[a.group].SetupTimeout, Watch: remaining, LeaveAfter: a.disconnectAfter,
+			Bandwidth: a.bandwidth, Tracks: a.tracks, Now: r.now, Witness: r.witness}
+		result, err := player.Watch(ctx, w)
+		out.result, out.retries = result, try
+		if out.served = out.served || result.Status == 200; try == 0 {
+			out.firstServed = result.Status == 200
 		}
-		left -= seen.Media
-		if err == nil || ctx.Err() != nil || left < 0.5 || a.hasty > 0 || a.dice[2*try%8] > r.d.viewers.again {
+		remaining -= result.Media
+		if err == nil || ctx.Err() != nil || remaining < 0.5 || a.disconnectAfter > 0 || a.draws[2*try%8] > r.day.viewers.returnShare {
 			break
 		}
-		pause := r.d.viewers.pause[0] + (r.d.viewers.pause[1]-r.d.viewers.pause[0])*a.dice[(2*try+1)%8]
+		pause := r.day.viewers.pause[0] + (r.day.viewers.pause[1]-r.day.viewers.pause[0])*a.draws[(2*try+1)%8]
 		if errors.Is(err, player.ErrNotServed) {
-			pause = max(pause, seen.RetryAfter)
+			pause = max(pause, result.RetryAfter)
 		}
-		front++ // any front will do, so the next one
-		if !r.until(ctx, time.Since(r.start).Seconds()+pause) {
+		front++ // retries go to the next front, as any may serve
+		if !r.sleepUntil(ctx, time.Since(r.start).Seconds()+pause) {
 			break
 		}
 	}
 	r.mu.Lock()
-	r.seen = append(r.seen, o)
+	r.outcomes = append(r.outcomes, out)
 	r.mu.Unlock()
 }
 
-// step is something that happens at an instant.
-type step struct {
+// action is the start or the end of an event.
+type action struct {
 	at   float64
 	what string
 	do   func()
 }
 
-// happen does the day's troubles in their order.
-func (r *run) happen(ctx context.Context, tell func(float64, string)) {
-	var steps []step
-	for _, h := range r.d.troubles {
-		steps = append(steps, r.steps(h)...)
+// runEvents carries out the day's events in order of time.
+func (r *run) runEvents(ctx context.Context, onEvent func(float64, string)) {
+	var actions []action
+	for _, v := range r.day.events {
+		actions = append(actions, r.actions(v)...)
 	}
-	for _, s := range r.d.boxes {
+	for _, s := range r.day.boxes {
 		if s.starts > 0 {
-			steps = append(steps, step{s.starts, fmt.Sprintf("box %d starts cold", s.id), func() {
+			actions = append(actions, action{s.starts, fmt.Sprintf("box %d starts cold", s.id), func() {
 				r.mu.Lock()
-				err := r.open(s, true)
-				entry := r.list[len(r.list)-1]
+				err := r.startBox(s, true)
+				entry := r.boxList[len(r.boxList)-1]
 				r.mu.Unlock()
 				if err != nil {
-					r.log.Error("a box did not start", zap.Error(err))
+					r.log.Error("starting a box failed", zap.Error(err))
 					return
 				}
-				r.say(entry)
+				r.notifyFronts(entry)
 			}})
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
-	for _, s := range steps {
-		if !r.until(ctx, s.at) {
+	slices.SortStableFunc(actions, func(a, b action) int { return cmp.Compare(a.at, b.at) })
+	for _, s := range actions {
+		if !r.sleepUntil(ctx, s.at) {
 			return
 		}
-		tell(s.at, s.what)
+		onEvent(s.at, s.what)
 		s.do()
 	}
 }
 
-// steps are a trouble's beginning and end.
-func (r *run) steps(h happening) []step {
-	id := h.e.Int("box")
-	b := func() *box.Box {
+// actions returns the actions that carry out an event.
+func (r *run) actions(v event) []action {
+	id := v.entry.Int("box")
+	getBox := func() *box.Box {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.boxes[id]
 	}
-	on := func(what string, do func(b *box.Box)) step {
-		return step{h.at, fmt.Sprintf("box %d %s", id, what), func() {
-			if x := b(); x != nil {
+	start := func(effect string, do func(b *box.Box)) action {
+		return action{v.at, fmt.Sprintf("box %d %s", id, effect), func() {
+			if x := getBox(); x != nil {
 				do(x)
 			}
 		}}
 	}
-	end := func(what string, do func(b *box.Box)) step {
-		s := on(what, do)
-		s.at += h.length
+	end := func(effect string, do func(b *box.Box)) action {
+		s := start(effect, do)
+		s.at += v.length
 		return s
 	}
 	restart := func(x *box.Box) {
 		x.Kill()
 		if err := x.Restart(); err != nil {
-			r.log.Error("a box did not come back", zap.Error(err))
+			r.log.Error("restarting a box failed", zap.Error(err))
 			return
 		}
-		r.change(id, func(e *settings.Box) { e.StartedAt, e.State = x.Born(), choice.Ready })
+		r.updateBox(id, func(e *settings.Box) { e.StartedAt, e.State = x.Born(), choice.Ready })
 	}
-	switch h.what {
+	switch v.kind {
 	case "hang":
-		return []step{on("stands still", (*box.Box).Hang), end("goes on", (*box.Box).Unhang)}
+		return []action{start("hangs", (*box.Box).Hang), end("resumes", (*box.Box).Unhang)}
 	case "hold":
-		return []step{on("answers nothing", (*box.Box).HoldAnswers), end("answers again", (*box.Box).Unhang)}
+		return []action{start("answers nothing", (*box.Box).HoldAnswers), end("answers again", (*box.Box).Unhang)}
 	case "silent":
-		return []step{on("is silent", (*box.Box).Hang), end("is back, cold", restart)}
+		return []action{start("hangs", (*box.Box).Hang), end("restarts cold", restart)}
 	case "kill":
-		return []step{on("dies", (*box.Box).Kill), end("is back, cold", restart)}
+		return []action{start("is killed", (*box.Box).Kill), end("restarts cold", restart)}
 	case "slow":
-		n := h.e.Number("times")
-		return []step{on(fmt.Sprintf("has a link %g times slower", n), func(x *box.Box) { x.Slow(n) }),
-			end("has its link back", func(x *box.Box) { x.Slow(1) })}
+		n := v.entry.Number("times")
+		return []action{start(fmt.Sprintf("has a link %g times slower", n), func(x *box.Box) { x.Slow(n) }),
+			end("has its full link again", func(x *box.Box) { x.Slow(1) })}
 	case "foreign":
-		n := h.e.Number("share") * r.stands[id].link
-		return []step{on("shares its link with another program", func(x *box.Box) { x.Foreign(n) }),
+		n := v.entry.Number("share") * r.boxSpecs[id].link
+		return []action{start("shares its link with another program", func(x *box.Box) { x.Foreign(n) }),
 			end("has its link to itself", func(x *box.Box) { x.Foreign(0) })}
 	case "refuse":
 		set := func(full bool) func(x *box.Box) {
@@ -433,22 +436,22 @@
 				r.mu.Unlock()
 			}
 		}
-		return []step{on("answers full", set(true)), end("takes SETUPs", set(false))}
+		return []action{start("refuses SETUPs as full", set(true)), end("accepts SETUPs again", set(false))}
 	case "errors":
-		n := h.e.Int("count")
-		return []step{on(fmt.Sprintf("answers %d errors", n), func(x *box.Box) { x.Errors(n) })}
+		n := v.entry.Int("count")
+		return []action{start(fmt.Sprintf("answers %d errors", n), func(x *box.Box) { x.Errors(n) })}
 	case "ageing":
-		var list []step
+		var list []action
 		for i := range 5 {
-			s := on(fmt.Sprintf("ages, %d of 5", i+1), func(x *box.Box) { x.Age(h.e.Number("times") * float64(i+1) / 5) })
-			s.at += h.length * float64(i) / 5
+			s := start(fmt.Sprintf("takes longer for SETUPs, step %d of 5", i+1), func(x *box.Box) { x.Age(v.entry.Number("times") * float64(i+1) / 5) })
+			s.at += v.length * float64(i) / 5
 			list = append(list, s)
 		}
-		return append(list, end("dies of age", (*box.Box).Kill))
+		return append(list, end("is killed after slowing down", (*box.Box).Kill))
 	case "drain":
-		return []step{on("drains", func(*box.Box) { r.change(id, func(e *settings.Box) { e.State = choice.Draining }) }),
+		return []action{start("drains", func(*box.Box) { r.updateBox(id, func(e *settings.Box) { e.State = choice.Draining }) }),
 			end("is gone", func(x *box.Box) {
-				r.change(id, func(e *settings.Box) { e.State = choice.Gone })
+				r.updateBox(id, func(e *settings.Box) { e.State = choice.Gone })
 				x.Kill()
 			})}
 	case "late_reports":
@@ -461,102 +464,105 @@
 				}
 			}
 		}
-		return []step{{h.at, "load reports come late", late(h.e.Number("by"))}, {h.at + h.length, "load reports come as usual", late(0)}}
+		return []action{{v.at, "load reports are delayed", late(v.entry.Number("by"))}, {v.at + v.length, "load reports are on time again", late(0)}}
 	case "short_rack":
-		rack, n := r.racks[h.e.Int("rack")], h.e.Number("times")
-		what := fmt.Sprintf("rack %d has ", h.e.Int("rack"))
-		return []step{{h.at, what + fmt.Sprintf("an uplink %g times slower", n), func() { rack.Short(n) }},
-			{h.at + h.length, what + "its uplink back", func() { rack.Short(1) }}}
+		rack, factor := r.racks[v.entry.Int("rack")], v.entry.Number("times")
+		what := fmt.Sprintf("rack %d has ", v.entry.Int("rack"))
+		return []action{{v.at, what + fmt.Sprintf("an uplink %g times slower", factor), func() { rack.Short(factor) }},
+			{v.at + v.length, what + "its full uplink again", func() { rack.Short(1) }}}
 	case "cut_zone":
-		zone := slices.Index(r.d.Config.Zones, h.e.Text("zone"))
+		zone := slices.Index(r.day.Config.Zones, v.entry.Text("zone"))
 		set := func(on bool) func() {
 			return func() {
 				r.mu.Lock()
-				r.cut[zone] = on
+				r.zonesCut[zone] = on
 				r.mu.Unlock()
 			}
 		}
-		return []step{{h.at, h.e.Text("zone") + " is cut off", set(true)}, {h.at + h.length, h.e.Text("zone") + " is back", set(false)}}
+		return []action{{v.at, v.entry.Text("zone") + " is cut off", set(true)}, {v.at + v.length, v.entry.Text("zone") + " is reachable again", set(false)}}
 	case "restart_front":
-		i := h.e.Int("front")
-		return []step{{h.at, frontName(i) + " is killed", func() { r.kill(i) }},
-			{h.at + h.length, frontName(i) + " starts again", func() {
-				if err := r.begin(i, r.fronts[i].addr); err != nil {
-					r.log.Error("a front did not come back", zap.Error(err))
+		i := v.entry.Int("front")
+		return []action{{v.at, frontName(i) + " is killed", func() { r.killFront(i) }},
+			{v.at + v.length, frontName(i) + " restarts", func() {
+				if err := r.startFront(i, r.fronts[i].addr); err != nil {
+					r.log.Error("restarting a front failed", zap.Error(err))
 				}
 			}}}
 	case "reload_front":
-		i := h.e.Int("front")
-		return []step{{h.at, frontName(i) + " takes new settings", func() { r.reload(i) }}}
+		i := v.entry.Int("front")
+		return []action{{v.at, frontName(i) + " reloads changed settings", func() { r.reloadFront(i) }}}
 	}
-	return nil // a crowd is in the arrivals
+	return nil // crowd: the arrivals account for it
 }
 
-// reload has a front take new settings. What rules count stays the same: the wait after a busy reply and the limits change.
-func (r *run) reload(i int) {
+// reloadFront makes a front reload changed settings. Only the retry time of busy replies and the limits change, so that the
+// bounds of the rules stay the same.
+func (r *run) reloadFront(i int) {
 	r.mu.Lock()
 	p := r.fronts[i]
 	r.mu.Unlock()
-	terms := r.termsOf(i)
-	r.spoil.terms(&terms)
-	p.reloads++ // the script's own goroutine alone
-	terms.Choice.MaxRetryAfter += float64(p.reloads%2) / 2
-	terms.Limits.Sessions += p.reloads % 2
-	plan, err := p.f.Reload(terms)
+	config := r.frontConfig(i)
+	r.sabotage.alterConfig(&config)
+	p.reloads++ // used only by the goroutine of runEvents
+	config.Choice.MaxRetryAfter += float64(p.reloads%2) / 2
+	config.Limits.Sessions += p.reloads % 2
+	plan, err := p.front.Reload(config)
 	if err != nil || len(plan.Rejections) > 0 {
-		r.log.Info("a reload was not taken", zap.Strings("why", plan.Rejections), zap.Error(err))
+		r.log.Info("reload rejected", zap.Strings("why", plan.Rejections), zap.Error(err))
 	}
-	// A word on the list that came while it was read must not be undone by it.
+	// Repeat the current list: the reload may have undone a notification that arrived after its list was read.
 	r.mu.Lock()
-	list := slices.Clone(r.list)
+	list := slices.Clone(r.boxList)
 	r.mu.Unlock()
-	p.f.UpdateBoxes(true, list)
+	p.front.UpdateBoxes(true, list)
 }
 
-func (r *run) kill(i int) {
+// killFront kills a front, after saving its state with Options.RestoreState.
+func (r *run) killFront(i int) {
 	r.mu.Lock()
 	p := r.fronts[i]
 	r.mu.Unlock()
-	if r.o.RestoreState {
-		if m, ok := p.f.Snapshot(); ok {
-			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
+	if r.options.RestoreState {
+		if m, ok := p.front.Snapshot(); ok {
+			r.snapshots[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
 		}
 	}
-	r.wit.FrontKilled(frontName(i), r.now())
-	p.f.Kill()
+	r.witness.FrontKilled(frontName(i), r.now())
+	p.front.Kill()
 	<-p.done
 	p.done <- nil
 }
 
-// change changes a box's entry in the list and lets the fronts know, each after its lag.
-func (r *run) change(id int, do func(e *settings.Box)) {
+// updateBox changes a box's entry in the list and notifies the fronts.
+func (r *run) updateBox(id int, do func(e *settings.Box)) {
 	r.mu.Lock()
-	i := slices.IndexFunc(r.list, func(e settings.Box) bool { return int(e.ID) == id })
+	i := slices.IndexFunc(r.boxList, func(e settings.Box) bool { return int(e.ID) == id })
 	if i < 0 {
 		r.mu.Unlock()
 		return
 	}
-	do(&r.list[i])
-	e := r.list[i]
+	do(&r.boxList[i])
+	e := r.boxList[i]
 	r.mu.Unlock()
-	r.say(e)
+	r.notifyFronts(e)
 }
 
-// say tells each front of an entry after a lag of its own. Words on one box keep their order, as the lags are short
-// beside what lies between them; a later word that overtook would be the list's fault and is not played.
-func (r *run) say(e settings.Box) {
-	for i := range r.d.Fronts {
-		lag := r.d.lag[0] + (r.d.lag[1]-r.d.lag[0])*r.rand.Float64()
-		r.work.Add(1)
+// notifyFronts notifies each front of an entry after a random lag of its own. Notifications of a box stay in order, as the
+// lags are short compared with the time between changes; reordering would be a fault of the list, which isn't simulated.
+func (r *run) notifyFronts(e settings.Box) {
+	for i := range r.day.Fronts {
+		lag := r.day.listLag[0] + (r.day.listLag[1]-r.day.listLag[0])*r.lagRand.Float64()
+		r.notifications.Add(1)
 		time.AfterFunc(time.Duration(lag*1e9), func() {
-			defer r.work.Done()
+			defer r.notifications.Done()
 			r.mu.Lock()
 			p := r.fronts[i]
 			r.mu.Unlock()
-			p.f.UpdateBoxes(false, []settings.Box{e})
-			// Stamped once the loop has taken it, or the front would be given less than its grace.
-			p.f.Sessions()
-			r.wit.FrontNotified(frontName(i), int(e.ID), e.State == choice.Ready, r.now())
+			p.front.UpdateBoxes(false, []settings.Box{e})
+			// Sessions returns after the event loop has taken the notification. An earlier timestamp would grant the front less
+			// than its grace.
+			p.front.Sessions()
+			r.witness.FrontNotified(frontName(i), int(e.ID), e.State == choice.Ready, r.now())
 		})
 	}
 }
--- a/internal/lab/day/sabotage.go
+++ b/internal/lab/day/sabotage.go
@@ -10,11 +10,11 @@
 	"rainhaven/internal/settings"
 )
 
-// Sabotage names the rule that a day's fronts are made to break, to see that the witness notices.
+// Sabotage names the rule that a day's fronts are made to break, to show that the witness detects it.
 type Sabotage string
 
-// The sabotages, one a rule: answers left out, SETUPs not withdrawn, SETUPs to a drained box, all SETUPs to a cold one,
-// rungs under the floor and no seats, no ration.
+// The sabotages, one for each rule: answers are omitted, SETUPs are not cancelled before the next, SETUPs go to a draining
+// box, all SETUPs go to a cold one, floors and seats are ignored, the retry budget is ignored.
 const (
 	NoSabotage          Sabotage = ""
 	OmitAnswers         Sabotage = "answers"
@@ -25,10 +25,10 @@
 	IgnoreRetryBudget   Sabotage = "ration"
 )
 
-// Sabotages are all of them.
+// Sabotages lists all sabotages.
 var Sabotages = []Sabotage{OmitAnswers, OverlapSetups, UseDrained, OverloadCold, IgnoreFloorAndSeats, IgnoreRetryBudget}
 
-// ParseSabotage reads a sabotage's name.
+// ParseSabotage returns the sabotage of a name; an empty name is NoSabotage.
 func ParseSabotage(s string) (Sabotage, error) {
 	if slices.Contains(Sabotages, Sabotage(s)) || s == "" {
 		return Sabotage(s), nil
@@ -37,10 +37,10 @@
 	for _, x := range Sabotages {
 		names = append(names, string(x))
 	}
-	return NoSabotage, fmt.Errorf("there is no sabotage %q; %s would be right", s, strings.Join(names, ", "))
+	return NoSabotage, fmt.Errorf("unknown sabotage %q; known are %s", s, strings.Join(names, ", "))
 }
 
-// Detected tells whether a verdict shows the sabotage.
+// Detected reports whether the verdict shows the violations that the sabotage causes; for NoSabotage, whether it shows none.
 func (s Sabotage) Detected(r *Report) bool {
 	v := r.Verdict
 	switch s {
@@ -60,9 +60,9 @@
 	return v.Violations() == 0
 }
 
-// terms spoils what a front is told of the rules.
-func (s Sabotage) terms(t *settings.Config) {
-	f := &t.Choice
+// alterConfig removes from a front's configuration the limits that the sabotage ignores.
+func (s Sabotage) alterConfig(config *settings.Config) {
+	f := &config.Choice
 	switch s {
 	case OverloadCold:
 		f.WarmUp, f.OverloadTime = 0, 0
@@ -76,67 +76,67 @@
 	}
 }
 
-// orders spoils what a front does.
-func (s Sabotage) orders(r *run) func(session.Actions) session.Actions {
+// wrapActions returns a wrapper that alters a front's actions, or nil for NoSabotage.
+func (s Sabotage) wrapActions(r *run) func(session.Actions) session.Actions {
 	if s == NoSabotage {
 		return nil
 	}
-	return func(o session.Actions) session.Actions {
-		return &spoiler{Actions: o, s: s, r: r}
+	return func(actions session.Actions) session.Actions {
+		return &sabotagedActions{Actions: actions, sabotage: s, run: r}
 	}
 }
 
-// spoiler is a front's orders, spoilt. A front's loop owns it.
-type spoiler struct {
+// sabotagedActions breaks a rule in the actions of a front. Only the front's event loop uses it.
+type sabotagedActions struct {
 	session.Actions
-	s Sabotage
-	r *run
-	n int
+	sabotage Sabotage
+	run      *run
+	answers  int
 }
 
-// Answer leaves out one in twenty.
-func (s *spoiler) Answer(id choice.SessID, v session.FinalAnswer, comeBack float64) {
-	if s.n++; s.s == OmitAnswers && s.n%20 == 0 {
+// Answer omits every twentieth answer under OmitAnswers.
+func (s *sabotagedActions) Answer(id choice.SessID, v session.FinalAnswer, retryAfter float64) {
+	if s.answers++; s.sabotage == OmitAnswers && s.answers%20 == 0 {
 		return
 	}
-	s.Actions.Answer(id, v, comeBack)
+	s.Actions.Answer(id, v, retryAfter)
 }
 
-// CancelSetup leaves a SETUP out when the next one goes.
-func (s *spoiler) CancelSetup(id choice.SessID, try int) {
-	if s.s != OverlapSetups {
+// CancelSetup leaves the SETUP in flight under OverlapSetups.
+func (s *sabotagedActions) CancelSetup(id choice.SessID, try int) {
+	if s.sabotage != OverlapSetups {
 		s.Actions.CancelSetup(id, try)
 	}
 }
 
-// Setup sends it where it must not go, or at a rung that it must not have.
-func (s *spoiler) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
-	var is func(settings.Box) bool
-	now, warm := s.r.now(), s.r.d.Config.Choice.WarmUp
-	switch s.s {
+// Setup sends the SETUP to a box that must not get it, or for a rung below the floor.
+func (s *sabotagedActions) Setup(id choice.SessID, try int, box choice.ServerID, rung int) {
+	var chosen func(settings.Box) bool
+	now, warm := s.run.now(), s.run.day.Config.Choice.WarmUp
+	switch s.sabotage {
 	case UseDrained:
-		is = func(b settings.Box) bool { return b.State == choice.Draining }
+		chosen = func(b settings.Box) bool { return b.State == choice.Draining }
 	case OverloadCold:
-		is = func(b settings.Box) bool { return b.StartedAt > 0 && now-b.StartedAt < warm }
-	case IgnoreRetryBudget: // box after box that turns it away
-		is = func(b settings.Box) bool { return s.r.refusing[int(b.ID)] }
+		chosen = func(b settings.Box) bool { return b.StartedAt > 0 && now-b.StartedAt < warm }
+	case IgnoreRetryBudget: // boxes that refuse SETUPs, so that each needs retries
+		chosen = func(b settings.Box) bool { return s.run.refusing[int(b.ID)] }
 	case IgnoreFloorAndSeats:
 		rung = 0
 	}
-	if is != nil {
-		box = s.r.find(is, box)
+	if chosen != nil {
+		box = s.run.findBox(chosen, box)
 	}
 	s.Actions.Setup(id, try, box, rung)
 }
 
-// find gives the first listed box that is so, or another.
-func (r *run) find(is func(settings.Box) bool, otherwise choice.ServerID) choice.ServerID {
+// findBox returns the first listed box that matches, or fallback.
+func (r *run) findBox(matches func(settings.Box) bool, fallback choice.ServerID) choice.ServerID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.list {
-		if is(b) {
+	for _, b := range r.boxList {
+		if matches(b) {
 			return b.ID
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/lab/day/storm.go
+++ b/internal/lab/day/storm.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Storm draws a day of so many requests under faults on both sides: boxes that do a random wrong to every tenth request,
-// broken clients, viewers that leave at any time, and a trouble a second. The same seed draws the same day.
+// Storm generates a day with the given number of requests, at rate a second, under faults on both sides: boxes that meet
+// every tenth request with a random fault, misbehaving clients, viewers that leave at any time, and an event about every
+// second. The same seed generates the same day.
 func Storm(seed uint64, requests int, rate float64) (*Day, error) {
 	r := rand.New(rand.NewPCG(seed, 9))
 	length := float64(requests) / rate
@@ -37,7 +38,7 @@
 		subject := fmt.Sprint("box ", box)
 		switch kind {
 		case "drain":
-			if drained++; drained > 3 || box < 5 { // it does not come back, and others must hold its titles
+			if drained++; drained > 3 || box < 5 { // a drained box does not return, and others must hold its titles
 				continue
 			}
 			lasts = 1 + r.Float64()
@@ -47,7 +48,7 @@
 			subject = fmt.Sprint("front ", box%3)
 		}
 		if busy[subject] > at {
-			continue // one trouble at a time for each
+			continue // one event at a time for each subject
 		}
 		if busy[subject] = at + lasts + 1; kind == "drain" {
 			busy[subject] = length + 100
--- a/internal/lab/witness/witness.go
+++ b/internal/lab/witness/witness.go
@@ -1,7 +1,7 @@
-// Package witness judges the six rules from the traffic that stand-in boxes and players see on their sockets. It knows
-// the rules and nothing of the module, and takes no front's word for anything: a request is followed through the
-// token that its viewer put into the URL. What it needs beside the traffic is what was done to the fronts from
-// outside: when each was started or killed and when it was told of a box.
+// Package witness checks the six rules of session set-up from the traffic that simulated boxes and players see on their
+// sockets. It is independent of the code under test and uses nothing that a front reports: a request is followed through
+// the token that its viewer put into the URL. Beside the traffic it is given only what was done to the fronts from
+// outside: when each was started or killed, and when it was notified of a box's state.
 package witness
 
 import (
@@ -13,300 +13,316 @@
 	"sync"
 )
 
-// Rules are the rules' figures.
+// Rules holds the bounds that are checked. Times are in seconds.
 type Rules struct {
 	Groups            map[string]Group
-	DrainGrace        float64 // seconds after which nothing new reaches a box told to be draining or gone
-	AnswerTolerance   float64 // seconds past the setup timeout in which an answer still counts
-	MaxStreams        float64 // streams of a box at most
+	DrainGrace        float64 // after a front was notified that a box is draining or gone, no SETUP may follow
+	AnswerTolerance   float64 // an answer this long after the setup timeout is still in time
+	MaxStreams        float64 // of a box
 	WarmUp            float64
 	ColdShare         float64
 	OverloadFactor    float64
 	OverloadTime      float64
-	BaseRetries       float64 // further SETUPs however few sessions are taken
-	RetriesPerSession float64 // and for each session taken
-	RetryWindow       float64 // within so many seconds; 0 is no ration
+	BaseRetries       float64 // retries allowed to a front however few requests it gets
+	RetriesPerSession float64 // further retries allowed for each request
+	RetryWindow       float64 // over which retries and requests are counted; 0 disables the check
 }
 
-// Group is a service group's part of the rules.
+// Group holds the bounds of a service group.
 type Group struct {
-	SetupTimeout float64
+	SetupTimeout float64 // seconds
 	Paid         bool
-	Floor        int
-	Seats        int // 0 is no cap
+	Floor        int // lowest rung allowed
+	Seats        int // sessions of a title that a front may hold; 0 is unlimited
 }
 
-// tolerance is by how much two taps may disagree on the order of things: each stamps in a goroutine of its own, which
-// a busy machine wakes late. SETUPs that a front lets overlap stay out for the box's time to answer or the wait.
-const tolerance = 0.25
+// orderTolerance, in seconds, is how far the timestamps of two observers may contradict the order of events: each is taken
+// in a goroutine of its own, which a busy machine schedules late. SETUPs that a front lets overlap are still detected, as
+// they stay in flight for the box's answer time or the front's wait.
+const orderTolerance = 0.25
 
-// setup is one SETUP for a session at a box.
+// maxNotes bounds the descriptions of violations that are kept.
+const maxNotes = 100
+
+// setup is a SETUP for a new session, as received by a box.
 type setup struct {
 	token, front, group, title string
 	box                        int
-	at                         float64
+	receivedAt                 float64
 	rung                       int
-	status                     int     // 0 while there is none
-	ended                      float64 // answered or withdrawn; +Inf while out
-	over                       float64 // the box no longer holds the session; +Inf while it does
+	status                     int     // 0 until answered
+	endedAt                    float64 // answered or cancelled; +Inf while in flight
+	releasedAt                 float64 // when the box dropped the session; +Inf while it holds it
 }
 
-type ask struct {
+// request is a viewer's first SETUP to a front, with what became of it.
+type request struct {
 	token, front, group string
-	at                  float64
+	sentAt              float64
 	answers             []answer
-	left                float64 // the viewer closed its connection; +Inf
-	broke               float64 // the connection was closed from the other side
+	leftAt              float64 // the viewer closed its connection; +Inf if it has not
+	connectionLostAt    float64 // the front closed the connection; +Inf if it has not
 }
 
 type answer struct {
-	at     float64
-	status int
-	safe   bool // it says that trying again is harmless
+	receivedAt float64
+	status     int
+	retrySafe  bool // the answer tells the viewer that a retry is harmless
 }
 
-type told struct {
+// notification tells a front whether a box is ready.
+type notification struct {
 	front string
 	box   int
 	at    float64
 	ready bool
 }
 
-// Witness collects what taps see. It grows with the day and is emptied by nothing: a day is bounded.
+// Witness records the observed traffic. Records are never removed: the length of a run bounds their number.
 type Witness struct {
-	mu     sync.Mutex
-	terms  Rules
-	asks   []*ask
-	byTok  map[string]*ask
-	setups []*setup
-	out    map[string]*setup // by box, connection and CSeq
-	held   map[string]*setup // by box and the box's session
-	told   []told
-	starts map[string][]float64 // of fronts
-	kills  map[string][]float64
-	born   map[int][]float64 // cold starts of boxes
-	floors int
-	notes  []string // what was found, in words; the first hundred
-}
-
-// New makes a witness.
-func New(t Rules) *Witness {
-	return &Witness{terms: t, byTok: map[string]*ask{}, out: map[string]*setup{}, held: map[string]*setup{},
-		starts: map[string][]float64{}, kills: map[string][]float64{}, born: map[int][]float64{}}
-}
-
-// Requested: a viewer has sent its first SETUP to a front. Times are seconds on one clock.
+	mu            sync.Mutex
+	rules         Rules
+	requests      []*request
+	byToken       map[string]*request
+	setups        []*setup
+	pending       map[string]*setup // by box, connection and CSeq
+	sessions      map[string]*setup // by box and the box's session
+	notifications []notification
+	frontStarts   map[string][]float64 // by front
+	frontKills    map[string][]float64
+	boxStarts     map[int][]float64 // cold starts, by box
+	belowFloor    int
+	notes         []string // descriptions of violations, at most maxNotes
+}
+
+// New returns an empty Witness that checks the given rules.
+func New(rules Rules) *Witness {
+	return &Witness{rules: rules, byToken: map[string]*request{}, pending: map[string]*setup{}, sessions: map[string]*setup{},
+		frontStarts: map[string][]float64{}, frontKills: map[string][]float64{}, boxStarts: map[int][]float64{}}
+}
+
+// Requested records that a viewer sent its first SETUP to a front. All times are seconds on one clock.
 func (w *Witness) Requested(token, front, group string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a := &ask{token: token, front: front, group: group, at: at, left: math.Inf(1), broke: math.Inf(1)}
-	w.asks = append(w.asks, a)
-	w.byTok[token] = a
+	req := &request{token: token, front: front, group: group, sentAt: at, leftAt: math.Inf(1), connectionLostAt: math.Inf(1)}
+	w.requests = append(w.requests, req)
+	w.byToken[token] = req
 }
 
-// Answered: a viewer has received an answer to that SETUP.
-func (w *Witness) Answered(token string, at float64, status int, safe bool) {
+// Answered records that a viewer received an answer to its first SETUP.
+func (w *Witness) Answered(token string, at float64, status int, retrySafe bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a := w.byTok[token]; a != nil {
-		a.answers = append(a.answers, answer{at, status, safe})
+	if req := w.byToken[token]; req != nil {
+		req.answers = append(req.answers, answer{at, status, retrySafe})
 	}
 }
 
-// ViewerLeft: a viewer has closed its connection, or given up.
+// ViewerLeft records that a viewer closed its connection or gave up.
 func (w *Witness) ViewerLeft(token string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a := w.byTok[token]; a != nil {
-		a.left = min(a.left, at)
+	if req := w.byToken[token]; req != nil {
+		req.leftAt = min(req.leftAt, at)
 	}
 }
 
-// ConnectionLost: a viewer's connection was ended from the front's side.
+// ConnectionLost records that the front ended a viewer's connection.
 func (w *Witness) ConnectionLost(token string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a := w.byTok[token]; a != nil {
-		a.broke = min(a.broke, at)
+	if req := w.byToken[token]; req != nil {
+		req.connectionLostAt = min(req.connectionLostAt, at)
 	}
 }
 
-func connKey(box int, conn uint64, cseq int) string { return fmt.Sprint(box, "/", conn, "/", cseq) }
-func heldKey(box int, session string) string        { return fmt.Sprint(box, "/", session) }
+func setupKey(box int, conn uint64, cseq int) string { return fmt.Sprint(box, "/", conn, "/", cseq) }
+func sessionKey(box int, session string) string      { return fmt.Sprint(box, "/", session) }
 
-// SetupReceived: a box has received a SETUP for a new session.
+// SetupReceived records that a box received a SETUP for a new session.
 func (w *Witness) SetupReceived(box int, conn uint64, cseq int, at float64, token, front, group, title string, rung int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := &setup{token: token, front: front, group: group, title: title, box: box, at: at, rung: rung,
-		ended: math.Inf(1), over: math.Inf(1)}
+	s := &setup{token: token, front: front, group: group, title: title, box: box, receivedAt: at, rung: rung,
+		endedAt: math.Inf(1), releasedAt: math.Inf(1)}
 	w.setups = append(w.setups, s)
-	w.out[connKey(box, conn, cseq)] = s
-	if g := w.terms.Groups[group]; rung < g.Floor {
-		w.floors++
-		w.note("%.2f: box %d got a SETUP at rung %d of %s, whose floor is %d", at, box, rung, group, g.Floor)
+	w.pending[setupKey(box, conn, cseq)] = s
+	if g := w.rules.Groups[group]; rung < g.Floor {
+		w.belowFloor++
+		w.addNote("%.2f: box %d received a SETUP for rung %d of group %s, below its floor %d", at, box, rung, group, g.Floor)
 	}
 }
 
-// SetupAnswered: a box has answered a SETUP.
+// SetupAnswered records that a box answered a SETUP.
 func (w *Witness) SetupAnswered(box int, conn uint64, cseq int, at float64, status int, session string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.out[connKey(box, conn, cseq)]
+	s := w.pending[setupKey(box, conn, cseq)]
 	if s == nil {
 		return
 	}
-	delete(w.out, connKey(box, conn, cseq))
-	if s.status = status; math.IsInf(s.ended, 1) {
-		s.ended = at
+	delete(w.pending, setupKey(box, conn, cseq))
+	if s.status = status; math.IsInf(s.endedAt, 1) {
+		s.endedAt = at
 	}
 	if status/100 == 2 {
-		w.held[heldKey(box, session)] = s
+		w.sessions[sessionKey(box, session)] = s
 	} else {
-		s.over = at
+		s.releasedAt = at
 	}
 }
 
-// SetupsCancelled: the front has closed its sending side of a connection to a box: SETUPs out on it are out no longer.
+// SetupsCancelled records that a front closed its sending side of a connection to a box, which cancels the SETUPs in
+// flight on it.
 func (w *Witness) SetupsCancelled(box int, conn uint64, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	prefix := fmt.Sprint(box, "/", conn, "/")
-	for k, s := range w.out {
-		if strings.HasPrefix(k, prefix) && math.IsInf(s.ended, 1) {
-			s.ended = at
-			s.over = min(s.over, at) // the front's part of it; what the box makes of it is an orphan
+	for k, s := range w.pending {
+		if strings.HasPrefix(k, prefix) && math.IsInf(s.endedAt, 1) {
+			s.endedAt = at
+			s.releasedAt = min(s.releasedAt, at) // for the front; a session that the box sets up all the same is an orphan
 		}
 	}
 }
 
-// SessionEnded: a box holds a session no longer.
+// SessionEnded records that a box dropped a session.
 func (w *Witness) SessionEnded(box int, session string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s := w.held[heldKey(box, session)]; s != nil {
-		s.over = min(s.over, at)
-		delete(w.held, heldKey(box, session))
+	if s := w.sessions[sessionKey(box, session)]; s != nil {
+		s.releasedAt = min(s.releasedAt, at)
+		delete(w.sessions, sessionKey(box, session))
 	}
 }
 
-// RungRequested: a box was asked to play a session at a rung.
+// RungRequested records that a box was asked to play a session at a rung.
 func (w *Witness) RungRequested(box int, session string, rung int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.held[heldKey(box, session)]
+	s := w.sessions[sessionKey(box, session)]
 	if s == nil {
 		return
 	}
-	if g := w.terms.Groups[s.group]; rung < g.Floor {
-		w.floors++
-		w.note("%.2f: box %d was asked for rung %d of %s, whose floor is %d", at, box, rung, s.group, g.Floor)
+	if g := w.rules.Groups[s.group]; rung < g.Floor {
+		w.belowFloor++
+		w.addNote("%.2f: box %d was asked to switch to rung %d of group %s, below its floor %d", at, box, rung, s.group, g.Floor)
 	}
 }
 
-// FrontNotified: a front was told that a box is ready, or that it is not.
+// FrontNotified records that a front was notified that a box is ready, or that it is not.
 func (w *Witness) FrontNotified(front string, box int, ready bool, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.told = append(w.told, told{front, box, at, ready})
+	w.notifications = append(w.notifications, notification{front, box, at, ready})
 }
 
-// FrontStarted and FrontKilled: what was done to a front.
+// FrontStarted records the start of a front.
 func (w *Witness) FrontStarted(front string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.starts[front] = append(w.starts[front], at)
+	w.frontStarts[front] = append(w.frontStarts[front], at)
 }
 
-// FrontKilled tells of a kill; requests that it held are nobody's duty any more.
+// FrontKilled records that a front was killed. The requests that it held need no answer.
 func (w *Witness) FrontKilled(front string, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.kills[front] = append(w.kills[front], at)
+	w.frontKills[front] = append(w.frontKills[front], at)
 }
 
-// BoxStarted: a box has started cold.
+// BoxStarted records a cold start of a box.
 func (w *Witness) BoxStarted(box int, at float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.born[box] = append(w.born[box], at)
+	w.boxStarts[box] = append(w.boxStarts[box], at)
 }
 
-func (w *Witness) note(format string, args ...any) {
-	if len(w.notes) < 100 {
+func (w *Witness) addNote(format string, args ...any) {
+	if len(w.notes) < maxNotes {
 		w.notes = append(w.notes, fmt.Sprintf(format, args...))
 	}
 }
 
-// Verdict counts what was seen.
+// Verdict counts the requests and the violations of each rule. The JSON names are part of the report's format.
 type Verdict struct {
-	Taken        int      `json:"Taken"`
-	Answered     int      `json:"Answered"`
-	Lost         int      `json:"Lost"`
-	Doubled      int      `json:"Doubled"`
-	Late         int      `json:"Late"`
-	DrainedLate  int      `json:"DrainedLate"`
-	ColdOverload int      `json:"ColdOver"`
-	BelowFloor   int      `json:"Floor"`
-	OverSeats    int      `json:"Seats"`
-	RetryBudget  int      `json:"Ration"`
-	Busy         int      `json:"Busy"`
-	Failed       int      `json:"TornDown"`
-	Abandoned    int      `json:"GivenUp"`
-	HeldByKilled int      `json:"Killed"`
-	Retries      int      `json:"Further"`
-	Orphans      int      `json:"Orphans"`
-	Notes        []string `json:"Notes"`
-}
-
-// Violations is how many times any rule was broken.
+	Taken    int `json:"Taken"` // requests that had to be answered
+	Answered int `json:"Answered"`
+
+	// Violations.
+	Lost         int `json:"Lost"`        // requests without an answer
+	Doubled      int `json:"Doubled"`     // second answers, overlapping SETUPs, retries of paid SETUPs that may have run
+	Late         int `json:"Late"`        // answers after the deadline
+	DrainedLate  int `json:"DrainedLate"` // SETUPs to a draining or removed box after the grace
+	ColdOverload int `json:"ColdOver"`    // SETUPs beyond what a cold box can take
+	BelowFloor   int `json:"Floor"`       // rungs below a group's floor
+	OverSeats    int `json:"Seats"`       // sessions beyond a title's seats
+	RetryBudget  int `json:"Ration"`      // retries beyond the retry budget
+
+	// Other counts.
+	Busy         int `json:"Busy"`     // requests answered with 503
+	Failed       int `json:"TornDown"` // requests answered with another error
+	Abandoned    int `json:"GivenUp"`  // requests whose viewer left before the deadline, without an answer
+	HeldByKilled int `json:"Killed"`   // unanswered requests of fronts that were killed
+	Retries      int `json:"Further"`  // SETUPs to boxes beyond the first of a request
+	Orphans      int `json:"Orphans"`  // sessions that a box set up after the viewer had left, and kept
+
+	Notes []string `json:"Notes"` // descriptions of violations
+}
+
+// Violations returns the number of violations of all rules.
 func (v Verdict) Violations() int {
 	return v.Lost + v.Doubled + v.Late + v.DrainedLate + v.ColdOverload + v.BelowFloor + v.OverSeats + v.RetryBudget
 }
 
+// String formats the counts of requests and violations as the last line of a report.
 func (v Verdict) String() string {
 	return fmt.Sprintf("taken %d answered %d lost %d doubled %d late %d drained-late %d cold-over %d floor %d seats %d ration %d",
 		v.Taken, v.Answered, v.Lost, v.Doubled, v.Late, v.DrainedLate, v.ColdOverload, v.BelowFloor, v.OverSeats, v.RetryBudget)
 }
 
-// Evaluate counts up to instant now, at which nothing may be under way any more.
+// Evaluate checks all rules on what was recorded up to now, when no request may be in progress any more. It may be called
+// again.
 func (w *Witness) Evaluate(now float64) Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	notes := len(w.notes)
 	defer func() { w.notes = w.notes[:notes] }()
-	v := Verdict{BelowFloor: w.floors}
-	w.answers(&v, now)
-	w.doubles(&v)
-	w.drains(&v)
-	w.cold(&v)
-	w.seats(&v, now)
-	w.ration(&v)
+	v := Verdict{BelowFloor: w.belowFloor}
+	w.checkAnswers(&v, now)
+	w.checkDuplicates(&v)
+	w.checkDrains(&v)
+	w.checkColdBoxes(&v)
+	w.checkSeats(&v, now)
+	w.checkRetryBudget(&v)
 	v.Notes = slices.Clone(w.notes)
 	return v
 }
 
-// killed tells whether a front was killed between two instants.
-func (w *Witness) killed(front string, from, to float64) bool {
-	return slices.ContainsFunc(w.kills[front], func(at float64) bool { return at >= from-tolerance && at <= to+tolerance })
+// frontKilledBetween reports whether a front was killed between two instants, give or take orderTolerance.
+func (w *Witness) frontKilledBetween(front string, from, to float64) bool {
+	return slices.ContainsFunc(w.frontKills[front], func(at float64) bool { return at >= from-orderTolerance && at <= to+orderTolerance })
 }
 
-func (w *Witness) answers(v *Verdict, now float64) {
-	for _, a := range w.asks {
+// checkAnswers checks that each request got exactly one answer in time. Requests that a viewer abandoned before the
+// deadline, and those of a killed front, need none.
+func (w *Witness) checkAnswers(v *Verdict, now float64) {
+	for _, req := range w.requests {
 		v.Taken++
-		by := a.at + w.terms.Groups[a.group].SetupTimeout + w.terms.AnswerTolerance
-		switch len(a.answers) {
+		deadline := req.sentAt + w.rules.Groups[req.group].SetupTimeout + w.rules.AnswerTolerance
+		switch len(req.answers) {
 		case 0:
 			switch {
-			case w.killed(a.front, a.at, min(by, a.broke)):
+			case w.frontKilledBetween(req.front, req.sentAt, min(deadline, req.connectionLostAt)):
 				v.HeldByKilled++
 				v.Taken--
-			case a.left < by:
+			case req.leftAt < deadline:
 				v.Abandoned++
 				v.Taken--
-			case now >= by:
+			case now >= deadline:
 				v.Lost++
-				w.note("%.2f: %s of %s at %s got no answer", a.at, a.token, a.group, a.front)
+				w.addNote("%.2f: request %s of group %s got no answer from %s", req.sentAt, req.token, req.group, req.front)
 			}
 			continue
 		case 1:
@@ -314,12 +330,12 @@
 		default:
 			v.Answered++
 			v.Doubled++
-			w.note("%.2f: %s got %d answers", a.at, a.token, len(a.answers))
+			w.addNote("%.2f: request %s got %d answers", req.sentAt, req.token, len(req.answers))
 		}
-		first := a.answers[0]
-		if first.at > by {
+		first := req.answers[0]
+		if first.receivedAt > deadline {
 			v.Late++
-			w.note("%.2f: %s of %s was answered after %.3f s", a.at, a.token, a.group, first.at-a.at)
+			w.addNote("%.2f: request %s of group %s was answered after %.3f s", req.sentAt, req.token, req.group, first.receivedAt-req.sentAt)
 		}
 		switch {
 		case first.status == 503:
@@ -330,166 +346,173 @@
 	}
 }
 
-// neverRan tells whether a box's answer proves that nothing ran.
-func neverRan(status int) bool { return status == 453 || status == 503 }
+// provesNotStarted reports whether a box's answer proves that the SETUP started nothing.
+func provesNotStarted(status int) bool { return status == 453 || status == 503 }
 
-func (w *Witness) doubles(v *Verdict) {
-	of := map[string][]*setup{}
+// checkDuplicates checks that a request never has two SETUPs in flight, that a paid one is not sent again and not reported
+// as safe to retry once a SETUP of it may have run. It also counts retries and orphans.
+func (w *Witness) checkDuplicates(v *Verdict) {
+	byToken := map[string][]*setup{}
 	for _, s := range w.setups {
-		of[s.token] = append(of[s.token], s)
+		byToken[s.token] = append(byToken[s.token], s)
 	}
-	for _, a := range w.asks {
-		list := of[a.token]
-		slices.SortStableFunc(list, func(x, y *setup) int { return cmp.Compare(x.at, y.at) })
-		paid := w.terms.Groups[a.group].Paid
-		mayRan := false
+	for _, req := range w.requests {
+		list := byToken[req.token]
+		slices.SortStableFunc(list, func(x, y *setup) int { return cmp.Compare(x.receivedAt, y.receivedAt) })
+		paid := w.rules.Groups[req.group].Paid
+		mayHaveRun := false
 		for i, s := range list {
 			if i > 0 {
 				v.Retries++
 			}
 			for _, o := range list[:i] {
-				if o.ended > s.at+tolerance {
+				if o.endedAt > s.receivedAt+orderTolerance {
 					v.Doubled++
-					w.note("%.2f: %s has a SETUP at box %d while one is out at box %d since %.2f", s.at, a.token, s.box, o.box, o.at)
+					w.addNote("%.2f: request %s has a SETUP at box %d while another is in flight at box %d since %.2f", s.receivedAt, req.token, s.box, o.box, o.receivedAt)
 				}
 			}
-			if paid && mayRan {
+			if paid && mayHaveRun {
 				v.Doubled++
-				w.note("%.2f: paid %s has a SETUP at box %d after one that may have run", s.at, a.token, s.box)
+				w.addNote("%.2f: paid request %s has a SETUP at box %d after one that may have run", s.receivedAt, req.token, s.box)
 			}
-			mayRan = mayRan || !neverRan(s.status)
+			mayHaveRun = mayHaveRun || !provesNotStarted(s.status)
 		}
-		if paid && mayRan && len(a.answers) > 0 && a.answers[0].safe {
+		if paid && mayHaveRun && len(req.answers) > 0 && req.answers[0].retrySafe {
 			v.Doubled++
-			w.note("%.2f: paid %s was busy-replied after a SETUP that may have run", a.at, a.token)
+			w.addNote("%.2f: paid request %s was reported as safe to retry after a SETUP that may have run", req.sentAt, req.token)
 		}
 	}
 	for _, s := range w.setups {
-		if a := w.byTok[s.token]; s.status/100 == 2 && a != nil && math.IsInf(s.over, 1) && a.left < s.ended {
+		if req := w.byToken[s.token]; s.status/100 == 2 && req != nil && math.IsInf(s.releasedAt, 1) && req.leftAt < s.endedAt {
 			v.Orphans++
 		}
 	}
 }
 
-func (w *Witness) drains(v *Verdict) {
+// checkDrains checks that a front sends a box no SETUP later than the grace after the notification that it is not ready.
+func (w *Witness) checkDrains(v *Verdict) {
 	for _, s := range w.setups {
 		ready, since := true, 0.0
-		for _, t := range w.told {
-			if t.front == s.front && t.box == s.box && t.at <= s.at {
+		for _, t := range w.notifications {
+			if t.front == s.front && t.box == s.box && t.at <= s.receivedAt {
 				if t.ready != ready {
 					since = t.at
 				}
 				ready = t.ready
 			}
 		}
-		if !ready && s.at-since > w.terms.DrainGrace {
+		if !ready && s.receivedAt-since > w.rules.DrainGrace {
 			v.DrainedLate++
-			w.note("%.2f: %s sent a SETUP to box %d, %.2f s after it was told not to", s.at, s.front, s.box, s.at-since)
+			w.addNote("%.2f: %s sent a SETUP to box %d, %.2f s after the notification that it is not ready", s.receivedAt, s.front, s.box, s.receivedAt-since)
 		}
 	}
 }
 
-// cold counts windows in which a cold box was sent more than it can take, as the box itself falls over by.
-func (w *Witness) cold(v *Verdict) {
-	if w.terms.WarmUp <= 0 || w.terms.OverloadTime <= 0 {
+// checkColdBoxes counts the SETUPs that exceed a cold box's limit within the overload time, by the formula that the
+// simulated box itself uses.
+func (w *Witness) checkColdBoxes(v *Verdict) {
+	if w.rules.WarmUp <= 0 || w.rules.OverloadTime <= 0 {
 		return
 	}
-	at := map[int][]float64{}
+	sentAt := map[int][]float64{}
 	for _, s := range w.setups {
-		at[s.box] = append(at[s.box], s.at)
+		sentAt[s.box] = append(sentAt[s.box], s.receivedAt)
 	}
-	for _, list := range at {
+	for _, list := range sentAt {
 		slices.Sort(list)
 	}
-	for box, starts := range w.born {
-		for _, born := range starts {
-			for i, t := range at[box] {
-				if t < born || t > born+w.terms.WarmUp {
+	for box, starts := range w.boxStarts {
+		for _, startedAt := range starts {
+			for i, t := range sentAt[box] {
+				if t < startedAt || t > startedAt+w.rules.WarmUp {
 					continue
 				}
 				n := 0
-				for j := i; j >= 0 && at[box][j] > t-w.terms.OverloadTime && at[box][j] >= born; j-- {
+				for j := i; j >= 0 && sentAt[box][j] > t-w.rules.OverloadTime && sentAt[box][j] >= startedAt; j-- {
 					n++
 				}
-				if limit := ColdSetupLimit(w.terms.MaxStreams, w.terms.WarmUp, w.terms.ColdShare, w.terms.OverloadFactor, w.terms.OverloadTime, t-born); float64(n) > limit {
+				if limit := ColdSetupLimit(w.rules.MaxStreams, w.rules.WarmUp, w.rules.ColdShare, w.rules.OverloadFactor, w.rules.OverloadTime, t-startedAt); float64(n) > limit {
 					v.ColdOverload++
-					w.note("%.2f: cold box %d got %d SETUPs within %.1f s, %.1f are its limit", t, box, n, w.terms.OverloadTime, limit)
+					w.addNote("%.2f: cold box %d received %d SETUPs within %.1f s, limit %.1f", t, box, n, w.rules.OverloadTime, limit)
 				}
 			}
 		}
 	}
 }
 
-// ColdSetupLimit is how many SETUPs a cold box that started age seconds ago can be sent within the fall time: its places over
-// its warm-up, times the share that it has warmed, times the factor.
-func ColdSetupLimit(places, warmUp, coldShare, factor, fall, age float64) float64 {
+// ColdSetupLimit returns how many SETUPs a box that started cold age seconds ago can take within the overload time: its
+// streams per second of warm-up, scaled by how far it has warmed up and by the overload factor.
+func ColdSetupLimit(maxStreams, warmUp, coldShare, overloadFactor, overloadTime, age float64) float64 {
 	share := min(coldShare+(1-coldShare)*age/warmUp, 1)
-	return factor * places / warmUp * share * fall
+	return overloadFactor * maxStreams / warmUp * share * overloadTime
 }
 
-func (w *Witness) seats(v *Verdict, now float64) {
-	type seat struct{ front, group, title string }
-	of := map[seat][]*setup{}
+// checkSeats checks that a front holds no more sessions of a title than the group has seats.
+func (w *Witness) checkSeats(v *Verdict, now float64) {
+	type seatKey struct{ front, group, title string }
+	bySeats := map[seatKey][]*setup{}
 	for _, s := range w.setups {
-		if w.terms.Groups[s.group].Seats > 0 {
-			k := seat{s.front, s.group, s.title}
-			of[k] = append(of[k], s)
+		if w.rules.Groups[s.group].Seats > 0 {
+			k := seatKey{s.front, s.group, s.title}
+			bySeats[k] = append(bySeats[k], s)
 		}
 	}
-	for k, list := range of {
-		most := w.terms.Groups[k.group].Seats
+	for k, list := range bySeats {
+		limit := w.rules.Groups[k.group].Seats
 		for _, s := range list {
 			n := 0
 			for _, o := range list {
-				// Those of a killed front are not the restarted one's.
-				if o.at <= s.at && min(o.over, now) > s.at+tolerance && !w.killed(k.front, o.at, s.at) {
+				// Sessions of a killed front don't count for the restarted one.
+				if o.receivedAt <= s.receivedAt && min(o.releasedAt, now) > s.receivedAt+orderTolerance && !w.frontKilledBetween(k.front, o.receivedAt, s.receivedAt) {
 					n++
 				}
 			}
-			if n > most && s.over > s.at+tolerance {
+			if n > limit && s.releasedAt > s.receivedAt+orderTolerance {
 				v.OverSeats++
-				w.note("%.2f: %s holds %d sessions of %s in %s, %d are its seats", s.at, k.front, n, k.title, k.group, most)
+				w.addNote("%.2f: %s holds %d sessions of title %s in group %s, which has %d seats", s.receivedAt, k.front, n, k.title, k.group, limit)
 			}
 		}
 	}
 }
 
-func (w *Witness) ration(v *Verdict) {
-	if w.terms.RetryWindow <= 0 {
+// checkRetryBudget checks that the retries of a front within any window stay within the base allowance and the share of
+// its requests. The window begins anew when a front starts.
+func (w *Witness) checkRetryBudget(v *Verdict) {
+	if w.rules.RetryWindow <= 0 {
 		return
 	}
-	taken, further, seen := map[string][]float64{}, map[string][]float64{}, map[string]bool{}
-	for _, a := range w.asks {
-		taken[a.front] = append(taken[a.front], a.at)
+	requestTimes, retryTimes, seen := map[string][]float64{}, map[string][]float64{}, map[string]bool{}
+	for _, req := range w.requests {
+		requestTimes[req.front] = append(requestTimes[req.front], req.sentAt)
 	}
 	list := slices.Clone(w.setups)
-	slices.SortStableFunc(list, func(x, y *setup) int { return cmp.Compare(x.at, y.at) })
+	slices.SortStableFunc(list, func(x, y *setup) int { return cmp.Compare(x.receivedAt, y.receivedAt) })
 	for _, s := range list {
 		if seen[s.token] {
-			further[s.front] = append(further[s.front], s.at)
+			retryTimes[s.front] = append(retryTimes[s.front], s.receivedAt)
 		}
 		seen[s.token] = true
 	}
-	for front, list := range further {
+	for front, list := range retryTimes {
 		for i, t := range list {
-			from := t - w.terms.RetryWindow
-			for _, start := range w.starts[front] {
+			windowStart := t - w.rules.RetryWindow
+			for _, start := range w.frontStarts[front] {
 				if start <= t {
-					from = max(from, start)
+					windowStart = max(windowStart, start)
 				}
 			}
 			n, sessions := 0, 0
-			for j := i; j >= 0 && list[j] > from; j-- {
+			for j := i; j >= 0 && list[j] > windowStart; j-- {
 				n++
 			}
-			for _, at := range taken[front] {
-				if at > from && at <= t {
+			for _, at := range requestTimes[front] {
+				if at > windowStart && at <= t {
 					sessions++
 				}
 			}
-			if float64(n) > w.terms.BaseRetries+w.terms.RetriesPerSession*float64(sessions) {
+			if float64(n) > w.rules.BaseRetries+w.rules.RetriesPerSession*float64(sessions) {
 				v.RetryBudget++
-				w.note("%.2f: %s sent %d further SETUPs within %.0f s, with %d sessions taken", t, front, n, w.terms.RetryWindow, sessions)
+				w.addNote("%.2f: %s sent %d retries within %.0f s, for %d requests", t, front, n, w.rules.RetryWindow, sessions)
 			}
 		}
 	}
--- a/internal/lab/witness/witness_test.go
+++ b/internal/lab/witness/witness_test.go
@@ -8,105 +8,107 @@
 	"testing"
 )
 
-func terms() Rules {
+func testRules() Rules {
 	return Rules{Groups: map[string]Group{"clips": {SetupTimeout: 3, Floor: 1, Seats: 2}, "exam": {SetupTimeout: 3, Paid: true}},
-		DrainGrace: 0.5, AnswerTolerance: 0.04, MaxStreams: 20, WarmUp: 10, ColdShare: 0.4, OverloadFactor: 4, OverloadTime: 1.5, BaseRetries: 2, RetriesPerSession: 0.1, RetryWindow: 10}
+		DrainGrace: 0.5, AnswerTolerance: 0.04, MaxStreams: 20, WarmUp: 10, ColdShare: 0.4, OverloadFactor: 4, OverloadTime: 1.5,
+		BaseRetries: 2, RetriesPerSession: 0.1, RetryWindow: 10}
 }
 
-// traffic writes a day down shortly.
+// traffic records the events of test cases in short form.
 type traffic struct {
 	*Witness
-	serial int
+	lastID int
 }
 
 func newTraffic() *traffic {
-	t := &traffic{Witness: New(terms())}
+	t := &traffic{Witness: New(testRules())}
 	t.FrontStarted("f", 0)
 	return t
 }
 
-// served is a session that is asked for, set up at a box and answered.
-func (t *traffic) served(group, title string, box int, at float64) (token, session string) {
-	t.serial++
-	token, session = fmt.Sprint("v", t.serial), fmt.Sprint("s", t.serial)
+// serveSession records a session that is requested, set up at a box and answered.
+func (t *traffic) serveSession(group, title string, box int, at float64) (token, session string) {
+	t.lastID++
+	token, session = fmt.Sprint("v", t.lastID), fmt.Sprint("s", t.lastID)
 	t.Requested(token, "f", group, at)
-	t.SetupReceived(box, uint64(t.serial), 1, at+0.01, token, "f", group, title, 1)
-	t.SetupAnswered(box, uint64(t.serial), 1, at+0.02, 200, session)
+	t.SetupReceived(box, uint64(t.lastID), 1, at+0.01, token, "f", group, title, 1)
+	t.SetupAnswered(box, uint64(t.lastID), 1, at+0.02, 200, session)
 	t.Answered(token, at+0.03, 200, false)
 	return token, session
 }
 
-func (t *traffic) over(box int, session, token string, at float64) {
+func (t *traffic) endSession(box int, session, token string, at float64) {
 	t.SessionEnded(box, session, at)
 	t.ViewerLeft(token, at)
 }
 
-// Traffic that keeps all rules, and the same with one broken once: each is seen, and nothing else.
-func TestEachRuleBrokenOnce(t *testing.T) {
+// Each case breaks one rule once, or none: exactly that violation must be counted, as a check that misses violations or
+// reports false ones would invalidate every run that relies on it.
+func TestEachViolationIsCounted(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(t *traffic)
 		want string // the count that must be 1; empty is none
 	}{
-		"all kept": {func(t *traffic) {
-			tok, s := t.served("clips", "a", 1, 1)
-			t.over(1, s, tok, 20)
-			tok, s = t.served("clips", "a", 2, 2)
-			t.over(2, s, tok, 21)
-			tok, s = t.served("clips", "a", 2, 21.1)
-			t.over(2, s, tok, 30)
+		"no violation": {func(t *traffic) {
+			tok, s := t.serveSession("clips", "a", 1, 1)
+			t.endSession(1, s, tok, 20)
+			tok, s = t.serveSession("clips", "a", 2, 2)
+			t.endSession(2, s, tok, 21)
+			tok, s = t.serveSession("clips", "a", 2, 21.1)
+			t.endSession(2, s, tok, 30)
 		}, ""},
 		"no answer": {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.ViewerLeft("x", 4.2) }, "lost"},
-		"given up":  {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.ViewerLeft("x", 2) }, ""},
-		"held by a killed": {func(t *traffic) {
+		"abandoned": {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.ViewerLeft("x", 2) }, ""},
+		"held by a killed front": {func(t *traffic) {
 			t.Requested("x", "f", "clips", 1)
 			t.FrontKilled("f", 2)
 			t.ConnectionLost("x", 2)
 			t.ViewerLeft("x", 2)
 		}, ""},
-		"cut off, not killed":   {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.ConnectionLost("x", 2); t.ViewerLeft("x", 9) }, "lost"},
-		"two answers":           {func(t *traffic) { tok, _ := t.served("clips", "a", 1, 1); t.Answered(tok, 1.5, 200, false) }, "doubled"},
-		"answer too late":       {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.Answered("x", 4.1, 503, true) }, "late"},
-		"answer at the end":     {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.Answered("x", 4.03, 503, true) }, ""},
-		"refused, then another": {func(t *traffic) { t.setups("clips", 453, 0.1, true) }, ""},
-		"error, then another":   {func(t *traffic) { t.setups("clips", 500, 0.1, true) }, ""},
-		"paid, refused":         {func(t *traffic) { t.setups("exam", 453, 0.1, true) }, ""},
-		"paid, error, another":  {func(t *traffic) { t.setups("exam", 500, 0.1, true) }, "doubled"},
-		"paid, withdrawn":       {func(t *traffic) { t.setups("exam", 0, 0.5, true) }, "doubled"},
-		"withdrawn, another":    {func(t *traffic) { t.setups("clips", 0, 0.5, true) }, ""},
-		"two out":               {func(t *traffic) { t.setups("clips", 0, 0.5, false) }, "doubled"},
-		"paid, busy-replied": {func(t *traffic) {
+		"connection lost, front alive":  {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.ConnectionLost("x", 2); t.ViewerLeft("x", 9) }, "lost"},
+		"two answers":                   {func(t *traffic) { tok, _ := t.serveSession("clips", "a", 1, 1); t.Answered(tok, 1.5, 200, false) }, "doubled"},
+		"answer too late":               {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.Answered("x", 4.1, 503, true) }, "late"},
+		"answer within the tolerance":   {func(t *traffic) { t.Requested("x", "f", "clips", 1); t.Answered("x", 4.03, 503, true) }, ""},
+		"refused, then retried":         {func(t *traffic) { t.twoSetups("clips", 453, 0.1, true) }, ""},
+		"error, then retried":           {func(t *traffic) { t.twoSetups("clips", 500, 0.1, true) }, ""},
+		"paid, refused, then retried":   {func(t *traffic) { t.twoSetups("exam", 453, 0.1, true) }, ""},
+		"paid, error, then retried":     {func(t *traffic) { t.twoSetups("exam", 500, 0.1, true) }, "doubled"},
+		"paid, cancelled, then retried": {func(t *traffic) { t.twoSetups("exam", 0, 0.5, true) }, "doubled"},
+		"cancelled, then retried":       {func(t *traffic) { t.twoSetups("clips", 0, 0.5, true) }, ""},
+		"two in flight":                 {func(t *traffic) { t.twoSetups("clips", 0, 0.5, false) }, "doubled"},
+		"paid, error, then busy reply": {func(t *traffic) {
 			t.Requested("x", "f", "exam", 1)
 			t.SetupReceived(1, 1, 1, 1.1, "x", "f", "exam", "a", 1)
 			t.SetupAnswered(1, 1, 1, 1.2, 500, "")
 			t.Answered("x", 1.3, 503, true)
 		}, "doubled"},
-		"within the grace": {func(t *traffic) { t.FrontNotified("f", 1, false, 0.9); t.served("clips", "a", 1, 1) }, ""},
-		"past the grace":   {func(t *traffic) { t.FrontNotified("f", 1, false, 0.2); t.served("clips", "a", 1, 1) }, "drained-late"},
+		"within the drain grace": {func(t *traffic) { t.FrontNotified("f", 1, false, 0.9); t.serveSession("clips", "a", 1, 1) }, ""},
+		"past the drain grace":   {func(t *traffic) { t.FrontNotified("f", 1, false, 0.2); t.serveSession("clips", "a", 1, 1) }, "drained-late"},
 		"ready again": {func(t *traffic) {
 			t.FrontNotified("f", 1, false, 0.1)
 			t.FrontNotified("f", 1, true, 0.2)
-			t.served("clips", "a", 1, 1)
+			t.serveSession("clips", "a", 1, 1)
 		}, ""},
-		"told another front": {func(t *traffic) { t.FrontNotified("g", 1, false, 0.1); t.served("clips", "a", 1, 1) }, ""},
-		"cold, at its limit": {func(t *traffic) { t.cold(5) }, ""},
-		"cold, one more":     {func(t *traffic) { t.cold(6) }, "cold-over"},
-		"under the floor":    {func(t *traffic) { t.SetupReceived(1, 1, 1, 1, "x", "f", "clips", "a", 0) }, "floor"},
-		"stepped under it":   {func(t *traffic) { _, s := t.served("clips", "a", 1, 1); t.RungRequested(1, s, 0, 2) }, "floor"},
-		"stepped to it":      {func(t *traffic) { _, s := t.served("clips", "a", 1, 1); t.RungRequested(1, s, 1, 2) }, ""},
-		"a seat too many": {func(t *traffic) {
+		"another front notified":   {func(t *traffic) { t.FrontNotified("g", 1, false, 0.1); t.serveSession("clips", "a", 1, 1) }, ""},
+		"cold box at its limit":    {func(t *traffic) { t.coldSetups(5) }, ""},
+		"cold box over its limit":  {func(t *traffic) { t.coldSetups(6) }, "cold-over"},
+		"SETUP below the floor":    {func(t *traffic) { t.SetupReceived(1, 1, 1, 1, "x", "f", "clips", "a", 0) }, "floor"},
+		"switched below the floor": {func(t *traffic) { _, s := t.serveSession("clips", "a", 1, 1); t.RungRequested(1, s, 0, 2) }, "floor"},
+		"switched to the floor":    {func(t *traffic) { _, s := t.serveSession("clips", "a", 1, 1); t.RungRequested(1, s, 1, 2) }, ""},
+		"one session over the seats": {func(t *traffic) {
 			for i := range 3 {
-				t.served("clips", "a", i+1, 1+float64(i)/2)
+				t.serveSession("clips", "a", i+1, 1+float64(i)/2)
 			}
 		}, "seats"},
 		"another title": {func(t *traffic) {
 			for i := range 3 {
-				t.served("clips", fmt.Sprint(i/2), i+1, 1)
+				t.serveSession("clips", fmt.Sprint(i/2), i+1, 1)
 			}
 		}, ""},
-		"within the ration": {func(t *traffic) { t.further(2) }, ""},
-		"past the ration":   {func(t *traffic) { t.further(3) }, "ration"},
-		"ration after a restart": {func(t *traffic) {
-			t.further(2)
+		"within the retry budget": {func(t *traffic) { t.retries(2) }, ""},
+		"over the retry budget":   {func(t *traffic) { t.retries(3) }, "ration"},
+		"retry budget after a restart": {func(t *traffic) {
+			t.retries(2)
 			t.FrontStarted("f", 1.5)
 			t.Requested("y", "f", "clips", 1.6)
 			for i := range 2 {
@@ -131,19 +133,20 @@
 				}
 			}
 			if again := tr.Evaluate(100); fmt.Sprint(again) != fmt.Sprint(v) {
-				t.Errorf("judged again: %v, before %v", again, v)
+				t.Errorf("evaluated again: %v, before: %v", again, v)
 			}
 		})
 	}
 }
 
-// setups is a first SETUP that ends by a status, or out for so long where that is 0, and a second one that is served.
-func (t *traffic) setups(group string, status int, after float64, withdrawn bool) {
+// twoSetups records a first SETUP that is answered with a status after a time, or not at all if it is 0, and a second one
+// that is served. An unanswered first SETUP is cancelled before the second or stays in flight.
+func (t *traffic) twoSetups(group string, status int, after float64, cancelled bool) {
 	t.Requested("x", "f", group, 1)
 	t.SetupReceived(1, 1, 1, 1.1, "x", "f", group, "a", 1)
 	if status != 0 {
 		t.SetupAnswered(1, 1, 1, 1.1+after, status, "")
-	} else if withdrawn {
+	} else if cancelled {
 		t.SetupsCancelled(1, 1, 1.1+after)
 	}
 	t.SetupReceived(2, 1, 1, 1.1+after, "x", "f", group, "a", 1)
@@ -151,17 +154,17 @@
 	t.Answered("x", 1.3+after, 200, false)
 }
 
-// cold sends a box that has just started so many SETUPs at once; 4 x 20/10 x 0.43 x 1.5 = 5.2 are its limit.
-func (t *traffic) cold(n int) {
+// coldSetups sends n SETUPs at once to a box that has just started; its limit is 4 x 20/10 x 0.43 x 1.5 = 5.2.
+func (t *traffic) coldSetups(n int) {
 	t.BoxStarted(1, 10)
 	for i := range n {
-		tok, s := t.served("exam", "a", 1, 10.5+float64(i)*0.01)
-		t.over(1, s, tok, 11)
+		tok, s := t.serveSession("exam", "a", 1, 10.5+float64(i)*0.01)
+		t.endSession(1, s, tok, 11)
 	}
 }
 
-// further sends a session so many SETUPs beyond its first.
-func (t *traffic) further(n int) {
+// retries records a request with n SETUPs beyond its first.
+func (t *traffic) retries(n int) {
 	t.Requested("x", "f", "clips", 1)
 	for i := range n + 1 {
 		t.SetupReceived(i, 1, 1, 1.1+float64(i)*0.01, "x", "f", "clips", "a", 1)
@@ -170,7 +173,7 @@
 	t.Answered("x", 1.3, 503, true)
 }
 
-func TestLimitGrowsWithWarmth(t *testing.T) {
+func TestColdSetupLimit(t *testing.T) {
 	if a, b := ColdSetupLimit(20, 10, 0.4, 4, 1.5, 0), ColdSetupLimit(20, 10, 0.4, 4, 1.5, 10); math.Abs(a-4.8) > 1e-9 || math.Abs(b-12) > 1e-9 {
 		t.Errorf("%v %v", a, b)
 	}
