--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -45,8 +45,8 @@
 	epoch := time.Now()
 	base := float64(epoch.UnixNano()) / 1e9
 	b := &harness{t: t, now: func() float64 { return base + time.Since(epoch).Seconds() }, reg: prometheus.NewRegistry()}
-	b.witness = witness.New(witness.Terms{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
-		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
+	b.witness = witness.New(witness.Rules{Groups: map[string]witness.Group{"clips": {SetupTimeout: 3, Floor: 1},
+		"exam": {SetupTimeout: 2, Paid: true}}, DrainGrace: 0.5, AnswerTolerance: 0.04, BaseRetries: 20, RetriesPerSession: 0.1, RetryWindow: 10})
 	b.site = &box.Config{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, MaxSessions: 100,
 		TitleLength: func(string) float64 { return 0 }, ReportInterval: 0.1, NoteInterval: 1, FPS: 50, PayloadScale: 0.02, DisconnectGrace: 2, Now: b.now, Witness: b.witness}
 	b.terms = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
@@ -123,8 +123,8 @@
 		}
 		return n == 0
 	})
-	v := b.witness.Judge(b.now())
-	if v.Broken() > 0 {
+	v := b.witness.Evaluate(b.now())
+	if v.Violations() > 0 {
 		b.t.Errorf("%v\n%s", v, strings.Join(v.Notes, "\n"))
 	}
 	return v
@@ -351,7 +351,7 @@
 			holder = i
 		}
 	}
-	b.witness.Told("front-0", holder+1, false, b.now())
+	b.witness.FrontNotified("front-0", holder+1, false, b.now())
 	b.UpdateBoxes(true, b.terms.Boxes[1-holder:2-holder])
 	for range 10 {
 		if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil {
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -99,7 +99,7 @@
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
-	b.witness.Told("front-0", 2, false, b.now())
+	b.witness.FrontNotified("front-0", 2, false, b.now())
 	for range 6 {
 		w := b.request("clips")
 		w.Title, w.WatchSeconds = "fans", 0.1
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -306,7 +306,7 @@
 		if err != nil {
 			// The front closed its sending side or the connection, which withdraws its pending SETUPs.
 			if w := c.box.config.Witness; w != nil {
-				w.Withdrawn(c.box.ID, c.id, c.box.config.Now())
+				w.SetupsCancelled(c.box.ID, c.id, c.box.config.Now())
 			}
 			if !errors.Is(err, io.EOF) { // not a half-close: replies can't be delivered any more
 				c.sendQueue.Close()
@@ -359,13 +359,13 @@
 		if err != nil {
 			rung = len(b.config.Ladder) - 1
 		}
-		w.Setup(b.ID, c.id, m.CSeq(), b.config.Now(), strings.TrimPrefix(resource.Query, "viewer="), frontName, resource.Group, resource.Title, rung)
+		w.SetupReceived(b.ID, c.id, m.CSeq(), b.config.Now(), strings.TrimPrefix(resource.Query, "viewer="), frontName, resource.Group, resource.Title, rung)
 	case m.Method == rtsp.SetParameter:
 		if r, err := strconv.Atoi(rtsp.ParseParameters(m.Body)["rung"]); err == nil {
-			w.Rung(b.ID, m.Session(), r, b.config.Now())
+			w.RungRequested(b.ID, m.Session(), r, b.config.Now())
 		}
 	case m.Method == rtsp.TearDown:
-		w.Over(b.ID, m.Session(), b.config.Now())
+		w.SessionEnded(b.ID, m.Session(), b.config.Now())
 	}
 }
 
@@ -552,7 +552,7 @@
 	}
 	b.coldSetups = slices.DeleteFunc(b.coldSetups, func(at float64) bool { return now-at >= s.OverloadTime })
 	b.coldSetups = append(b.coldSetups, now)
-	if float64(len(b.coldSetups)) <= witness.Limit(float64(s.MaxSessions), s.WarmUp, s.ColdShare, s.OverloadFactor, s.OverloadTime, now-b.startedAt) {
+	if float64(len(b.coldSetups)) <= witness.ColdSetupLimit(float64(s.MaxSessions), s.WarmUp, s.ColdShare, s.OverloadFactor, s.OverloadTime, now-b.startedAt) {
 		return false
 	}
 	b.overloaded = true
@@ -574,7 +574,7 @@
 		// The session may be resumed over another connection within the grace time, but has ended for the front that had this
 		// connection.
 		if s.disconnectedAt = b.config.Now(); b.config.Witness != nil {
-			b.config.Witness.Over(b.ID, id, s.disconnectedAt)
+			b.config.Witness.SessionEnded(b.ID, id, s.disconnectedAt)
 		}
 		if b.config.DisconnectGrace <= 0 {
 			delete(b.streams, id)
@@ -586,6 +586,6 @@
 func (b *Box) endSession(id string) {
 	delete(b.streams, id)
 	if w := b.config.Witness; w != nil {
-		w.Over(b.ID, id, b.config.Now())
+		w.SessionEnded(b.ID, id, b.config.Now())
 	}
 }
--- a/internal/lab/player/player.go
+++ b/internal/lab/player/player.go
@@ -117,7 +117,7 @@
 	p := &player{opts: opts, conn: rtsp.NewConn(conn, rtsp.Limits{})}
 	err = p.run(ctx)
 	if opts.Witness != nil && opts.Token != "" {
-		opts.Witness.Left(opts.Token, opts.Now())
+		opts.Witness.ViewerLeft(opts.Token, opts.Now())
 	}
 	if !p.firstFrameAt.IsZero() {
 		p.result.PlayedSeconds = p.lastFrameAt.Sub(p.firstFrameAt).Seconds()
@@ -216,7 +216,7 @@
 	p.setupSentAt = time.Now()
 	w := p.opts.Witness
 	if w != nil && p.opts.Token != "" {
-		w.Asked(p.opts.Token, p.opts.Front, p.opts.Group, p.opts.Now())
+		w.Requested(p.opts.Token, p.opts.Front, p.opts.Group, p.opts.Now())
 	}
 	if _, err := p.conn.Write(m.Append(nil)); err != nil {
 		return "", p.interrupted(err)
@@ -257,7 +257,7 @@
 func (p *player) interrupted(err error) error {
 	p.result.Interrupted = true
 	if w := p.opts.Witness; w != nil && p.opts.Token != "" {
-		w.Broke(p.opts.Token, p.opts.Now())
+		w.ConnectionLost(p.opts.Token, p.opts.Now())
 	}
 	return fmt.Errorf("session interrupted: %w", err)
 }
