--- a/choice/fleet/fleet.go
+++ b/choice/fleet/fleet.go
@@ -130,7 +130,7 @@
 		i.startAt = f.now
 	}
 	if i.generation == f.generation && f.restarting() && f.heldReason == "" {
-		f.heldReason = fmt.Sprintf("front %d failed after its restart (%s)", n, i.lastExit)
+		f.heldReason = fmt.Sprintf("front %d fell after its restart (%s)", n, i.lastExit)
 	}
 }
 
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -43,11 +43,11 @@
 	}
 	if note != w.lastNote {
 		if w.lastNote = note; note != "" {
-			w.log.Warn("certificate needs attention", zap.String("file", w.name), zap.Bool("taken", loaded), zap.String("what", note))
+			w.log.Warn("certificate", zap.String("file", w.name), zap.Bool("taken", loaded), zap.String("what", note))
 		}
 	}
 	if loaded {
-		w.log.Info("certificate loaded", zap.String("file", w.name))
+		w.log.Info("certificate taken", zap.String("file", w.name))
 	}
 	return loaded, note
 }
@@ -160,7 +160,7 @@
 		c, err := d.DialContext(ctx, "tcp", address)
 		var untrusted *tls.CertificateVerificationError
 		if errors.As(err, &untrusted) {
-			r.log.Warn("certificate of a box is not trusted", zap.String("address", address), zap.Error(err))
+			r.log.Warn("a box's certificate is not trusted", zap.String("address", address), zap.Error(err))
 		}
 		return c, err
 	}
--- a/internal/lab/day/report.go
+++ b/internal/lab/day/report.go
@@ -110,12 +110,12 @@
 			fmt.Fprintf(w, "(%d full)", b.FullReplies)
 		}
 		if b.Overloaded {
-			fmt.Fprint(w, "(OVERLOADED)")
+			fmt.Fprint(w, "(FALLEN OVER)")
 		}
 	}
 	v := r.Verdict
 	fmt.Fprintf(w, " SETUPs\nrung changes %d, packets lost %d, timestamp jumps %d, worst gap between frames %.2f s\n", r.RungChanges, r.PacketsLost, r.TimestampJumps, r.WorstFrameGap)
-	fmt.Fprintf(w, "busy-replied %d, failed %d, abandoned by viewers %d, held by killed fronts %d, retries %d, sessions left at boxes %d\n",
+	fmt.Fprintf(w, "busy-replied %d, torn down %d, given up by viewers %d, held by killed fronts %d, further SETUPs %d, sessions left at boxes %d\n",
 		v.Busy, v.Failed, v.Abandoned, v.HeldByKilled, v.Retries, r.SessionsLeft)
 	for _, n := range v.Notes {
 		fmt.Fprintln(w, "broken:", n)
