--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -45,7 +45,7 @@
 				pw, _ := u.User.Password()
 				who = &auth.User{Name: u.User.Username(), Password: pw}
 			}
-			w := player.Want{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), Watch: watch.Seconds(),
+			w := player.Options{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), WatchSeconds: watch.Seconds(),
 				Bandwidth: bandwidth, Tracks: tracks, Describe: true}
 			if strings.HasPrefix(args[0], "rtsps:") {
 				w.TLS = &tls.Config{InsecureSkipVerify: insecure}
@@ -65,23 +65,23 @@
 					return failure{exitFailed, err}
 				}
 				defer f.Close()
-				w.Save = f
+				w.PayloadWriter = f
 			}
 			if !asJSON {
-				w.Live = func(s player.Seen) {
-					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", s.Rung, s.Share(), s.Frames, s.WorstGap*1000, s.Lost)
+				w.OnProgress = func(s player.Result) {
+					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", s.LastRung, s.DeliveredShare(), s.Frames, s.MaxFrameGap*1000, s.LostPackets)
 				}
 			}
 			seen, err := player.Watch(c.Context(), w)
 			if asJSON {
 				json.NewEncoder(c.OutOrStdout()).Encode(struct {
-					player.Seen
+					player.Result
 					DeliveredShare float64
 					Error          string `json:",omitempty"`
-				}{seen, seen.Share(), errText(err)})
+				}{seen, seen.DeliveredShare(), errText(err)})
 			} else {
 				fmt.Fprintf(c.OutOrStdout(), "answer %d after %.1f ms, first frame after %.1f ms, %d frames, share %.3f, worst gap %.0f ms, lost %d, doubled %d, rung changes %d\n",
-					seen.Status, seen.AnswerIn*1000, seen.FirstFrame*1000, seen.Frames, seen.Share(), seen.WorstGap*1000, seen.Lost, seen.Doubled, seen.Rungs)
+					seen.Status, seen.AnswerSeconds*1000, seen.FirstFrameSeconds*1000, seen.Frames, seen.DeliveredShare(), seen.MaxFrameGap*1000, seen.LostPackets, seen.RepeatedPackets, seen.RungChanges)
 			}
 			if err != nil {
 				return failure{exitFailed, err}
@@ -143,7 +143,7 @@
 			}
 			o := day.Options{Log: log, Sabotage: s}
 			if !quiet && !asJSON {
-				o.Tell = func(at float64, what string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, what) }
+				o.OnEvent = func(at float64, what string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, what) }
 			}
 			r, err := day.Run(c.Context(), d, o)
 			if err != nil {
@@ -154,7 +154,7 @@
 			} else {
 				r.Write(c.OutOrStdout())
 			}
-			if n := r.Verdict.Broken(); n > 0 {
+			if n := r.Verdict.Violations(); n > 0 {
 				return failed("rules were broken %d times", n)
 			}
 			return nil
@@ -190,24 +190,24 @@
 			if reloads {
 				o.Builds = append(o.Builds, measure.Build{Name: "reloading", Program: executable, Reloads: true})
 			}
-			if o.Setups < 1 || o.Reps < 1 || o.Seconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
+			if o.Setups < 1 || o.Reps < 1 || o.TransferSeconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
 				return fmt.Errorf("--sessions, --setups, --reps and --seconds must be greater than 0")
 			}
 			rows, err := measure.Run(c.Context(), o, nil)
 			if err != nil {
-				measure.Write(c.OutOrStdout(), rows) // what was measured until then stands
+				measure.WriteTable(c.OutOrStdout(), rows) // what was measured until then stands
 				return failure{exitFailed, err}
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(rows)
 			}
-			measure.Write(c.OutOrStdout(), rows)
+			measure.WriteTable(c.OutOrStdout(), rows)
 			return nil
 		}}
 	c.Flags().IntSliceVar(&o.Sessions, "sessions", []int{1, 100, 1000}, "numbers of playing sessions to measure with")
 	c.Flags().IntVar(&o.Setups, "setups", 1000, "SETUPs to time on each path, alternating between the paths")
 	c.Flags().IntVar(&o.Reps, "reps", 5, "transfers at full speed on each path, alternating between the paths")
-	c.Flags().Float64Var(&o.Seconds, "seconds", 1, "length of a transfer")
+	c.Flags().Float64Var(&o.TransferSeconds, "seconds", 1, "length of a transfer")
 	c.Flags().StringVar(&against, "against", "", "another build of rainhaven to measure alternately with this one")
 	c.Flags().BoolVar(&reloads, "reloads", false, "also measure a front that reloads its settings each second")
 	c.Flags().BoolVar(&overTLS, "tls", false, "also measure viewers over TLS")
@@ -232,17 +232,17 @@
 				if err != nil {
 					return failure{exitFailed, err}
 				}
-				r, err := day.Run(c.Context(), d, day.Options{Remember: remember})
+				r, err := day.Run(c.Context(), d, day.Options{RestoreState: remember})
 				if err != nil {
 					return failure{exitFailed, err}
 				}
 				v := r.Verdict
 				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v; further SETUPs %d, busy-replied %d, torn down %d, given up %d, left at boxes %d\n", seed, v,
-					v.Further, v.Busy, v.TornDown, v.GivenUp, r.Left)
+					v.Retries, v.Busy, v.Failed, v.Abandoned, r.SessionsLeft)
 				for _, n := range v.Notes {
 					fmt.Fprintln(c.OutOrStdout(), "  broken:", n)
 				}
-				broken += v.Broken() + r.Left
+				broken += v.Violations() + r.SessionsLeft
 			}
 			if broken > 0 {
 				return failed("rules were violated %d times", broken)
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -17,100 +17,99 @@
 )
 
 const (
-	// perNode is how many connections of usual clients a node has.
-	perNode = 3
-	// clientIdle is how long a client keeps a connection without sessions.
-	clientIdle = 4 * time.Second
-	// crossing is how long before a close a request may have been sent that is then sent once more.
-	crossing = 50 * time.Millisecond
-	// nodeIdle is how long a node keeps a connection without sessions; a client at rest sends between so long before and
-	// so long after that.
-	nodeIdle, restEarly, restSpan = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
-	// resetComes is within how long after a connection's end its reset comes, if one does.
-	resetComes = 30 * time.Millisecond
-	// Shares of requests whose client cancels early, closes its connection early, or sends in pieces.
-	cancels, closes, pieces = 0.06, 0.03, 0.15
-	// earliest is the least time after which a client cancels, and span how much longer it may be.
-	earliestCancel, cancelSpan = 5 * time.Millisecond, 400 * time.Millisecond
-	// titles is how many titles a class has.
-	titles = 8
-	// classTitles is how many titles of a class with seats each node is asked for, so that the seats bind.
+	// connsPerNode is the number of pooled connections to each node.
+	connsPerNode = 3
+	// clientIdleTimeout is how long a client keeps a connection that has no sessions.
+	clientIdleTimeout = 4 * time.Second
+	// A request sent at most crossingWindow before the node closed its connection is sent again on a new one: it crossed the close.
+	crossingWindow = 50 * time.Millisecond
+	// nodeIdleTimeout is how long a node keeps a connection that has no sessions. An idle client sends from idleSendLead before
+	// that, within idleSendWindow.
+	nodeIdleTimeout, idleSendLead, idleSendWindow = 6 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
+	// resetWait is how long after the end of a connection its reset may still arrive.
+	resetWait = 30 * time.Millisecond
+	// Shares of requests whose client cancels early, closes its connection early, or sends the request in two writes.
+	cancelShare, closeShare, splitShare = 0.06, 0.03, 0.15
+	// A client cancels after minCancelDelay plus up to cancelDelayRange.
+	minCancelDelay, cancelDelayRange = 5 * time.Millisecond, 400 * time.Millisecond
+	titlesPerClass                   = 8
+	// seatedTitles is the number of titles requested in a class with seats: few enough that the limit is reached.
 	seatedTitles = 2
 )
 
-// clients are the clients of one node.
+// clients generates the requests to one node.
 type clients struct {
-	node  *node
-	log   *log
-	rand  *rand.Rand
-	next  *atomic.Uint64
-	mu    sync.Mutex
-	conns [perNode]*clientConn
+	node   *node
+	log    *log
+	rand   *rand.Rand
+	nextID *atomic.Uint64
+	mu     sync.Mutex
+	conns  [connsPerNode]*clientConn
 
-	dense      bool
-	hastyUntil time.Duration // requests are cancelled as they are answered, until then
-	againRand  *rand.Rand    // for refused requests that come again; used with the lock held
+	dense            bool
+	cancelEarlyUntil time.Duration // until then, requests are cancelled at about the time they are answered
+	retryRand        *rand.Rand    // decides whether refused requests are retried; guarded by mu
 }
 
-// clientConn is one connection of a client's.
+// clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
-	log   *log
-	node  int
-	write sync.Mutex
+	log     *log
+	node    int
+	writeMu sync.Mutex
 
 	mu       sync.Mutex
-	open     map[string]*request // without their answers
+	pending  map[string]*request // requests without a final answer, by id
 	sessions int
-	used     time.Time
+	lastUsed time.Time
 	closed   bool
-	closedAt chan time.Duration // gets the instant in which the node closed it
+	closedAt chan time.Duration // receives the time at which the node closed it
 }
 
-// request is one request, as its client has it.
+// request is a SETUP request, as its client sees it.
 type request struct {
-	id     string
-	class  int
-	text   []byte
-	sent   time.Duration
-	resent bool
-	over   bool // cancelled
-	again  int  // how many of its viewer's were refused before
+	id        string
+	class     int
+	text      []byte
+	sentAt    time.Duration
+	resent    bool
+	cancelled bool
+	refusals  int // earlier requests of the same viewer that were refused
 }
 
-// dial opens a connection; nil where the node can't be reached.
+// dial opens a connection; nil if the node can't be reached.
 func (c *clients) dial() *clientConn {
 	n, err := net.DialTimeout("tcp", c.node.listen, 200*time.Millisecond)
 	if err != nil {
 		return nil
 	}
-	conn := &clientConn{Conn: n, log: c.log, node: c.node.index, open: map[string]*request{}, used: time.Now(), closedAt: make(chan time.Duration, 1)}
-	go c.read(conn)
+	conn := &clientConn{Conn: n, log: c.log, node: c.node.index, pending: map[string]*request{}, lastUsed: time.Now(), closedAt: make(chan time.Duration, 1)}
+	go c.readMessages(conn)
 	return conn
 }
 
-// conn is one of the usual connections, opened where it is not up; fresh tells that it may be.
-func (c *clients) conn(slot int, fresh bool) *clientConn {
+// pooledConn returns a pooled connection. It is opened if it is not usable and mayDial is set, else it may be nil.
+func (c *clients) pooledConn(index int, mayDial bool) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if have := c.conns[slot]; have != nil && have.usable() {
-		return have
+	if conn := c.conns[index]; conn != nil && conn.usable() {
+		return conn
 	}
-	c.conns[slot] = nil
-	if fresh {
-		c.conns[slot] = c.dial()
+	c.conns[index] = nil
+	if mayDial {
+		c.conns[index] = c.dial()
 	}
-	return c.conns[slot]
+	return c.conns[index]
 }
 
-// usable tells whether a connection is up; one unused for long is closed.
+// usable reports whether the connection is open. It closes one that has been idle for clientIdleTimeout.
 func (c *clientConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	if len(c.open) == 0 && c.sessions <= 0 && time.Since(c.used) > clientIdle {
+	if len(c.pending) == 0 && c.sessions <= 0 && time.Since(c.lastUsed) > clientIdleTimeout {
 		c.closed = true
 		c.Close()
 		return false
@@ -118,91 +117,91 @@
 	return true
 }
 
-// ask sends one request as chance has it.
-func (c *clients) ask() {
-	if c.dense && c.askOddly(c.rand.Float64()) {
+// sendRandom sends one request, with class, title, connection and client behavior drawn at random.
+func (c *clients) sendRandom() {
+	if c.dense && c.sendUnusual(c.rand.Float64()) {
 		return
 	}
 	class := c.rand.IntN(len(classes))
-	title := c.rand.IntN(titles)
+	title := c.rand.IntN(titlesPerClass)
 	if classes[class].seats > 0 {
 		title = c.rand.IntN(seatedTitles)
 	}
-	fate := c.rand.Float64()
-	fresh := c.node.takesNew()
-	var on *clientConn
-	if fate < closes {
-		if !fresh {
+	draw := c.rand.Float64()
+	mayDial := c.node.acceptsConns()
+	var conn *clientConn
+	if draw < closeShare {
+		if !mayDial {
 			return
 		}
-		on = c.dial() // one of its own, which it closes
+		conn = c.dial() // a connection of its own, which the client will close
 	} else {
-		on = c.conn(c.rand.IntN(perNode), fresh)
+		conn = c.pooledConn(c.rand.IntN(connsPerNode), mayDial)
 	}
-	if on == nil {
+	if conn == nil {
 		return
 	}
-	r := c.request(c.rand, class, title)
+	r := c.newRequest(c.rand, class, title)
 	split := 0
-	if c.rand.Float64() < pieces {
+	if c.rand.Float64() < splitShare {
 		split = 1 + c.rand.IntN(len(r.text)-1)
 	}
-	after := earliestCancel + time.Duration(c.rand.Int64N(int64(cancelSpan)))
-	if !on.send(r, split, titleOf(class, title)) {
+	after := minCancelDelay + time.Duration(c.rand.Int64N(int64(cancelDelayRange)))
+	if !conn.send(r, split, titleOf(class, title)) {
 		return
 	}
 	switch {
-	case fate < closes:
-		time.AfterFunc(after, func() { on.leave() })
-	case fate < closes+cancels:
-		time.AfterFunc(after, func() { on.cancel(r) })
+	case draw < closeShare:
+		time.AfterFunc(after, func() { conn.closeByClient() })
+	case draw < closeShare+cancelShare:
+		time.AfterFunc(after, func() { conn.cancel(r) })
 	}
 }
 
 func titleOf(class, title int) string { return fmt.Sprintf("t%d-%d", class, title) }
 
-// request makes a new request.
-func (c *clients) request(r *rand.Rand, class, title int) *request {
-	id := requestID(c.node.index, c.next.Add(1))
+// newRequest makes a SETUP request with a new id.
+func (c *clients) newRequest(draws *rand.Rand, class, title int) *request {
+	id := requestID(c.node.index, c.nextID.Add(1))
 	body := "9d41c07a5be2f318\r\nc=IN IP4 127.0.0.1\r\n"
 	return &request{id: id, class: class, text: fmt.Appendf(nil,
 		"SETUP rtsp://media/%s RTSP/1.0\r\nCSeq: 1\r\nSession: %s\r\nSubject: %s\r\nX-Patience: %d\r\nX-Facts: home:%d;copies:%d;top:%d\r\nContent-Length: %d\r\n\r\n%s",
-		titleOf(class, title), id, classes[class].name, classes[class].deadline.Milliseconds(), r.IntN(cells), copies, rungs-1, len(body), body)}
+		titleOf(class, title), id, classes[class].name, classes[class].deadline.Milliseconds(), draws.IntN(cells), copies, rungs-1, len(body), body)}
 }
 
-// rest keeps one connection that is used rarely: each request comes at about the instant in which the node closes it.
-func (c *clients) rest(ctx context.Context, r *rand.Rand) {
-	var on *clientConn
+// sendNearIdleClose keeps one connection and sends each request on it at about the time the node closes it as idle.
+func (c *clients) sendNearIdleClose(ctx context.Context, draws *rand.Rand) {
+	var conn *clientConn
 	for {
-		if on != nil && on.sessionsLeft() > 0 {
-			if !pause(ctx, 10*time.Millisecond) {
+		if conn != nil && conn.inUse() > 0 {
+			if !sleep(ctx, 10*time.Millisecond) {
 				return
 			}
 			continue
 		}
-		if on != nil && !pause(ctx, nodeIdle-restEarly+time.Duration(r.Int64N(int64(restSpan)))) {
+		if conn != nil && !sleep(ctx, nodeIdleTimeout-idleSendLead+time.Duration(draws.Int64N(int64(idleSendWindow)))) {
 			return
 		}
-		if on == nil || on.isClosed() {
-			if on = nil; c.node.takesNew() {
-				on = c.dial()
+		if conn == nil || conn.isClosed() {
+			if conn = nil; c.node.acceptsConns() {
+				conn = c.dial()
 			}
-			if on == nil && !pause(ctx, 100*time.Millisecond) {
+			if conn == nil && !sleep(ctx, 100*time.Millisecond) {
 				return
 			}
 		}
-		if on != nil && !on.send(c.request(r, 0, r.IntN(titles)), 0, "at rest") {
-			on = nil
+		if conn != nil && !conn.send(c.newRequest(draws, 0, draws.IntN(titlesPerClass)), 0, "near the idle timeout") {
+			conn = nil
 		}
 	}
 }
 
-// pause waits for so long; false where the soak is over.
-func pause(ctx context.Context, long time.Duration) bool {
+// sleep waits for a duration; false if ctx is done first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(long):
+	case <-time.After(duration):
 		return true
 	}
 }
@@ -213,128 +212,128 @@
 	return c.closed
 }
 
-// sessionsLeft is how many requests and sessions it has; 0 once it is closed.
-func (c *clientConn) sessionsLeft() int {
+// inUse returns the number of pending requests and sessions; 0 once the connection is closed.
+func (c *clientConn) inUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return 0
 	}
-	return len(c.open) + max(c.sessions, 0)
+	return len(c.pending) + max(c.sessions, 0)
 }
 
-// send writes a request; false where its connection is closed already.
+// send writes a request, in two writes if split is positive; false if the connection is closed or fails.
 func (c *clientConn) send(r *request, split int, title string) bool {
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	c.open[r.id], c.used = r, time.Now()
+	c.pending[r.id], c.lastUsed = r, time.Now()
 	c.mu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	text := r.text
 	if split > 0 {
 		if _, err := c.Write(text[:split]); err != nil {
-			c.drop(r)
+			c.forget(r)
 			return false
 		}
 		time.Sleep(2 * time.Millisecond)
 		text = text[split:]
 	}
-	// Its last byte may be read before the write returns, so it counts from before.
-	at := c.log.now()
+	// The node may read the last byte before Write returns, so the time is taken before the call.
+	sentAt := c.log.now()
 	if _, err := c.Write(text); err != nil {
-		c.drop(r)
+		c.forget(r)
 		return false
 	}
 	c.mu.Lock()
-	r.sent = at
+	r.sentAt = sentAt
 	c.mu.Unlock()
-	c.log.add(record{at: at, kind: requestSent, request: r.id, node: c.node, class: r.class, wait: classes[r.class].deadline, title: title, peer: c.LocalAddr().String()})
+	c.log.add(record{at: sentAt, kind: requestSent, request: r.id, node: c.node, class: r.class, wait: classes[r.class].deadline, title: title, peer: c.LocalAddr().String()})
 	return true
 }
 
-func (c *clientConn) drop(r *request) {
+func (c *clientConn) forget(r *request) {
 	c.mu.Lock()
-	delete(c.open, r.id)
+	delete(c.pending, r.id)
 	c.mu.Unlock()
 }
 
-// cancel gives a request up, unless it has its answer.
+// cancel sends a TEARDOWN for a request that has no answer yet.
 func (c *clientConn) cancel(r *request) {
 	c.mu.Lock()
-	open := c.open[r.id] == r && !c.closed
-	if open {
-		r.over = true
-		delete(c.open, r.id)
+	pending := c.pending[r.id] == r && !c.closed
+	if pending {
+		r.cancelled = true
+		delete(c.pending, r.id)
 	}
 	c.mu.Unlock()
-	if !open {
+	if !pending {
 		return
 	}
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	fmt.Fprintf(c.Conn, "TEARDOWN rtsp://media/t RTSP/1.0\r\nCSeq: 2\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", r.id)
-	c.log.add(record{kind: requestCanceled, request: r.id, node: c.node, detail: "TEARDOWN"})
+	c.log.add(record{kind: requestCancelled, request: r.id, node: c.node, detail: "TEARDOWN"})
 }
 
-// leave closes a connection, with what is open on it.
-func (c *clientConn) leave() {
+// closeByClient closes a connection and records its pending requests as cancelled.
+func (c *clientConn) closeByClient() {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
 	c.closed = true
-	open := c.open
-	c.open = map[string]*request{}
+	pending := c.pending
+	c.pending = map[string]*request{}
 	c.mu.Unlock()
 	c.log.add(record{kind: connectionEnded, node: c.node, detail: c.LocalAddr().String()})
 	c.Close()
-	for id := range open {
-		c.log.add(record{kind: requestCanceled, request: id, node: c.node, detail: "closed"})
+	for id := range pending {
+		c.log.add(record{kind: requestCancelled, request: id, node: c.node, detail: "closed"})
 	}
 }
 
-// read takes what a node sends on a connection until that ends.
-func (c *clients) read(on *clientConn) {
-	in := rtsp.NewConn(on.Conn, rtsp.Limits{})
+// readMessages handles a node's messages until the connection ends.
+func (c *clients) readMessages(conn *clientConn) {
+	in := rtsp.NewConn(conn.Conn, rtsp.Limits{})
 	for {
 		m, _, err := in.Next()
 		if err != nil {
-			c.ended(on, err)
+			c.handleClose(conn, err)
 			return
 		}
 		if m == nil {
 			continue
 		}
-		if r := on.take(m); r != nil && m.Status == rtsp.ServiceUnavailable {
-			c.again(on, r)
+		if r := conn.handle(m); r != nil && m.Status == rtsp.ServiceUnavailable {
+			c.retry(conn, r)
 		}
 	}
 }
 
-// take takes a message; it gives the request that it answers, if it does.
-func (c *clientConn) take(m *rtsp.Message) (answered *request) {
+// handle records a message and returns the request that it answers, if any.
+func (c *clientConn) handle(m *rtsp.Message) (answered *request) {
 	id := m.Session()
 	switch {
 	case m.Method == rtsp.TearDown:
 		c.log.add(record{kind: releaseRead, request: id, node: c.node})
 		c.mu.Lock()
 		c.sessions--
-		c.used = time.Now()
+		c.lastUsed = time.Now()
 		c.mu.Unlock()
 	case m.IsRequest() || m.Status < rtsp.OK || m.CSeq() != 1:
 	default:
 		c.log.add(record{kind: answerRead, request: id, node: c.node, status: m.Status, detail: string(m.Body)})
 		c.mu.Lock()
-		answered = c.open[id]
-		delete(c.open, id)
-		c.used = time.Now()
+		answered = c.pending[id]
+		delete(c.pending, id)
+		c.lastUsed = time.Now()
 		if m.Status == rtsp.OK {
 			c.sessions++
 		}
@@ -343,76 +342,78 @@
 	return answered
 }
 
-// ended takes the end of a connection that its client did not close: what crosses such a close is sent once more.
-func (c *clients) ended(on *clientConn, err error) {
-	on.write.Lock() // a request that is being written is among the open ones, and has its instant
-	defer on.write.Unlock()
+// handleClose handles the end of a connection. If the node closed it, requests that crossed the close are sent again on a new
+// connection.
+func (c *clients) handleClose(conn *clientConn, err error) {
+	conn.writeMu.Lock() // waits for a request being written, so that it is pending and has its send time
+	defer conn.writeMu.Unlock()
 	now := c.log.now()
-	on.mu.Lock()
-	mine := on.closed
-	on.closed = true
-	open := on.open
-	on.open = map[string]*request{}
-	on.mu.Unlock()
-	if mine {
-		on.Close()
+	conn.mu.Lock()
+	closedByClient := conn.closed
+	conn.closed = true
+	pending := conn.pending
+	conn.pending = map[string]*request{}
+	conn.mu.Unlock()
+	if closedByClient {
+		conn.Close()
 		return
 	}
-	read := len(open) > 0 && on.allRead(err)
-	on.Close()
-	on.closedAt <- now
-	c.log.add(record{at: now, kind: connectionEnded, node: on.node, detail: on.LocalAddr().String()})
-	for id, r := range open {
+	read := len(pending) > 0 && conn.nodeReadAll(err)
+	conn.Close()
+	conn.closedAt <- now
+	c.log.add(record{at: now, kind: connectionEnded, node: conn.node, detail: conn.LocalAddr().String()})
+	for id, r := range pending {
 		if read {
-			c.log.add(record{at: now, kind: requestCut, request: id, node: on.node, detail: detailRead})
+			c.log.add(record{at: now, kind: requestAborted, request: id, node: conn.node, detail: detailRead})
 			continue
 		}
-		c.log.add(record{at: now, kind: requestCut, request: id, node: on.node, detail: err.Error()})
-		if r.resent || now-r.sent > crossing || !c.node.takesNew() {
+		c.log.add(record{at: now, kind: requestAborted, request: id, node: conn.node, detail: err.Error()})
+		if r.resent || now-r.sentAt > crossingWindow || !c.node.acceptsConns() {
 			continue
 		}
 		r.resent = true
-		if again := c.dial(); again != nil {
-			again.send(r, 0, "")
+		if newConn := c.dial(); newConn != nil {
+			newConn.send(r, 0, "")
 		}
 	}
 }
 
-// detailRead says of a cut request that its node had read it.
-const detailRead = "read, and closed without an answer"
+// detailRead marks a request that the node had read before it closed the connection.
+const detailRead = "read, then closed without an answer"
 
-// allRead tells whether a node that has closed a connection had read all that was sent there: what it had not read, its system
-// answers with a reset.
-func (c *clientConn) allRead(err error) bool {
+// nodeReadAll reports whether the node had read all data before it closed the connection. If it had not, its kernel sends a
+// reset.
+func (c *clientConn) nodeReadAll(err error) bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok || !errors.Is(err, io.EOF) {
 		return false
 	}
-	time.Sleep(resetComes)
+	time.Sleep(resetWait)
 	raw, err := t.SyscallConn()
 	if err != nil {
 		return false
 	}
 	reset := true
 	err = raw.Control(func(fd uintptr) {
-		// The state tells; the socket's pending error may have been taken by a write since.
+		// The TCP state is used because an earlier write may have consumed the socket's pending error.
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		reset = err != nil || info.State == tcpClosed
 	})
 	return err == nil && !reset
 }
 
-// tcpClosed is the state of a connection that was reset, in TCP_INFO.
+// tcpClosed is TCP_CLOSE in TCP_INFO, the state of a connection that was reset.
 const tcpClosed = 7
 
-// rude opens connections that are of no use: silent ones, half a request, nonsense. All are closed by the node or in time.
-func (c *clients) rude(r *rand.Rand, many int, long time.Duration) {
-	for range many {
+// openUselessConns opens connections that send nothing, half a request, garbage or one health check. They are closed after
+// lifetime, unless the node closes them first.
+func (c *clients) openUselessConns(draws *rand.Rand, count int, lifetime time.Duration) {
+	for range count {
 		n, err := net.DialTimeout("tcp", c.node.listen, 200*time.Millisecond)
 		if err != nil {
 			return
 		}
-		switch r.IntN(4) {
+		switch draws.IntN(4) {
 		case 0:
 			fmt.Fprint(n, "SETUP rtsp://media/t RTSP/1.0\r\nCSeq: 1\r\nSession: ")
 		case 1:
@@ -420,6 +421,6 @@
 		case 2:
 			fmt.Fprint(n, "OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 		}
-		time.AfterFunc(long, func() { n.Close() })
+		time.AfterFunc(lifetime, func() { n.Close() })
 	}
 }
--- a/internal/lab/soak/coordinator.go
+++ b/internal/lab/soak/coordinator.go
@@ -9,179 +9,181 @@
 )
 
 const (
-	// heartbeat is how often the coordinator tells its last number.
-	heartbeat = time.Second
-	// doors is how many addresses the coordinator has: configurations name one or another.
-	doors = 3
-	// toldWithin is how long after an outage began what would have been told counts as told.
-	toldWithin = 4 * time.Second
-	// reachedAgain is how long after a longer outage nodes may take to ask again: some half a second of pause between
-	// calls, and a connection. The platform allows 6 s.
-	reachedAgain = time.Second
+	// heartbeatInterval is how often the coordinator sends its last index.
+	heartbeatInterval = time.Second
+	// replicaCount is the number of coordinator addresses; a node's configuration names one of them.
+	replicaCount = 3
+	// A change published during an outage counts as notified notifyTimeout after the outage began.
+	notifyTimeout = 4 * time.Second
+	// reconnectTimeout is how long nodes may take to reconnect after a longer outage: about half a second between attempts,
+	// plus the connection. The platform allows 6 s.
+	reconnectTimeout = time.Second
 )
 
-// coordinator is the stand-in for the platform's: numbered changes to the list, told to whoever follows at one of its doors.
+// coordinator stands in for the platform's coordinator. It sends numbered changes of the server list to the nodes that follow
+// one of its replicas.
 type coordinator struct {
-	doors [doors]*door
-	log   *log
-	mu    sync.Mutex
-	list  []change
-	live  map[string]entry
-	wake  chan struct{} // closed and made anew with each change
-	done  chan struct{}
+	replicas [replicaCount]*replica
+	log      *log
+	mu       sync.Mutex
+	changes  []change
+	entries  map[string]entry
+	changed  chan struct{} // closed and replaced at each change
+	done     chan struct{}
 }
 
-// door is one address of the coordinator's, which fails by itself.
-type door struct {
+// replica is one address of the coordinator. Replicas fail independently.
+type replica struct {
 	net.Listener
-	c      *coordinator
-	conns  map[net.Conn]bool
-	began  time.Duration // when its last outage began; 0 is never
-	silent time.Duration // it says nothing and takes nobody until then
+	coord       *coordinator
+	conns       map[net.Conn]bool
+	outageStart time.Duration // start of its last outage; 0 if it had none
+	silentUntil time.Duration // it sends nothing until then
 }
 
 func newCoordinator(l *log) (*coordinator, error) {
-	c := &coordinator{log: l, live: map[string]entry{}, wake: make(chan struct{}), done: make(chan struct{})}
-	for k := range c.doors {
+	c := &coordinator{log: l, entries: map[string]entry{}, changed: make(chan struct{}), done: make(chan struct{})}
+	for k := range c.replicas {
 		n, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		c.doors[k] = &door{Listener: n, c: c, conns: map[net.Conn]bool{}}
+		c.replicas[k] = &replica{Listener: n, coord: c, conns: map[net.Conn]bool{}}
 	}
-	for _, d := range c.doors {
-		go d.accept()
+	for _, r := range c.replicas {
+		go r.accept()
 	}
 	return c, nil
 }
 
-// address is that of a door.
-func (c *coordinator) address(door int) string { return c.doors[door].Addr().String() }
+// address returns the address of a replica.
+func (c *coordinator) address(replica int) string { return c.replicas[replica].Addr().String() }
 
-// toldBy is when a change that the coordinator has now counts as told, whichever door a node follows; the lock is held.
-func (c *coordinator) toldBy(now time.Duration) (told time.Duration) {
-	told = now
-	for _, d := range c.doors {
-		if d.began == 0 || now > d.began+toldWithin && now > d.silent+reachedAgain {
+// notifiedBy returns when a change published now counts as known to every node, whichever replica it follows. The caller
+// holds c.mu.
+func (c *coordinator) notifiedBy(now time.Duration) (latest time.Duration) {
+	latest = now
+	for _, r := range c.replicas {
+		if r.outageStart == 0 || now > r.outageStart+notifyTimeout && now > r.silentUntil+reconnectTimeout {
 			continue
 		}
-		told = max(told, d.began+toldWithin, d.silent+reachedAgain)
+		latest = max(latest, r.outageStart+notifyTimeout, r.silentUntil+reconnectTimeout)
 	}
-	return told
+	return latest
 }
 
-// tell has a change told.
-func (c *coordinator) tell(entries ...entry) {
+// publish adds a change to the list and sends it to all followers.
+func (c *coordinator) publish(entries ...entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.log.now()
 	for _, e := range entries {
 		if e.State == "removed" {
-			delete(c.live, e.ID)
+			delete(c.entries, e.ID)
 		} else {
-			c.live[e.ID] = e
+			c.entries[e.ID] = e
 		}
-		c.log.add(record{at: now, kind: entryTold, node: -1, server: e.ID, detail: e.State, wait: c.toldBy(now)})
+		c.log.add(record{at: now, kind: entryPublished, node: -1, server: e.ID, detail: e.State, wait: c.notifiedBy(now)})
 	}
-	c.list = append(c.list, change{int64(len(c.list) + 1), endpoints{1, false, entries}})
-	close(c.wake)
-	c.wake = make(chan struct{})
+	c.changes = append(c.changes, change{int64(len(c.changes) + 1), endpoints{1, false, entries}})
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// whole is the list as one event, for a node that starts.
-func (c *coordinator) whole() change {
+// snapshot returns the list as a single event, for a starting node.
+func (c *coordinator) snapshot() change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := change{Index: int64(len(c.list)), Endpoints: endpoints{1, true, []entry{}}}
-	for _, e := range c.live {
-		w.Endpoints.Instances = append(w.Endpoints.Instances, e)
+	event := change{Index: int64(len(c.changes)), Endpoints: endpoints{1, true, []entry{}}}
+	for _, e := range c.entries {
+		event.Endpoints.Instances = append(event.Endpoints.Instances, e)
 	}
-	return w
+	return event
 }
 
-// fail breaks all connections, and has all doors say nothing for so long.
-func (c *coordinator) fail(long time.Duration) { c.outage(long, true, c.doors[:]...) }
+// fail closes all connections and silences all replicas for a duration.
+func (c *coordinator) fail(duration time.Duration) { c.outage(duration, true, c.replicas[:]...) }
 
-// mute has all doors say nothing for so long, on connections that stay.
-func (c *coordinator) mute(long time.Duration) { c.outage(long, false, c.doors[:]...) }
+// mute silences all replicas for a duration and keeps their connections open.
+func (c *coordinator) mute(duration time.Duration) { c.outage(duration, false, c.replicas[:]...) }
 
-// muteDoor is mute for one door.
-func (c *coordinator) muteDoor(door int, long time.Duration) {
-	c.outage(long, false, c.doors[door])
+// muteReplica silences one replica for a duration.
+func (c *coordinator) muteReplica(replica int, duration time.Duration) {
+	c.outage(duration, false, c.replicas[replica])
 }
 
-func (c *coordinator) outage(long time.Duration, breaks bool, at ...*door) {
+func (c *coordinator) outage(duration time.Duration, disconnect bool, replicas ...*replica) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.log.now()
-	for _, d := range at {
-		if d.silent <= now {
-			d.began = now
+	for _, r := range replicas {
+		if r.silentUntil <= now {
+			r.outageStart = now
 		}
-		d.silent = max(d.silent, now+long)
-		if !breaks {
+		r.silentUntil = max(r.silentUntil, now+duration)
+		if !disconnect {
 			continue
 		}
-		for n := range d.conns {
+		for n := range r.conns {
 			n.Close()
 		}
 	}
 }
 
-func (d *door) accept() {
+func (r *replica) accept() {
 	for {
-		n, err := d.Accept()
+		n, err := r.Accept()
 		if err != nil {
 			return
 		}
-		d.c.mu.Lock()
-		d.conns[n] = true
-		d.c.mu.Unlock()
-		go d.serve(n)
+		r.coord.mu.Lock()
+		r.conns[n] = true
+		r.coord.mu.Unlock()
+		go r.serve(n)
 	}
 }
 
-func (d *door) serve(n net.Conn) {
-	c := d.c
+func (r *replica) serve(n net.Conn) {
+	c := r.coord
 	defer func() {
 		n.Close()
 		c.mu.Lock()
-		delete(d.conns, n)
+		delete(r.conns, n)
 		c.mu.Unlock()
 	}()
 	var from int64
 	if _, err := fmt.Fscanf(n, "follow %d\n", &from); err != nil {
 		return
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		c.mu.Lock()
-		quiet, wake := d.silent-c.log.now(), c.wake
-		var list []change
-		if quiet <= 0 && from < int64(len(c.list)) {
-			list = c.list[from:]
+		silentFor, changed := r.silentUntil-c.log.now(), c.changed
+		var changes []change
+		if silentFor <= 0 && from < int64(len(c.changes)) {
+			changes = c.changes[from:]
 		}
-		last := len(c.list)
+		last := len(c.changes)
 		c.mu.Unlock()
-		for _, e := range list {
+		for _, e := range changes {
 			b, _ := json.Marshal(e)
 			if _, err := n.Write(append(b, '\n')); err != nil {
 				return
 			}
 			from = e.Index
 		}
-		if quiet > 0 {
+		if silentFor > 0 {
 			select {
-			case <-time.After(quiet):
+			case <-time.After(silentFor):
 			case <-c.done:
 				return
 			}
 			continue
 		}
 		select {
-		case <-wake:
-		case <-beat.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if _, err := fmt.Fprintf(n, "%d\n", last); err != nil {
 				return
 			}
@@ -193,7 +195,7 @@
 
 func (c *coordinator) close() {
 	close(c.done)
-	for _, d := range c.doors {
-		d.Close()
+	for _, r := range c.replicas {
+		r.Close()
 	}
 }
--- a/internal/lab/soak/judgefleet.go
+++ b/internal/lab/soak/judgefleet.go
@@ -7,181 +7,181 @@
 	"time"
 )
 
-// The checks of this file judge what concerns servers and nodes; those of single requests are in judge.go.
+// This file checks rules that concern servers and nodes; judge.go checks single requests.
 
-// drained judges what draining and removed servers get.
-func (j *judgement) drained() {
-	told := map[string]time.Duration{}
-	for _, r := range j.report.list {
+// checkDrains checks that draining and removed servers get no attempts after the grace.
+func (c *checker) checkDrains() {
+	notifiedAt := map[string]time.Duration{}
+	for _, r := range c.report.records {
 		switch {
-		case r.kind == entryTold && r.detail != "up":
-			if _, known := told[r.server]; !known {
-				told[r.server] = r.wait
+		case r.kind == entryPublished && r.detail != "up":
+			if _, known := notifiedAt[r.server]; !known {
+				notifiedAt[r.server] = r.wait
 			}
 		case r.kind == attemptRead:
-			if at, known := told[r.server]; known && r.at > at+grace+slack+busyMachine+r.held+j.stood(r.node, at, r.at) {
-				j.broken(Drained, r.request, r.at, "%s gets it %.3f s after it was told", r.server, (r.at - at).Seconds())
+			if at, known := notifiedAt[r.server]; known && r.at > at+drainGrace+socketSlack+loadSlack+r.transitDelay+c.suspendedFor(r.node, at, r.at) {
+				c.violate(Drained, r.request, r.at, "%s got it %.3f s after its drain or removal was notified", r.server, (r.at - at).Seconds())
 			}
 		}
 	}
 }
 
-// slowStart judges what started servers get from all nodes together.
-func (j *judgement) slowStart() {
-	started := map[string]time.Duration{}
-	got := map[string][]time.Duration{}
-	for _, r := range j.report.list {
-		if r.kind == entryTold && r.detail == "up" && r.at > quietStart {
-			started[r.server] = r.at
+// checkSlowStart checks the attempts that newly started servers get from all nodes together.
+func (c *checker) checkSlowStart() {
+	startedAt := map[string]time.Duration{}
+	received := map[string][]time.Duration{}
+	for _, r := range c.report.records {
+		if r.kind == entryPublished && r.detail == "up" && r.at > quietStart {
+			startedAt[r.server] = r.at
 		}
-		if at, cold := started[r.server]; r.kind == attemptRead && cold && r.held == 0 && r.at-at < warmUp {
-			list := append(got[r.server], r.at)
-			for len(list) > 0 && list[0] < r.at-fallTime {
-				list = list[1:]
+		if at, cold := startedAt[r.server]; r.kind == attemptRead && cold && r.transitDelay == 0 && r.at-at < warmUp {
+			recent := append(received[r.server], r.at)
+			for len(recent) > 0 && recent[0] < r.at-overloadTime {
+				recent = recent[1:]
 			}
-			got[r.server] = list
-			if most := coldBudget(r.at - at); float64(len(list)) > most {
-				j.broken(SlowStart, r.request, r.at, "%s gets %d attempts within %v, %.1f allowed %.1f s after its start", r.server, len(list), fallTime, most, (r.at - at).Seconds())
-				got[r.server] = nil // one fall, not one an attempt
+			received[r.server] = recent
+			if allowed := slowStartBudget(r.at - at); float64(len(recent)) > allowed {
+				c.violate(SlowStart, r.request, r.at, "%s got %d attempts within %v, %.1f allowed %.1f s after its start", r.server, len(recent), overloadTime, allowed, (r.at - at).Seconds())
+				received[r.server] = nil // one violation for each overload, not for each attempt
 			}
 		}
 	}
 }
 
-// seats judges how many sessions of one title a node holds.
-func (j *judgement) seats() {
-	type holding struct {
+// checkSeats checks the number of sessions of one title on a node.
+func (c *checker) checkSeats() {
+	type titleAtNode struct {
 		node  int
 		title string
 	}
 	type step struct {
-		at   time.Duration
-		more int
-		id   string
+		at    time.Duration
+		delta int
+		id    string
 	}
-	steps := map[holding][]step{}
-	for id, h := range j.requests {
+	steps := map[titleAtNode][]step{}
+	for id, h := range c.requests {
 		if classes[h.sent.class].seats == 0 {
 			continue
 		}
 		for _, a := range h.attempts {
-			end := a.until
-			if a.answer {
-				if end = h.ended[a.read.server]; end == 0 {
-					end = a.until // not known: it counts for the moment only
+			end := a.endedAt
+			if a.answered {
+				if end = h.endedAt[a.read.server]; end == 0 {
+					end = a.endedAt // the session's end is unknown, so it counts only until its answer
 				}
 			}
-			end = min(end, j.nextExit(h.sent.node, a.read.at)) // the next process holds nothing of it
-			key := holding{h.sent.node, h.sent.title}
-			// A node hears of an end later than it is written, so what is counted is never more than it holds.
-			steps[key] = append(steps[key], step{a.read.at, 1, id}, step{max(end-slack-busyMachine, a.read.at), -1, id})
+			end = min(end, c.nextExit(h.sent.node, a.read.at)) // the next process does not inherit it
+			key := titleAtNode{h.sent.node, h.sent.title}
+			// A node learns of an end after it is written, so the count never exceeds what the node holds.
+			steps[key] = append(steps[key], step{a.read.at, 1, id}, step{max(end-socketSlack-loadSlack, a.read.at), -1, id})
 		}
 	}
-	for key, list := range steps {
-		slices.SortFunc(list, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.more, b.more)) })
+	for key, changes := range steps {
+		slices.SortFunc(changes, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) })
 		held := map[string]int{}
-		for _, x := range list {
-			if held[x.id] += x.more; held[x.id] == 0 {
-				delete(held, x.id)
+		for _, step := range changes {
+			if held[step.id] += step.delta; held[step.id] == 0 {
+				delete(held, step.id)
 			}
-			if x.more > 0 && len(held) > classes[2].seats {
-				j.broken(Terms, x.id, x.at, "node %d holds %d sessions of %s: %v", key.node, len(held), key.title, held)
+			if step.delta > 0 && len(held) > classes[2].seats {
+				c.violate(Terms, step.id, step.at, "node %d has %d sessions of %s: %v", key.node, len(held), key.title, held)
 				break
 			}
 		}
 	}
 }
 
-// budget judges the further attempts of each node.
-func (j *judgement) budget() {
-	type node struct{ read, further []time.Duration }
+// checkRetryBudget checks the number of retries of each node.
+func (c *checker) checkRetryBudget() {
+	type node struct{ requests, retries []time.Duration }
 	nodes := map[int]*node{}
-	of := func(k int) *node {
+	nodeFor := func(k int) *node {
 		if nodes[k] == nil {
 			nodes[k] = &node{}
 		}
 		return nodes[k]
 	}
-	for _, h := range j.requests {
-		n := of(h.sent.node)
-		n.read = append(n.read, h.sent.at)
+	for _, h := range c.requests {
+		n := nodeFor(h.sent.node)
+		n.requests = append(n.requests, h.sent.at)
 		for k, a := range h.attempts {
 			if k > 0 {
-				n.further = append(n.further, a.read.at)
+				n.retries = append(n.retries, a.read.at)
 			}
 		}
 	}
 	for k, n := range nodes {
-		slices.Sort(n.read)
-		slices.Sort(n.further)
-		for i, at := range n.further {
-			from := at - budgetWindow
-			first, _ := slices.BinarySearch(n.further, from)
-			since, _ := slices.BinarySearch(n.read, from-busyMachine)
-			until, _ := slices.BinarySearch(n.read, at+busyMachine)
-			most := (budgetSpare+budgetShare*float64(until-since))*budgetWider + budgetMore
-			if j.killedWithin(k, from, at) {
-				most *= 2 // the process before has spent its own
+		slices.Sort(n.requests)
+		slices.Sort(n.retries)
+		for i, at := range n.retries {
+			windowStart := at - retryBudgetWindow
+			firstRetry, _ := slices.BinarySearch(n.retries, windowStart)
+			firstRequest, _ := slices.BinarySearch(n.requests, windowStart-loadSlack)
+			lastRequest, _ := slices.BinarySearch(n.requests, at+loadSlack)
+			allowed := (retryBudgetBase+retryBudgetShare*float64(lastRequest-firstRequest))*budgetFactor + budgetMargin
+			if c.killedWithin(k, windowStart, at) {
+				allowed *= 2 // the previous process had a budget of its own
 			}
-			if float64(i-first+1) > most {
-				j.broken(RetryBudget, "", at, "node %d sends %d further attempts within %v, %.1f allowed", k, i-first+1, budgetWindow, most)
+			if float64(i-firstRetry+1) > allowed {
+				c.violate(RetryBudget, "", at, "node %d sent %d retries within %v, %.1f allowed", k, i-firstRetry+1, retryBudgetWindow, allowed)
 				break
 			}
 		}
 	}
 }
 
-// processes judges starts and ends.
-func (j *judgement) processes() {
-	started, ending := map[int]time.Duration{}, map[int]time.Duration{}
-	killed, hurried := map[int]bool{}, map[int]bool{}
-	slow, all := 0, 0
-	neverReady := func(k int, until time.Duration) {
-		if at, starting := started[k]; starting && until-at > slowReady {
-			slow++
-			j.broken(Ready, "", until, "node %d is not ready after %v", k, until-at)
+// checkProcesses checks the starts and exits of node processes.
+func (c *checker) checkProcesses() {
+	startedAt, terminatedAt := map[int]time.Duration{}, map[int]time.Duration{}
+	killed, termTwice := map[int]bool{}, map[int]bool{}
+	slowStarts, starts := 0, 0
+	checkNotReady := func(k int, until time.Duration) {
+		if at, starting := startedAt[k]; starting && until-at > readyTarget {
+			slowStarts++
+			c.violate(Ready, "", until, "node %d not ready after %v", k, until-at)
 		}
-		delete(started, k)
+		delete(startedAt, k)
 	}
-	for _, r := range j.report.list {
+	for _, r := range c.report.records {
 		switch r.kind {
 		case nodeStarted:
-			started[r.node], killed[r.node], hurried[r.node] = r.at, false, false
-			delete(ending, r.node)
-			all++
+			startedAt[r.node], killed[r.node], termTwice[r.node] = r.at, false, false
+			delete(terminatedAt, r.node)
+			starts++
 		case nodeReady:
-			took := r.at - started[r.node]
-			delete(started, r.node)
-			if took > slowReady {
-				slow++
+			took := r.at - startedAt[r.node]
+			delete(startedAt, r.node)
+			if took > readyTarget {
+				slowStarts++
 			}
-			if took > lastReady {
-				j.broken(Ready, "", r.at, "node %d is ready after %v", r.node, took)
+			if took > readyLimit {
+				c.violate(Ready, "", r.at, "node %d ready after %v", r.node, took)
 			}
 		case nodeTerminated:
-			ending[r.node] = r.at
+			terminatedAt[r.node] = r.at
 		case nodeSignalled:
-			// A second signal to end cuts the drain short, which the exit code says.
-			if _, asked := ending[r.node]; asked && r.detail == syscall.SIGTERM.String() {
-				hurried[r.node] = true
+			// A second SIGTERM cuts the drain short, which the exit code reports.
+			if _, terminating := terminatedAt[r.node]; terminating && r.detail == syscall.SIGTERM.String() {
+				termTwice[r.node] = true
 			}
 		case nodeKilled:
-			// One that stood still meanwhile has heard of SIGTERM so much later.
-			if at, asked := ending[r.node]; asked && j.stood(r.node, at, r.at) == 0 {
-				j.broken(Ended, "", r.at, "node %d goes on %v after SIGTERM", r.node, r.at-at)
+			// A process suspended in between received SIGTERM later.
+			if at, terminating := terminatedAt[r.node]; terminating && c.suspendedFor(r.node, at, r.at) == 0 {
+				c.violate(Ended, "", r.at, "node %d still running %v after SIGTERM", r.node, r.at-at)
 			}
 			killed[r.node] = true
-			neverReady(r.node, r.at)
+			checkNotReady(r.node, r.at)
 		case nodeExited:
-			_, asked := ending[r.node]
-			wrong := !asked || r.status != 0 && !hurried[r.node]
-			if !killed[r.node] && wrong && r.at < j.o.Long+2*time.Second {
-				j.broken(Ended, "", r.at, "node %d ends with %s, SIGTERM %v", r.node, r.detail, asked)
+			_, terminating := terminatedAt[r.node]
+			unexpected := !terminating || r.status != 0 && !termTwice[r.node]
+			if !killed[r.node] && unexpected && r.at < c.o.Duration+2*time.Second {
+				c.violate(Ended, "", r.at, "node %d ended with %s, SIGTERM sent: %v", r.node, r.detail, terminating)
 			}
-			neverReady(r.node, r.at)
+			checkNotReady(r.node, r.at)
 		}
 	}
-	if slow*10 > all {
-		j.broken(Ready, "", 0, "%d of %d processes took over %v to be ready", slow, all, slowReady)
+	if slowStarts*10 > starts {
+		c.violate(Ready, "", 0, "%d of %d processes took more than %v to become ready", slowStarts, starts, readyTarget)
 	}
 }
