--- a/cmd/rainhaven/ctl.go
+++ b/cmd/rainhaven/ctl.go
@@ -28,14 +28,14 @@
 			return nil, err
 		}
 		if err != nil {
-			return nil, failure{exitFailed, err}
+			return nil, exitError{exitFailed, err}
 		}
 		if config.StateDir == "" {
-			return nil, failed("front(state = ...) is not set, and the control socket is in the state folder")
+			return nil, failf("front(state = ...) is not set, and the control socket is in the state folder")
 		}
 		response, err := control.Call(c.Context(), state.PathOf(config.StateDir, config.Name, daemon.ControlSocket), method, request)
 		if err != nil {
-			return nil, failure{exitFailed, err}
+			return nil, exitError{exitFailed, err}
 		}
 		return response, nil
 	}
--- a/cmd/rainhaven/fleet.go
+++ b/cmd/rainhaven/fleet.go
@@ -45,7 +45,7 @@
 				request += "?instance=" + strconv.Itoa(n)
 			}
 			if _, err := fleet.Request(c.Context(), fleet.SocketPath(folder), request); err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			return nil
 		}})
@@ -69,7 +69,7 @@
 			defer log.Sync()
 			executable, err := os.Executable()
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -79,7 +79,7 @@
 			if err == nil || errors.As(err, &diagnostics) {
 				return err
 			}
-			return failure{exitFailed, err}
+			return exitError{exitFailed, err}
 		}}
 	c.Flags().StringVarP(&script, "config", "c", "", "settings of all fronts, a Starlark script in which instance is the index of the front")
 	c.Flags().IntVar(&config.Fronts, "fronts", 1, "number of fronts")
@@ -96,7 +96,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			b, err := fleet.Request(c.Context(), fleet.SocketPath(*folder), "status")
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if asJSON {
 				_, err = c.OutOrStdout().Write(b)
@@ -104,7 +104,7 @@
 			}
 			var report fleet.Report
 			if err := json.Unmarshal(b, &report); err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(table, "front\tphase\tready\tfor\tfalls\tlast end\t")
--- a/cmd/rainhaven/lab.go
+++ b/cmd/rainhaven/lab.go
@@ -33,58 +33,58 @@
 	c := &cobra.Command{Use: "play URL", Short: "Play a session and check every frame",
 		Example: "  rainhaven play rtsp://127.0.0.1:8554/fault-clips/demo\n  rainhaven play --for 10s --json rtsp://127.0.0.1:8554/fault-clips/demo", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			p, err := rtsp.ParseURL(args[0])
+			target, err := rtsp.ParseURL(args[0])
 			if err != nil {
 				return fmt.Errorf("%w; the URL must be rtsp://host:port/group/title", err)
 			}
-			if _, _, err := net.SplitHostPort(p.Host); err != nil {
-				p.Host = net.JoinHostPort(p.Host, "554")
+			if _, _, err := net.SplitHostPort(target.Host); err != nil {
+				target.Host = net.JoinHostPort(target.Host, "554")
 			}
-			var who *auth.User
+			var user *auth.User
 			if u, err := url.Parse(args[0]); err == nil && u.User != nil {
-				pw, _ := u.User.Password()
-				who = &auth.User{Name: u.User.Username(), Password: pw}
+				password, _ := u.User.Password()
+				user = &auth.User{Name: u.User.Username(), Password: password}
 			}
-			w := player.Options{User: who, Address: p.Host, Group: p.Group, Title: p.Title, SetupTimeout: timeout.Seconds(), WatchSeconds: watch.Seconds(),
+			options := player.Options{User: user, Address: target.Host, Group: target.Group, Title: target.Title, SetupTimeout: timeout.Seconds(), WatchSeconds: watch.Seconds(),
 				Bandwidth: bandwidth, Tracks: tracks, Describe: true}
 			if strings.HasPrefix(args[0], "rtsps:") {
-				w.TLS = &tls.Config{InsecureSkipVerify: insecure}
-				if host, _, err := net.SplitHostPort(p.Host); err == nil {
-					w.TLS.ServerName = host
+				options.TLS = &tls.Config{InsecureSkipVerify: insecure}
+				if host, _, err := net.SplitHostPort(target.Host); err == nil {
+					options.TLS.ServerName = host
 				}
 				if ca != "" {
 					pem, err := os.ReadFile(ca)
-					if w.TLS.RootCAs = x509.NewCertPool(); err != nil || !w.TLS.RootCAs.AppendCertsFromPEM(pem) {
-						return failed("--ca %s contains no readable certificate", ca)
+					if options.TLS.RootCAs = x509.NewCertPool(); err != nil || !options.TLS.RootCAs.AppendCertsFromPEM(pem) {
+						return failf("--ca %s contains no readable certificate", ca)
 					}
 				}
 			}
 			if out != "" {
 				f, err := os.Create(out)
 				if err != nil {
-					return failure{exitFailed, err}
+					return exitError{exitFailed, err}
 				}
 				defer f.Close()
-				w.PayloadWriter = f
+				options.PayloadWriter = f
 			}
 			if !asJSON {
-				w.OnProgress = func(s player.Result) {
-					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", s.LastRung, s.DeliveredShare(), s.Frames, s.MaxFrameGap*1000, s.LostPackets)
+				options.OnProgress = func(progress player.Result) {
+					fmt.Fprintf(c.OutOrStdout(), "rung %d  share %.3f  frames %d  worst gap %.0f ms  lost %d\n", progress.LastRung, progress.DeliveredShare(), progress.Frames, progress.MaxFrameGap*1000, progress.LostPackets)
 				}
 			}
-			seen, err := player.Watch(c.Context(), w)
+			result, err := player.Watch(c.Context(), options)
 			if asJSON {
 				json.NewEncoder(c.OutOrStdout()).Encode(struct {
 					player.Result
 					DeliveredShare float64
 					Error          string `json:",omitempty"`
-				}{seen, seen.DeliveredShare(), errText(err)})
+				}{result, result.DeliveredShare(), errText(err)})
 			} else {
 				fmt.Fprintf(c.OutOrStdout(), "answer %d after %.1f ms, first frame after %.1f ms, %d frames, share %.3f, worst gap %.0f ms, lost %d, doubled %d, rung changes %d\n",
-					seen.Status, seen.AnswerSeconds*1000, seen.FirstFrameSeconds*1000, seen.Frames, seen.DeliveredShare(), seen.MaxFrameGap*1000, seen.LostPackets, seen.RepeatedPackets, seen.RungChanges)
+					result.Status, result.AnswerSeconds*1000, result.FirstFrameSeconds*1000, result.Frames, result.DeliveredShare(), result.MaxFrameGap*1000, result.LostPackets, result.RepeatedPackets, result.RungChanges)
 			}
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			return nil
 		}}
@@ -122,7 +122,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := day.ParseSabotage(sabotage)
+			parsed, err := day.ParseSabotage(sabotage)
 			if err != nil {
 				return err
 			}
@@ -132,7 +132,7 @@
 				if errors.As(err, &diagnostics) {
 					return err
 				}
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if shorten <= 0 || shorten > 1 {
 				return fmt.Errorf("--shorten is %v; it must be greater than 0 and at most 1", shorten)
@@ -141,21 +141,21 @@
 			if seed != 0 {
 				d.Seed = seed
 			}
-			o := day.Options{Log: log, Sabotage: s}
+			options := day.Options{Log: log, Sabotage: parsed}
 			if !quiet && !asJSON {
-				o.OnEvent = func(at float64, what string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, what) }
+				options.OnEvent = func(at float64, description string) { fmt.Fprintf(c.OutOrStdout(), "%6.1f s  %s\n", at, description) }
 			}
-			r, err := day.Run(c.Context(), d, o)
+			r, err := day.Run(c.Context(), d, options)
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if asJSON {
 				json.NewEncoder(c.OutOrStdout()).Encode(r)
 			} else {
 				r.Write(c.OutOrStdout())
 			}
-			if n := r.Verdict.Violations(); n > 0 {
-				return failed("rules were broken %d times", n)
+			if violations := r.Verdict.Violations(); violations > 0 {
+				return failf("rules were violated %d times", violations)
 			}
 			return nil
 		}}
@@ -172,31 +172,31 @@
 func measureCommand() *cobra.Command {
 	var asJSON, overTLS, reloads bool
 	var against string
-	o := measure.Options{}
+	options := measure.Options{}
 	c := &cobra.Command{Use: "measure", Short: "Compare viewers that play through a front with the same viewers directly at the boxes",
 		Example: "  rainhaven measure\n  rainhaven measure --sessions 1,100,1000 --setups 2000 --reps 5", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			executable, err := os.Executable()
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
-			o.Builds = []measure.Build{{Name: "this", Program: executable}}
+			options.Builds = []measure.Build{{Name: "this", Program: executable}}
 			if against != "" {
-				o.Builds = append(o.Builds, measure.Build{Name: "other", Program: against})
+				options.Builds = append(options.Builds, measure.Build{Name: "other", Program: against})
 			}
 			if overTLS {
-				o.Builds = append(o.Builds, measure.Build{Name: "this, TLS", Program: executable, TLS: true})
+				options.Builds = append(options.Builds, measure.Build{Name: "this, TLS", Program: executable, TLS: true})
 			}
 			if reloads {
-				o.Builds = append(o.Builds, measure.Build{Name: "reloading", Program: executable, Reloads: true})
+				options.Builds = append(options.Builds, measure.Build{Name: "reloading", Program: executable, Reloads: true})
 			}
-			if o.Setups < 1 || o.Reps < 1 || o.TransferSeconds <= 0 || len(o.Sessions) == 0 || slices.Min(o.Sessions) < 1 {
+			if options.Setups < 1 || options.Reps < 1 || options.TransferSeconds <= 0 || len(options.Sessions) == 0 || slices.Min(options.Sessions) < 1 {
 				return fmt.Errorf("--sessions, --setups, --reps and --seconds must be greater than 0")
 			}
-			rows, err := measure.Run(c.Context(), o, nil)
+			rows, err := measure.Run(c.Context(), options, nil)
 			if err != nil {
-				measure.WriteTable(c.OutOrStdout(), rows) // what was measured until then stands
-				return failure{exitFailed, err}
+				measure.WriteTable(c.OutOrStdout(), rows) // the rows measured before the error are valid
+				return exitError{exitFailed, err}
 			}
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(rows)
@@ -204,10 +204,10 @@
 			measure.WriteTable(c.OutOrStdout(), rows)
 			return nil
 		}}
-	c.Flags().IntSliceVar(&o.Sessions, "sessions", []int{1, 100, 1000}, "numbers of playing sessions to measure with")
-	c.Flags().IntVar(&o.Setups, "setups", 1000, "SETUPs to time on each path, alternating between the paths")
-	c.Flags().IntVar(&o.Reps, "reps", 5, "transfers at full speed on each path, alternating between the paths")
-	c.Flags().Float64Var(&o.TransferSeconds, "seconds", 1, "length of a transfer")
+	c.Flags().IntSliceVar(&options.Sessions, "sessions", []int{1, 100, 1000}, "numbers of playing sessions to measure with")
+	c.Flags().IntVar(&options.Setups, "setups", 1000, "SETUPs to time on each path, alternating between the paths")
+	c.Flags().IntVar(&options.Reps, "reps", 5, "transfers at full speed on each path, alternating between the paths")
+	c.Flags().Float64Var(&options.TransferSeconds, "seconds", 1, "length of a transfer in seconds")
 	c.Flags().StringVar(&against, "against", "", "another build of rainhaven to measure alternately with this one")
 	c.Flags().BoolVar(&reloads, "reloads", false, "also measure a front that reloads its settings each second")
 	c.Flags().BoolVar(&overTLS, "tls", false, "also measure viewers over TLS")
@@ -226,26 +226,26 @@
 			if requests < 1 || seeds < 1 || rate <= 0 {
 				return fmt.Errorf("--requests, --seeds and --rate must be greater than 0")
 			}
-			broken := 0
+			violations := 0
 			for seed := first; seed < first+uint64(seeds); seed++ {
 				d, err := day.Storm(seed, requests, rate)
 				if err != nil {
-					return failure{exitFailed, err}
+					return exitError{exitFailed, err}
 				}
 				r, err := day.Run(c.Context(), d, day.Options{RestoreState: remember})
 				if err != nil {
-					return failure{exitFailed, err}
+					return exitError{exitFailed, err}
 				}
-				v := r.Verdict
-				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v; further SETUPs %d, busy-replied %d, torn down %d, given up %d, left at boxes %d\n", seed, v,
-					v.Retries, v.Busy, v.Failed, v.Abandoned, r.SessionsLeft)
-				for _, n := range v.Notes {
-					fmt.Fprintln(c.OutOrStdout(), "  broken:", n)
+				verdict := r.Verdict
+				fmt.Fprintf(c.OutOrStdout(), "seed %d: %v; further SETUPs %d, busy-replied %d, torn down %d, given up %d, left at boxes %d\n", seed, verdict,
+					verdict.Retries, verdict.Busy, verdict.Failed, verdict.Abandoned, r.SessionsLeft)
+				for _, note := range verdict.Notes {
+					fmt.Fprintln(c.OutOrStdout(), "  broken:", note)
 				}
-				broken += v.Violations() + r.SessionsLeft
+				violations += verdict.Violations() + r.SessionsLeft
 			}
-			if broken > 0 {
-				return failed("rules were violated %d times", broken)
+			if violations > 0 {
+				return failf("rules were violated %d times", violations)
 			}
 			return nil
 		}}
--- a/cmd/rainhaven/main.go
+++ b/cmd/rainhaven/main.go
@@ -26,17 +26,17 @@
 	exitUsage  = 2 // invalid arguments or flags
 )
 
-// failure is an error that sets the exit code. Other errors exit with exitUsage, settings.Diagnostics with exitFailed.
-type failure struct {
+// exitError is an error that sets the exit code. Other errors exit with exitUsage, settings.Diagnostics with exitFailed.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f failure) Error() string { return f.err.Error() }
+func (e exitError) Error() string { return e.err.Error() }
 
-// failed returns a failure with the code exitFailed.
-func failed(format string, args ...any) error {
-	return failure{exitFailed, fmt.Errorf(format, args...)}
+// failf returns an exitError with the code exitFailed.
+func failf(format string, args ...any) error {
+	return exitError{exitFailed, fmt.Errorf(format, args...)}
 }
 
 func main() {
@@ -54,10 +54,10 @@
 		return 0
 	}
 	code := exitUsage
-	var fail failure
+	var exitErr exitError
 	var diagnostics settings.Diagnostics
-	if errors.As(err, &fail) {
-		code = fail.code
+	if errors.As(err, &exitErr) {
+		code = exitErr.code
 	} else if errors.As(err, &diagnostics) {
 		code = exitFailed
 	}
@@ -157,7 +157,7 @@
 			config, err := settings.ReadInstanceConfig(args[0], instance)
 			var diagnostics settings.Diagnostics
 			if err != nil && !errors.As(err, &diagnostics) {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if err != nil {
 				return err
--- a/cmd/rainhaven/migrate.go
+++ b/cmd/rainhaven/migrate.go
@@ -30,7 +30,7 @@
 				return err // run prints one line for each
 			}
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			for _, line := range migration.Changed {
 				fmt.Fprintln(c.OutOrStdout(), "changed:", line)
@@ -45,14 +45,14 @@
 			// The settings may hold passwords.
 			f, err := os.OpenFile(out, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 			if err != nil {
-				return failure{exitFailed, fmt.Errorf("writing settings: %w", err)}
+				return exitError{exitFailed, fmt.Errorf("writing settings: %w", err)}
 			}
 			_, err = f.Write(migration.Script)
 			if closeErr := f.Close(); err == nil {
 				err = closeErr
 			}
 			if err != nil {
-				return failure{exitFailed, fmt.Errorf("writing settings: %w", err)}
+				return exitError{exitFailed, fmt.Errorf("writing settings: %w", err)}
 			}
 			fmt.Fprintln(c.OutOrStdout(), "wrote", out)
 			return nil
--- a/cmd/rainhaven/node.go
+++ b/cmd/rainhaven/node.go
@@ -38,12 +38,12 @@
 			defer log.Sync()
 			path := os.Getenv("GW_CONFIG")
 			if path == "" {
-				return failed("GW_CONFIG names no configuration file")
+				return failf("GW_CONFIG names no configuration file")
 			}
 			load := func() (*start.Start, error) { return start.Read(path) }
 			config, err := load()
 			if err != nil {
-				return failed("%s: %w", path, err)
+				return failf("%s: %w", path, err)
 			}
 			runtime.GOMAXPROCS(1)
 			if config.MemoryMB > 0 {
@@ -57,7 +57,7 @@
 			}
 			code, err := node.Run(options)
 			if err != nil {
-				return failure{int(code), fmt.Errorf("node: %w", err)}
+				return exitError{int(code), fmt.Errorf("node: %w", err)}
 			}
 			return nil
 		}}
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -50,7 +50,7 @@
 			if err == nil || errors.As(err, &diagnostics) {
 				return err
 			}
-			return failure{int(code), err}
+			return exitError{int(code), err}
 		}}
 	c.Flags().StringVarP(&configPath, "config", "c", "", "the front's settings, a Starlark script")
 	c.Flags().DurationVar(&drain, "drain", 30*time.Second, "how long sessions may continue once the front is told to stop")
@@ -81,7 +81,7 @@
 				Now: func() float64 { return base + time.Since(start).Seconds() }}
 			b, err := box.Start(site, id, listen, link, box.NewRack(link), cold)
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			defer b.Close()
 			fmt.Fprintf(c.ErrOrStderr(), "box %d on %s\n", id, b.Address)
@@ -161,7 +161,7 @@
 	for i := range 6 {
 		b, err := box.Start(site, i+1, "", 3000, racks[i%3], false)
 		if err != nil {
-			return failure{exitFailed, err}
+			return exitError{exitFailed, err}
 		}
 		defer b.Close()
 		boxes = append(boxes, b)
@@ -169,12 +169,12 @@
 	}
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return failed("listen for viewers: %w; choose another address with --listen, such as 127.0.0.1:0", err)
+		return failf("listen for viewers: %w; choose another address with --listen, such as 127.0.0.1:0", err)
 	}
 	f, err := front.New(tryConfig(configured, site.Ladder), front.Options{Log: log})
 	if err != nil {
 		listener.Close()
-		return failure{exitFailed, err}
+		return exitError{exitFailed, err}
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/cmd/rainhaven/soak.go
+++ b/cmd/rainhaven/soak.go
@@ -38,29 +38,31 @@
 				return err
 			}
 			if o.Nodes < 1 || o.Servers < 2 || o.Duration < 8*time.Second || o.Rate <= 0 {
-				return fmt.Errorf("at least one node, two servers, 8s and a rate above 0 would be right")
+				return fmt.Errorf("--nodes must be at least 1, --servers at least 2, --for at least 8s and --rate greater than 0")
 			}
 			if o.Program, err = os.Executable(); err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if o.Folder = folder; folder == "" {
 				if o.Folder, err = os.MkdirTemp("", "rainhaven-soak-"); err != nil {
-					return failure{exitFailed, err}
+					return exitError{exitFailed, err}
 				}
 				defer os.RemoveAll(o.Folder)
 			} else if err := os.MkdirAll(folder, 0o700); err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			if !quiet {
-				o.OnFault = func(at time.Duration, what string) { fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), what) }
+				o.OnFault = func(at time.Duration, description string) {
+					fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), description)
+				}
 			}
 			r, err := soak.Run(c.Context(), o)
 			if err != nil {
-				return failure{exitFailed, err}
+				return exitError{exitFailed, err}
 			}
 			r.Write(c.OutOrStdout())
 			if !r.OK() {
-				return failed("invariants were violated %d times", len(r.Violations))
+				return failf("invariants were violated %d times", len(r.Violations))
 			}
 			return nil
 		}}
@@ -68,32 +70,33 @@
 	c.Flags().IntVar(&o.Nodes, "nodes", o.Nodes, "number of front nodes")
 	c.Flags().IntVar(&o.Servers, "servers", o.Servers, "number of streaming servers")
 	c.Flags().Uint64Var(&o.Seed, "seed", o.Seed, "seed of the faults and the traffic")
-	c.Flags().DurationVar(&o.Duration, "for", o.Duration, "how long")
+	c.Flags().DurationVar(&o.Duration, "for", o.Duration, "length of the soak")
 	c.Flags().Float64Var(&o.Rate, "rate", o.Rate, "mean requests per second at each node")
-	c.Flags().BoolVar(&o.SkewClocks, "clocks", o.SkewClocks, "start processes by wall clocks that are off by seconds or an hour")
+	c.Flags().BoolVar(&o.SkewClocks, "clocks", o.SkewClocks, "start processes with wall clocks that are off by seconds or an hour")
 	c.Flags().BoolVar(&o.NetworkFaults, "network-faults", o.NetworkFaults, "inject failures of the nodes' network system calls")
 	c.Flags().StringVar(&sabotage, "sabotage", "", "rule that the nodes break on purpose: "+strings.Join(sabotageNames, ", "))
 	c.Flags().StringVar(&folder, "keep", "", "folder in which to keep the nodes' configurations and logs")
-	c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "least level that the nodes log: debug, info, warn, error")
+	c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "minimum log level of the nodes: debug, info, warn, error")
 	c.Flags().BoolVarP(&quiet, "quiet", "q", false, "print the report only")
 	return c
 }
 
-// denseOptions returns the options of a dense soak, overridden by the flags that were set.
-func denseOptions(c *cobra.Command, asked soak.Options) soak.Options {
+// denseOptions returns the options of a dense soak, with seed, log level, clocks and network faults from flags, and the
+// other options from flags only where the flag was set.
+func denseOptions(c *cobra.Command, flags soak.Options) soak.Options {
 	o := soak.DenseOptions()
-	o.Seed, o.LogLevel, o.SkewClocks, o.NetworkFaults = asked.Seed, asked.LogLevel, asked.SkewClocks, asked.NetworkFaults
+	o.Seed, o.LogLevel, o.SkewClocks, o.NetworkFaults = flags.Seed, flags.LogLevel, flags.SkewClocks, flags.NetworkFaults
 	if c.Flags().Changed("nodes") {
-		o.Nodes = asked.Nodes
+		o.Nodes = flags.Nodes
 	}
 	if c.Flags().Changed("servers") {
-		o.Servers = asked.Servers
+		o.Servers = flags.Servers
 	}
 	if c.Flags().Changed("for") {
-		o.Duration = asked.Duration
+		o.Duration = flags.Duration
 	}
 	if c.Flags().Changed("rate") {
-		o.Rate = asked.Rate
+		o.Rate = flags.Rate
 	}
 	return o
 }
