--- a/choice/lifecycle/lifecycle.go
+++ b/choice/lifecycle/lifecycle.go
@@ -121,13 +121,13 @@
 	m.signaledAt = m.now
 	switch {
 	case m.wanted < Serving:
-		m.stop(Stopped, ExitClean, signal+" before the front was serving")
+		m.stop(Stopped, ExitClean, signal+" before the front served")
 	case m.wanted == Serving:
 		m.stop(Draining, ExitClean, signal)
 	case m.wanted == Draining:
-		m.stop(Cutting, ExitForced, "second signal: "+signal)
+		m.stop(Cutting, ExitForced, "a second signal: "+signal)
 	case m.wanted == Cutting:
-		m.stop(Stopped, ExitForced, "third signal: "+signal)
+		m.stop(Stopped, ExitForced, "a third signal: "+signal)
 	}
 }
 
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -1,14 +1,14 @@
 package node
 
-// closeReason says why the node closes a connection of a client.
+// closeReason says why the node closes a connection of a client. Its values are keys of the counts logged at the exit.
 type closeReason string
 
 const (
-	reasonIdle            closeReason = "no sessions for a long time"
-	reasonEvicted         closeReason = "evicted for a newer connection"
-	reasonInvalidRequests closeReason = "too many invalid requests"
-	reasonMessageTimeout  closeReason = "message not completed in time"
-	reasonMalformed       closeReason = "malformed message"
+	reasonIdle            closeReason = "without sessions for long"
+	reasonEvicted         closeReason = "gives way to a newer one"
+	reasonInvalidRequests closeReason = "too many requests that make no sense"
+	reasonMessageTimeout  closeReason = "a message did not come to its end"
+	reasonMalformed       closeReason = "what came can't be read"
 )
 
 // requestClose closes a connection of a client without open requests, once its reader has passed on what it read. If a
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -180,7 +180,7 @@
 
 // removeSession removes a session from all tables.
 func (n *Node) removeSession(s *session) {
-	n.logHistory(s, "ended")
+	n.logHistory(s, "over")
 	n.cancelTimeout(s.setupTimer)
 	s.setupTimer = nil
 	n.detachSetup(s)
