--- a/choice/api.go
+++ b/choice/api.go
@@ -12,8 +12,8 @@
 	SetRung(id SessID, rung int)
 	// Setup sends a SETUP and waits for its answer at most so many seconds.
 	Setup(id SessID, server ServerID, wait float64)
-	// BusyReply answers a request finally as busy, with the advice to come back after so many seconds; 0 is no advice.
-	BusyReply(id SessID, comeBack float64)
+	// BusyReply answers a request finally as busy, with the advice to retry after so many seconds; 0 is no advice.
+	BusyReply(id SessID, retryAfter float64)
 	// FailureReply answers a request finally as failed.
 	FailureReply(id SessID)
 	// Probe probes a server.
@@ -59,7 +59,7 @@
 	NoteLag            float64   // seconds by which notes are late
 	NoteInterval       float64   // seconds between load notes; 0 is none
 	MaxSetups          int       // for one request
-	MaxRetryAfter      float64   // longest advice to come back, in seconds, that viewers follow; 0 is none
+	MaxRetryAfter      float64   // longest advice to retry, in seconds, that viewers follow; 0 is none
 	FullThreshold      float64   // load of their link from which servers answer full; 0 is never
 	Probes             bool      // probes are allowed
 	PeerMessages       bool      // fronts may send each other messages
@@ -76,7 +76,7 @@
 	RetryWindow        float64 // seconds; 0 is no budget
 }
 
-// Lifecycle is what the directory knows of a server.
+// Lifecycle is the state of a server, as listed.
 type Lifecycle int
 
 // A server is gone, ready or draining.
@@ -86,7 +86,7 @@
 	Draining
 )
 
-// Listing is one server in the directory.
+// Listing is one entry of the list of servers.
 type Listing struct {
 	ID               ServerID
 	Zone, Kind, Cell int
@@ -97,14 +97,14 @@
 
 // Request is a session to be set up, or one handed over.
 type Request struct {
-	ID           SessID
-	Group        int
-	Title        string
-	StartCell    int // first of the cells whose servers hold the title
-	CellCount    int // how many cells from there on, the last followed by the first
-	BestRung     int
-	SetupTimeout float64 // instant at which the viewer gives up
-	Length       float64 // expected length in seconds; 0 is not known
+	ID            SessID
+	Group         int
+	Title         string
+	StartCell     int // first of the cells whose servers hold the title
+	CellCount     int // how many cells from there on, the last followed by the first
+	BestRung      int
+	SetupDeadline float64 // instant at which the viewer gives up
+	Length        float64 // expected length in seconds; 0 is not known
 }
 
 // Outcome is how a SETUP or a probe ended.
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -225,8 +225,8 @@
 // SetTime sets the clock. It comes before each batch of events; all instants are of this clock, in seconds.
 func (f *Front) SetTime(now float64) { f.now = now }
 
-// UpdateDirectory takes the whole list of servers, or only the entries that changed.
-func (f *Front) UpdateDirectory(whole bool, list []Listing) {
+// UpdateServers takes the whole list of servers, or only the entries that changed.
+func (f *Front) UpdateServers(full bool, list []Listing) {
 	first := f.capacityPerStream == 0
 	if first {
 		// Weights are all alike and say nothing of capacity, so the capacity of all links is divided by the streams that
@@ -261,7 +261,7 @@
 		s.uplink = f.uplinks[e.Cell%f.racks]
 	}
 	for _, s := range f.servers {
-		if whole && !named[s.id] {
+		if full && !named[s.id] {
 			s.state = Gone
 		}
 	}
@@ -338,7 +338,7 @@
 func (f *Front) newSession(r Request) *session {
 	g := &f.groups[r.Group]
 	s := &session{id: r.ID, group: g, seat: seatKey{r.Title, r.Group}, startCell: r.StartCell, cellCount: r.CellCount,
-		bestRung: max(min(r.BestRung, g.Top, len(g.rates)-1), g.Floor), requestedAt: f.now, setupTimeout: r.SetupTimeout,
+		bestRung: max(min(r.BestRung, g.Top, len(g.rates)-1), g.Floor), requestedAt: f.now, setupDeadline: r.SetupDeadline,
 		rung: g.Floor, wantedRung: g.Floor, rateShare: 1}
 	if r.Length > 0 {
 		s.endsAt = f.now + r.Length
@@ -489,7 +489,7 @@
 func (f *Front) place(s *session) {
 	f.changed = append(f.changed, s)
 	s.setupWanted = false
-	if f.stopped || s.group.Seats > 0 && f.seatsTaken[s.seat] >= s.group.Seats || f.now >= s.setupTimeout ||
+	if f.stopped || s.group.Seats > 0 && f.seatsTaken[s.seat] >= s.group.Seats || f.now >= s.setupDeadline ||
 		s.setupsSent > 0 && (s.setupsSent >= f.maxSetups || s.group.Paid && s.mayHaveRun || !f.retryAllowed()) {
 		f.reject(s)
 		return
@@ -535,7 +535,7 @@
 	slices.SortStableFunc(list, func(a, b holder) int { return cmp.Compare(b.headroom, a.headroom) })
 	// The best holder is probed first where its load was not reported lately: where fronts are many, each knows few
 	// links. Probing a second and third holder costs as much as it gains.
-	if f.probeFirst && s.setupsSent == 0 && !s.probeAwaited && len(list) > 1 && s.setupTimeout-f.now > 1 {
+	if f.probeFirst && s.setupsSent == 0 && !s.probeAwaited && len(list) > 1 && s.setupDeadline-f.now > 1 {
 		if sv := list[0].sv; f.now-sv.link.reportedAt > recentReport {
 			sv.probeWanted, s.probeAwaited, s.awaitedProbe = true, true, sv
 			f.awaitingProbe = append(f.awaitingProbe, s)
@@ -606,8 +606,8 @@
 	}
 }
 
-// SetupDone reports that a session is established.
-func (f *Front) SetupDone(id SessID) {
+// SessionEstablished reports that a session is established.
+func (f *Front) SessionEstablished(id SessID) {
 	if s := f.sessions[id]; s != nil && s.holder != nil {
 		s.playing, s.rungChangedAt = true, f.now
 		f.markAlive(s.holder)
@@ -767,13 +767,13 @@
 	f.markAlive(sv)
 	f.recordReport(sv, rep, 0.25)
 	if sv.ejected {
-		// The server may have restarted, and be cold, before the directory says so.
+		// The server may have restarted, and be cold, before the list of servers says so.
 		if sv.probesAnswered++; sv.probesAnswered >= probesToReinstate {
 			sv.ejected, sv.startedAt = false, max(sv.startedAt, f.now)
 		}
 		// One lost answer, slow SETUP or cut connection looks like a dead server. A probe answered at once shows that
 		// the server lives and is warm, as no machine restarts that fast. Drawback: where one did, it would count as
-		// warm until the directory reports the start.
+		// warm until the list reports the start.
 		if sv.ejectedForSetups && f.now-sv.ejectedAt < 0.5 {
 			sv.ejected = false
 		}
@@ -952,9 +952,9 @@
 // target.
 func (f *Front) setupWait(s *session) float64 {
 	if s.group.Paid || s.setupsSent+1 >= f.maxSetups {
-		return s.setupTimeout - f.now
+		return s.setupDeadline - f.now
 	}
-	return min(s.setupTimeout-f.now, 0.4*s.group.StartTarget)
+	return min(s.setupDeadline-f.now, 0.4*s.group.StartTarget)
 }
 
 // Reconcile emits the difference between the wanted state and the present one. Nothing else emits actions.
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -28,7 +28,7 @@
 
 // testRequest is for a title of the first three servers; it times out 4 s after the simulation's start.
 func testRequest(group int) Request {
-	return Request{Group: group, Title: "t", CellCount: 3, BestRung: 3, SetupTimeout: 104}
+	return Request{Group: group, Title: "t", CellCount: 3, BestRung: 3, SetupDeadline: 104}
 }
 
 // newIdleFront returns the one front of an idle fleet.
@@ -45,7 +45,7 @@
 func (sf *simulatedFront) establish(req *simRequest) {
 	sf.reconcile()
 	req.inFlight, req.playing = false, true
-	sf.front.SetupDone(req.ID)
+	sf.front.SessionEstablished(req.ID)
 }
 
 func TestIdleFleetGivesTheTopRung(t *testing.T) {
@@ -508,7 +508,7 @@
 		sf := newIdleFront(func(c *Config) { c.MaxSetups = 4 })
 		failing := sf.request(testRequest(c.group))
 		sf.reconcile()
-		waiting := sf.request(Request{Group: 0, Title: "u", StartCell: 3, CellCount: 3, BestRung: 3, SetupTimeout: 104})
+		waiting := sf.request(Request{Group: 0, Title: "u", StartCell: 3, CellCount: 3, BestRung: 3, SetupDeadline: 104})
 		sf.front.Reconcile()
 		if !failing.inFlight || waiting.inFlight || len(sf.front.awaitingProbe) != 1 {
 			t.Fatal("want one SETUP in flight and one request that waits for a probe")
--- a/choice/decisionlog/decisionlog.go
+++ b/choice/decisionlog/decisionlog.go
@@ -19,7 +19,7 @@
 	SetupSent
 	SetupEnded
 	RungChanged
-	RungRefused
+	RungRejected
 	BusyReplied
 	Failed
 	Ended
@@ -35,7 +35,7 @@
 	Seconds     float64 // SetupSent: timeout; BusyReplied: advice when to retry
 	Outcome     choice.Outcome
 	EndReason   string              // set for Ended
-	Snapshot    choice.SessionState // set for SetupSent, RungChanged, BusyReplied and Failed; at most maxHolders holders, largest Room first
+	Snapshot    choice.SessionState // set for SetupSent, RungChanged, BusyReplied and Failed; at most maxHolders holders, largest Headroom first
 	HolderCount int                 // holders before the snapshot was truncated
 }
 
@@ -116,7 +116,7 @@
 		return fmt.Sprintf("SETUP to box %d: %s", e.Box, outcomeTexts[e.Outcome])
 	case RungChanged:
 		return fmt.Sprintf("to rung %d; demand/target is now %s", e.Rung, e.loadText())
-	case RungRefused:
+	case RungRejected:
 		return fmt.Sprintf("the box rejected the rung change; rung %d stays", e.Rung)
 	case BusyReplied:
 		return fmt.Sprintf("busy-replied, retry after %.0f s: %s; %s", e.Seconds, e.rejectionReason(), e.holdersText())
--- a/choice/describe/describe.go
+++ b/choice/describe/describe.go
@@ -82,11 +82,11 @@
 
 // nextHolder picks a holder that has not been queried yet. It rotates among the holders, so that one that hangs is not the
 // first choice of every title, and skips boxes that drain.
-func (c *Cache) nextHolder(e *description, start, span int) (choice.ServerID, bool) {
+func (c *Cache) nextHolder(e *description, startCell, cellCount int) (choice.ServerID, bool) {
 	c.nextIndex++
 	for i := range c.boxes {
 		b := c.boxes[(c.nextIndex+i)%len(c.boxes)]
-		if b.State == choice.Ready && (b.Cell-start+c.cells)%c.cells < span && !slices.Contains(e.queried, b.ID) {
+		if b.State == choice.Ready && (b.Cell-startCell+c.cells)%c.cells < cellCount && !slices.Contains(e.queried, b.ID) {
 			return b.ID, true
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // Request handles a viewer's DESCRIBE for a title that is held in span cells, from cell start on.
-func (c *Cache) Request(now float64, title string, start, span int) (Action, choice.ServerID, []byte) {
+func (c *Cache) Request(now float64, title string, startCell, cellCount int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
 	if e == nil {
 		c.evict()
@@ -109,12 +109,12 @@
 		return Wait, 0, nil
 	}
 	e.queried = nil
-	return c.queryNext(now, e, start, span)
+	return c.queryNext(now, e, startCell, cellCount)
 }
 
-func (c *Cache) queryNext(now float64, e *description, start, span int) (Action, choice.ServerID, []byte) {
+func (c *Cache) queryNext(now float64, e *description, startCell, cellCount int) (Action, choice.ServerID, []byte) {
 	if len(e.queried) < maxQueries {
-		if id, ok := c.nextHolder(e, start, span); ok {
+		if id, ok := c.nextHolder(e, startCell, cellCount); ok {
 			e.queried, e.pending = append(e.queried, id), true
 			return Fetch, id, nil
 		}
@@ -127,7 +127,7 @@
 
 // HandleReply handles a holder's answer; body is nil if there was none or it was unusable. The returned action applies to all
 // viewers that wait for the title.
-func (c *Cache) HandleReply(now float64, title string, from choice.ServerID, body []byte, start, span int) (Action, choice.ServerID, []byte) {
+func (c *Cache) HandleReply(now float64, title string, from choice.ServerID, body []byte, startCell, cellCount int) (Action, choice.ServerID, []byte) {
 	e := c.titles[title]
 	if e == nil || !e.pending || e.queried[len(e.queried)-1] != from {
 		return Wait, 0, nil // late: another holder has been queried since, or the query is no longer pending
@@ -137,7 +137,7 @@
 		e.body, e.fetchedAt = body, now
 		return Answer, 0, body
 	}
-	return c.queryNext(now, e, start, span)
+	return c.queryNext(now, e, startCell, cellCount)
 }
 
 // evict removes the least recently used title without a pending query if the cache is full.
--- a/choice/limits/limits.go
+++ b/choice/limits/limits.go
@@ -4,29 +4,29 @@
 
 // Bounds are the limits that a front's settings may change.
 type Bounds struct {
-	Connections    int     // connections of all viewers
-	Sessions       int     // sessions in all; further requests get a busy reply
-	BoxConnections int     // connections to one box
-	Queue          int     // bytes of media queued for one viewer
-	ViewerIdle     float64 // seconds of silence after which a viewer counts as gone
-	KeepAlive      float64 // seconds between keep-alive requests to a box
-	ConnectTimeout float64 // seconds to connect to a box
-	ProbeTimeout   float64 // seconds to wait for the answer to a probe
-	WriteStall     float64 // seconds that one write to a viewer may take
+	MaxConnections    int     // connections of all viewers
+	MaxSessions       int     // sessions in all; further requests get a busy reply
+	MaxBoxConnections int     // connections to one box
+	QueueBytes        int     // bytes of media queued for one viewer
+	ViewerIdleTimeout float64 // seconds of silence after which a viewer counts as gone
+	KeepAliveInterval float64 // seconds between keep-alive requests to a box
+	ConnectTimeout    float64 // seconds to connect to a box
+	ProbeTimeout      float64 // seconds to wait for the answer to a probe
+	WriteStall        float64 // seconds that one write to a viewer may take
 }
 
 // Defaults are the limits used where the settings have none.
 var Defaults = Bounds{
 	// A session takes two descriptors: 4,000 sessions need less than half of the 20,000 that a service may usually open.
 	// The users' fronts carry a hundredth of that.
-	Connections: 5000, Sessions: 4000,
+	MaxConnections: 5000, MaxSessions: 4000,
 	// A box has 20 places, and drains and probes take connections besides; ten times that leaves room for far larger boxes.
-	BoxConnections: 200,
+	MaxBoxConnections: 200,
 	// Half a second of the users' fastest rung, 2.5 MB a second, is 1.25 MB. A viewer further behind has stalled for longer
 	// than its player's buffer covers, and the media that it missed is outdated.
-	Queue: 1 << 20,
+	QueueBytes: 1 << 20,
 	// The default session timeout of RFC 2326, and a third of it, so that two keep-alives may be lost.
-	ViewerIdle: 60, KeepAlive: 20,
+	ViewerIdleTimeout: 60, KeepAliveInterval: 20,
 	// The users' present limit for both with their boxes; a round trip takes up to 5 ms.
 	ConnectTimeout: 0.25, ProbeTimeout: 0.25,
 	// A viewer that accepts no data for that long is gone: it is twice the longest stall that its player waits through.
--- a/choice/restore/restore.go
+++ b/choice/restore/restore.go
@@ -18,13 +18,13 @@
 type Snapshot struct {
 	SavedAt   float64         `json:"Saved"` // time of the snapshot
 	CleanExit bool            `json:"Clean"` // the front shut down in order, so nothing happened after the snapshot
-	Memory    choice.Snapshot `json:"Memory"`
+	Choice    choice.Snapshot `json:"Memory"`
 }
 
 // Config holds the settings of the starting front.
 type Config struct {
-	WindowSeconds, BaseAllowance, RetryShare float64 // of the retry budget
-	WarmUpSeconds                            float64
+	RetryWindow, BaseRetries, RetriesPerSession float64 // of the retry budget
+	WarmUp                                      float64
 }
 
 const (
@@ -54,10 +54,10 @@
 	}
 	age = max(age, 0)
 	m = requestWindow(now, s, c)
-	if added := len(m.Retries) - len(s.Memory.Retries); added > 0 && !s.CleanExit {
-		messages = append(messages, fmt.Sprintf("the last process did not shut down cleanly: no further SETUPs for %.0f s, as it may have used up the retry budget", c.WindowSeconds))
+	if added := len(m.Retries) - len(s.Choice.Retries); added > 0 && !s.CleanExit {
+		messages = append(messages, fmt.Sprintf("the last process did not shut down cleanly: no further SETUPs for %.0f s, as it may have used up the retry budget", c.RetryWindow))
 	}
-	for _, r := range s.Memory.Servers {
+	for _, r := range s.Choice.Servers {
 		b := choice.ServerSnapshot{ID: r.ID, StartedAt: startTime(now, r.StartedAt), Slot: -1}
 		if age < ejectedMaxAgeSeconds {
 			b.Ejected, b.FullUntil = r.Ejected, min(r.FullUntil, now+1)
@@ -69,11 +69,11 @@
 		b.Link = linkReading(now, age, r.Link)
 		m.Servers = append(m.Servers, b)
 	}
-	for _, r := range s.Memory.Uplinks {
+	for _, r := range s.Choice.Uplinks {
 		m.Uplinks = append(m.Uplinks, linkReading(now, age, r))
 	}
-	if age < meanLoadMaxAgeSeconds && nonNegative(s.Memory.MeanLoad[0]) && nonNegative(s.Memory.MeanLoad[1]) && nonNegative(s.Memory.MeanLoadDemand) {
-		m.MeanLoad = s.Memory.MeanLoad // UsualAt depends on own sessions, and a starting front has none
+	if age < meanLoadMaxAgeSeconds && nonNegative(s.Choice.MeanLoad[0]) && nonNegative(s.Choice.MeanLoad[1]) && nonNegative(s.Choice.MeanLoadDemand) {
+		m.MeanLoad = s.Choice.MeanLoad // MeanLoadDemand is not restored: it depends on own sessions, and a starting front has none
 	}
 	return m, messages
 }
@@ -82,21 +82,21 @@
 // snapshot is unknown: it may have spent the rest of the retry budget, so the rest counts as spent now. Starting from nothing
 // would grant the base allowance a second time.
 func requestWindow(now float64, s Snapshot, c Config) (m choice.Snapshot) {
-	if c.WindowSeconds <= 0 {
+	if c.RetryWindow <= 0 {
 		return m
 	}
 	within := func(list []float64) (out []float64) {
 		for _, x := range list {
-			if x <= now && now-x <= 1.02*c.WindowSeconds {
+			if x <= now && now-x <= 1.02*c.RetryWindow {
 				out = append(out, x)
 			}
 		}
 		slices.Sort(out)
 		return out
 	}
-	m.FirstSetups, m.Retries = within(s.Memory.FirstSetups), within(s.Memory.Retries)
-	if !s.CleanExit && now-s.SavedAt <= 1.02*c.WindowSeconds {
-		m.Retries = spendBudget(now, m.Retries, c.BaseAllowance+c.RetryShare*float64(len(m.FirstSetups)))
+	m.FirstSetups, m.Retries = within(s.Choice.FirstSetups), within(s.Choice.Retries)
+	if !s.CleanExit && now-s.SavedAt <= 1.02*c.RetryWindow {
+		m.Retries = spendBudget(now, m.Retries, c.BaseRetries+c.RetriesPerSession*float64(len(m.FirstSetups)))
 	}
 	return m
 }
@@ -115,12 +115,12 @@
 // conservative restores a snapshot whose times are meaningless: the base allowance of the retry budget counts as spent, and
 // boxes that were cold are cold from now on.
 func conservative(now float64, s Snapshot, c Config) (m choice.Snapshot) {
-	if c.WindowSeconds > 0 {
-		m.Retries = spendBudget(now, nil, c.BaseAllowance)
+	if c.RetryWindow > 0 {
+		m.Retries = spendBudget(now, nil, c.BaseRetries)
 	}
-	for _, r := range s.Memory.Servers {
+	for _, r := range s.Choice.Servers {
 		b := choice.ServerSnapshot{ID: r.ID, Slot: -1}
-		if r.StartedAt > 0 && s.SavedAt-r.StartedAt < c.WarmUpSeconds {
+		if r.StartedAt > 0 && s.SavedAt-r.StartedAt < c.WarmUp {
 			b.StartedAt = now
 		}
 		m.Servers = append(m.Servers, b)
--- a/choice/restore/restore_test.go
+++ b/choice/restore/restore_test.go
@@ -8,10 +8,10 @@
 	"rainhaven/choice"
 )
 
-var config = Config{WindowSeconds: 10, BaseAllowance: 5, RetryShare: 0.1, WarmUpSeconds: 30}
+var config = Config{RetryWindow: 10, BaseRetries: 5, RetriesPerSession: 0.1, WarmUp: 30}
 
 func TestFromSnapshotByAge(t *testing.T) {
-	s := Snapshot{SavedAt: 1000, Memory: choice.Snapshot{FirstSetups: []float64{985, 993, 999}, Retries: []float64{980, 995},
+	s := Snapshot{SavedAt: 1000, Choice: choice.Snapshot{FirstSetups: []float64{985, 993, 999}, Retries: []float64{980, 995},
 		Servers: []choice.ServerSnapshot{{ID: 1, StartedAt: 990, Slot: 5, SlotSetups: 1, Ejected: true, FullUntil: 1050, MeanGap: 3, GapDeviation: 1, LastHeardAt: 998,
 			Link: choice.LinkSnapshot{NominalCapacity: 100, Capacity: 150, OtherDemand: 40, ReadAt: 997, OwnDemand: 60, ReportedLoad: 0.5, ReportedAt: 999, ShortfallDemand: 90, ShortfallAt: 999}}},
 		MeanLoad: [2]float64{0.4, 0.5}}}
@@ -53,10 +53,10 @@
 		instant := rapid.Float64Range(900, 1100)
 		anyValue := rapid.OneOf(instant, rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), -5, 0}))
 		s := Snapshot{SavedAt: instant.Draw(t, "saved"), CleanExit: rapid.Bool().Draw(t, "clean")}
-		s.Memory.FirstSetups = rapid.SliceOfN(instant, 0, 60).Draw(t, "taken")
-		s.Memory.Retries = rapid.SliceOfN(instant, 0, 20).Draw(t, "further")
+		s.Choice.FirstSetups = rapid.SliceOfN(instant, 0, 60).Draw(t, "taken")
+		s.Choice.Retries = rapid.SliceOfN(instant, 0, 20).Draw(t, "further")
 		startedAt := instant.Draw(t, "born")
-		s.Memory.Servers = []choice.ServerSnapshot{{ID: 1, StartedAt: startedAt, Slot: anyValue.Draw(t, "slot"), MeanGap: anyValue.Draw(t, "gap"), GapDeviation: anyValue.Draw(t, "dev"),
+		s.Choice.Servers = []choice.ServerSnapshot{{ID: 1, StartedAt: startedAt, Slot: anyValue.Draw(t, "slot"), MeanGap: anyValue.Draw(t, "gap"), GapDeviation: anyValue.Draw(t, "dev"),
 			Link: choice.LinkSnapshot{NominalCapacity: anyValue.Draw(t, "told"), Capacity: anyValue.Draw(t, "size"), OtherDemand: anyValue.Draw(t, "rest"), ReadAt: anyValue.Draw(t, "read")}}}
 		now := instant.Draw(t, "now")
 		m, _ := FromSnapshot(now, s, config)
@@ -67,19 +67,19 @@
 		}
 		// Retries before the restart and those still allowed within the window must together stay in the retry budget.
 		sent := 0
-		for _, x := range s.Memory.Retries {
-			if x <= now && now-x <= config.WindowSeconds {
+		for _, x := range s.Choice.Retries {
+			if x <= now && now-x <= config.RetryWindow {
 				sent++
 			}
 		}
 		if len(m.Retries) < sent && now-s.SavedAt >= -1 {
 			t.Fatalf("%d retries within the window, %d restored", sent, len(m.Retries))
 		}
-		if !s.CleanExit && math.Abs(now-s.SavedAt) < config.WindowSeconds && float64(len(m.Retries))+1 <= config.BaseAllowance {
+		if !s.CleanExit && math.Abs(now-s.SavedAt) < config.RetryWindow && float64(len(m.Retries))+1 <= config.BaseRetries {
 			t.Fatalf("killed within the window, but only %d retries count as spent", len(m.Retries))
 		}
 		b := m.Servers[0]
-		if age := now - startedAt; age < config.WarmUpSeconds && now-s.SavedAt >= -1 && b.StartedAt != min(startedAt, now) {
+		if age := now - startedAt; age < config.WarmUp && now-s.SavedAt >= -1 && b.StartedAt != min(startedAt, now) {
 			t.Fatalf("start time restored as %v, was %v", b.StartedAt, startedAt)
 		}
 		for _, x := range []float64{b.MeanGap, b.GapDeviation, b.Link.NominalCapacity, b.Link.Capacity, b.Link.OtherDemand, b.Link.ReadAt, b.FullUntil, b.LastHeardAt} {
--- a/choice/session/reload.go
+++ b/choice/session/reload.go
@@ -8,9 +8,9 @@
 
 // Config holds the settings that a reload replaces.
 type Config struct {
-	Figures  choice.Config
-	Limits   Limits
-	GroupMap []int // new index of each service group by its old one; complete
+	Choice        choice.Config
+	Limits        Limits
+	NewGroupIndex []int // new index of each service group by its old one; complete
 }
 
 // Reload applies new settings. It replaces the module by a new one, restored from the saved state of the old one after
@@ -30,7 +30,7 @@
 	sessions := t.sortedSessions()
 	resubmitted := 0
 	for _, s := range sessions {
-		s.group = cfg.GroupMap[s.group]
+		s.group = cfg.NewGroupIndex[s.group]
 		if s.req.Group = s.group; s.awaitsPlacement() {
 			resubmitted++
 		}
@@ -38,12 +38,12 @@
 	// Placing a request anew counts it as taken again, so its first count is removed: the retry budget must not grow.
 	saved.FirstSetups = saved.FirstSetups[:max(len(saved.FirstSetups)-resubmitted, 0)]
 	t.limits = cfg.Limits
-	t.newModule(cfg.Figures)
-	t.module.UpdateDirectory(true, list)
+	t.newModule(cfg.Choice)
+	t.module.UpdateServers(true, list)
 	t.module.Restore(saved)
 	// The new module needs the boxes that have left the list until their sessions are handed to it, as those sessions
 	// hold seats. They are listed as draining meanwhile.
-	t.UpdateDirectory(true, list)
+	t.UpdateBoxes(true, list)
 	var removed []choice.Listing
 	for id, e := range t.boxes {
 		if e.State == choice.Gone {
@@ -51,14 +51,14 @@
 		}
 	}
 	slices.SortFunc(removed, func(a, b choice.Listing) int { return int(int64(a.ID) - int64(b.ID)) })
-	t.module.UpdateDirectory(false, removed)
+	t.module.UpdateServers(false, removed)
 	for _, s := range sessions {
 		t.reload(s)
 	}
 	for i := range removed {
 		removed[i].State = choice.Gone
 	}
-	t.module.UpdateDirectory(false, removed)
+	t.module.UpdateServers(false, removed)
 }
 
 // SetLimits replaces the limits without a reload. Waits that have already started keep their old setup timeout.
@@ -67,7 +67,7 @@
 // Snapshot returns the module's state to be saved.
 func (t *Table) Snapshot() choice.Snapshot { return t.module.Snapshot() }
 
-// Restore loads the module's saved state. It must be called after the first directory update and before any session.
+// Restore loads the module's saved state. It must be called after the first UpdateBoxes and before any session.
 func (t *Table) Restore(m choice.Snapshot) { t.module.Restore(m) }
 
 // BoxCounts returns the number of listed boxes, and of those that the list shows as ready for new sessions.
--- a/choice/session/search_test.go
+++ b/choice/session/search_test.go
@@ -23,7 +23,7 @@
 	t.T.Fatalf("after %s: %s", strings.Join(*t.trace, ", "), fmt.Sprintf(format, args...))
 }
 
-// event is a step that a viewer, a box, the directory, the clock or an operator may take next. apply returns false where it
+// event is a step that a viewer, a box, the list of boxes, the clock or an operator may take next. apply returns false where it
 // is impossible.
 type event struct {
 	name  string
@@ -80,7 +80,7 @@
 		}
 		h.boxState[box] = s
 		h.apply(func() {
-			h.table.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
+			h.table.UpdateBoxes(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
 		})
 		return true
 	}
@@ -154,12 +154,12 @@
 		}
 		box := h.pendingProbes[0]
 		h.pendingProbes = h.pendingProbes[1:]
-		h.apply(func() { h.table.Probed(box, 200, 0, choice.LoadReport{Link: 0.3, Uplink: -1}) })
+		h.apply(func() { h.table.ProbeEnded(box, 200, 0, choice.LoadReport{Link: 0.3, Uplink: -1}) })
 		return true
 	}},
 	{"time", func(h *harness) bool {
 		before := h.now
-		if n := h.table.NextTimer(); n > 0 {
+		if n := h.table.NextWakeup(); n > 0 {
 			h.advance(n - h.now + 1e-6)
 		}
 		return h.now > before
@@ -192,13 +192,13 @@
 		if h.table.refuseNew && h.table.Len() == 0 {
 			return false
 		}
-		h.apply(h.table.EndAll)
+		h.apply(h.table.EndSessions)
 		return true
 	}},
 }
 
 // fingerprint encodes all state that later events can depend on: the session, its SETUPs with their boxes and results,
-// pending operations and probes, the directory, and the time.
+// pending operations and probes, the list of boxes, and the time.
 func (h *harness) fingerprint() string {
 	var b strings.Builder
 	if s := h.table.sessions[searchedID]; s != nil {
--- a/choice/session/session.go
+++ b/choice/session/session.go
@@ -3,8 +3,8 @@
 // placement module (package choice), and what the viewer is answered. It does no I/O and parses no protocol.
 //
 // A Table is created with New. Each batch of events starts with SetTime, followed by one method call per event, and ends
-// with Settle, the only method that calls Actions. The Table owns the choice.Front, so every event that concerns the
-// module passes through it. NextTimer returns when RunTimers must be called. Events may arrive late, twice or out of
+// with Reconcile, the only method that calls Actions. The Table owns the choice.Front, so every event that concerns the
+// module passes through it. NextWakeup returns when RunTimers must be called. Events may arrive late, twice or out of
 // order: each carries the number of the SETUP attempt it belongs to, and events of a finished attempt are dropped.
 package session
 
@@ -36,11 +36,11 @@
 
 // Request describes the session that a viewer asks for.
 type Request struct {
-	Group           int
-	Title           string
-	StartCell, Span int
-	BestRung        int
-	Length          float64 // expected length in seconds; 0 if unknown
+	Group                int
+	Title                string
+	StartCell, CellCount int
+	BestRung             int
+	Length               float64 // expected length in seconds; 0 if unknown
 }
 
 // FinalAnswer is the final answer to a request for a session.
@@ -86,7 +86,7 @@
 	return [...]string{"none", "by viewer", "box lost", "box hung", "viewer silent", "front stopping"}[r]
 }
 
-// Actions carries out a table's decisions. Its methods are called from within Settle only.
+// Actions carries out a table's decisions. Its methods are called from within Reconcile only.
 type Actions interface {
 	// Setup sends a SETUP to a box, connecting first if needed. SetupSent, BoxAnswered or BoxFailed report what follows.
 	Setup(id choice.SessID, attempt int, box choice.ServerID, rung int)
@@ -98,7 +98,7 @@
 	SendOp(id choice.SessID, attempt int, op Op, arg int)
 	// CloseConn closes a session's connection to its box without a TEARDOWN.
 	CloseConn(id choice.SessID, attempt int)
-	// Probe probes a box. Probed reports the result.
+	// Probe probes a box. ProbeEnded reports the result.
 	Probe(box choice.ServerID)
 	// Answer sends the final answer to the viewer; retryAfter is in seconds, and 0 gives no advice.
 	Answer(id choice.SessID, answer FinalAnswer, retryAfter float64)
@@ -215,10 +215,10 @@
 	now          float64
 	sessions     map[choice.SessID]*session         // entries are deleted when sessions end
 	timers       timerHeap                          // sessions with a deadline, by timerAt
-	dirty        []*session                         // sessions to reconcile; emptied by Settle
-	unknown      []unknownSession                   // requests for sessions that do not exist; emptied by Settle
-	boxes        map[choice.ServerID]choice.Listing // the directory; an update deletes boxes that are gone and hold no session
-	moduleWakeAt float64                            // when to call the module's Due; 0 is never
+	dirty        []*session                         // sessions to reconcile; emptied by Reconcile
+	unknown      []unknownSession                   // requests for sessions that do not exist; emptied by Reconcile
+	boxes        map[choice.ServerID]choice.Listing // as listed; an update deletes boxes that are gone and hold no session
+	moduleWakeAt float64                            // when to call the module's HandleTimer; 0 is never
 	refuseNew    bool
 	groups       []choice.ServiceGroup
 	topRung      int               // highest rung of the ladder
@@ -226,17 +226,17 @@
 }
 
 // New creates a table and its placement module.
-func New(now float64, fig choice.Config, limits Limits, actions Actions) *Table {
+func New(now float64, config choice.Config, limits Limits, actions Actions) *Table {
 	t := &Table{actions: actions, limits: limits, now: now, sessions: map[choice.SessID]*session{},
 		boxes: map[choice.ServerID]choice.Listing{}, decisions: &decisionlog.Ring{}}
-	t.newModule(fig)
+	t.newModule(config)
 	return t
 }
 
 // newModule replaces the table's placement module by an empty one.
-func (t *Table) newModule(fig choice.Config) {
-	t.groups, t.topRung, t.moduleWakeAt = fig.Groups, len(fig.Ladder)-1, 0
-	t.module = choice.New(t.now, fig, moduleActions{t})
+func (t *Table) newModule(config choice.Config) {
+	t.groups, t.topRung, t.moduleWakeAt = config.Groups, len(config.Ladder)-1, 0
+	t.module = choice.New(t.now, config, moduleActions{t})
 }
 
 // SetTime sets the clock. It must be called before each batch of events.
@@ -248,7 +248,7 @@
 // Len returns the number of sessions, including those that are ending.
 func (t *Table) Len() int { return len(t.sessions) }
 
-// markDirty has the next Settle reconcile a session.
+// markDirty has the next Reconcile handle a session.
 func (t *Table) markDirty(s *session) {
 	if !s.dirty {
 		s.dirty = true
@@ -256,13 +256,13 @@
 	}
 }
 
-// UpdateDirectory applies the list of boxes: the whole list, or changed entries only.
-func (t *Table) UpdateDirectory(whole bool, list []choice.Listing) {
+// UpdateBoxes applies the list of boxes: the whole list, or changed entries only.
+func (t *Table) UpdateBoxes(full bool, list []choice.Listing) {
 	inUse := map[choice.ServerID]bool{}
 	for _, s := range t.sessions {
 		inUse[s.box] = true
 	}
-	if whole {
+	if full {
 		for id, e := range t.boxes {
 			e.State = choice.Gone
 			t.boxes[id] = e
@@ -276,7 +276,7 @@
 			delete(t.boxes, id)
 		}
 	}
-	t.module.UpdateDirectory(whole, list)
+	t.module.UpdateServers(full, list)
 	// Guards against a SETUP that was decided before this update and would reach a box that is no longer ready: one that
 	// is not sent yet is cancelled and placed anew. This covers changed addresses too. It is safe for every group, as
 	// an unsent SETUP provably never ran.
@@ -300,7 +300,7 @@
 
 // forModule converts the request to the module's form.
 func (r Request) forModule(id choice.SessID) choice.Request {
-	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, CellCount: r.Span, BestRung: r.BestRung,
+	return choice.Request{ID: id, Group: r.Group, Title: r.Title, StartCell: r.StartCell, CellCount: r.CellCount, BestRung: r.BestRung,
 		Length: r.Length}
 }
 
@@ -322,12 +322,12 @@
 	}
 	t.record(s, decisionlog.Entry{Kind: decisionlog.Requested, Rung: r.BestRung})
 	s.inModule, s.req = true, r.forModule(id)
-	s.req.SetupTimeout = s.answerDeadline - answerMarginSeconds
+	s.req.SetupDeadline = s.answerDeadline - answerMarginSeconds
 	t.module.RequestSession(s.req)
 }
 
-// Adopt adds a session that already plays at a box, handed over by another process.
-func (t *Table) Adopt(id choice.SessID, r Request, box choice.ServerID, rung int) {
+// AddHandedOver adds a session that already plays at a box, handed over by another process.
+func (t *Table) AddHandedOver(id choice.SessID, r Request, box choice.ServerID, rung int) {
 	if t.sessions[id] != nil {
 		return
 	}
@@ -413,7 +413,7 @@
 		return
 	}
 	s.phase, s.keepAliveAt = ready, t.now+t.limits.KeepAliveInterval
-	t.module.SetupDone(id)
+	t.module.SessionEstablished(id)
 	if report.Link >= 0 {
 		t.module.LoadNote(id, s.box, report.Link, false)
 	}
@@ -507,7 +507,7 @@
 // rungRejected handles a change of rung that the box did not make: the module continues from the rung in force.
 func (t *Table) rungRejected(s *session) {
 	s.wantRung = s.rung
-	t.record(s, decisionlog.Entry{Kind: decisionlog.RungRefused, Rung: s.rung})
+	t.record(s, decisionlog.Entry{Kind: decisionlog.RungRejected, Rung: s.rung})
 	if s.inModule {
 		t.module.SetCurrentRung(s.id, s.rung)
 	}
@@ -521,7 +521,7 @@
 	}
 }
 
-// endForViewer ends a session for its viewer. The following Settle cancels its pending SETUP or tears it down at its box.
+// endForViewer ends a session for its viewer. The following Reconcile cancels its pending SETUP or tears it down at its box.
 func (t *Table) endForViewer(s *session, reason EndReason) {
 	t.markDirty(s)
 	for _, q := range s.queue {
@@ -599,8 +599,8 @@
 	}
 }
 
-// Probed reports how a probe ended: the box's status, or 0 and the failure.
-func (t *Table) Probed(box choice.ServerID, status int, failure choice.Outcome, report choice.LoadReport) {
+// ProbeEnded reports how a probe ended: the box's status, or 0 and the failure.
+func (t *Table) ProbeEnded(box choice.ServerID, status int, failure choice.Outcome, report choice.LoadReport) {
 	o := failure
 	if status != 0 {
 		o = OutcomeOf(status)
@@ -619,9 +619,9 @@
 // StopAccepting makes the table busy-reply new requests. Existing sessions continue.
 func (t *Table) StopAccepting() { t.refuseNew = true }
 
-// EndAll ends all sessions. Established ones are torn down at their boxes; unanswered requests are busy-replied, or
+// EndSessions ends all sessions. Established ones are torn down at their boxes; unanswered requests are busy-replied, or
 // answered as failed where the SETUP in flight may have run.
-func (t *Table) EndAll() {
+func (t *Table) EndSessions() {
 	t.refuseNew = true
 	for _, s := range t.sortedSessions() {
 		if s.answerOwed {
@@ -638,8 +638,8 @@
 	}
 }
 
-// NextTimer returns when RunTimers must be called next, 0 for never.
-func (t *Table) NextTimer() float64 {
+// NextWakeup returns when RunTimers must be called next, 0 for never.
+func (t *Table) NextWakeup() float64 {
 	next := t.moduleWakeAt
 	if len(t.timers) > 0 && (next == 0 || t.timers[0].timerAt < next) {
 		next = t.timers[0].timerAt
@@ -753,8 +753,8 @@
 	}
 }
 
-// Settle ends a batch of events: it calls the Actions that take each changed session from its present to its wanted state.
-func (t *Table) Settle() {
+// Reconcile ends a batch of events: it calls the Actions that take each changed session from its present to its wanted state.
+func (t *Table) Reconcile() {
 	t.module.Reconcile()
 	for _, s := range t.unknown {
 		t.actions.Reply(s.id, s.n, NoSession)
@@ -763,7 +763,7 @@
 	for i := 0; i < len(t.dirty); i++ {
 		s := t.dirty[i]
 		s.dirty = false
-		t.reconcile(s)
+		t.reconcileSession(s)
 		t.schedule(s)
 		if s.phase == ended && !s.answerOwed {
 			delete(t.sessions, s.id)
@@ -775,8 +775,8 @@
 	t.dirty = t.dirty[:0]
 }
 
-// reconcile calls the Actions for the difference between a session's wanted and its present state.
-func (t *Table) reconcile(s *session) {
+// reconcileSession calls the Actions for the difference between a session's wanted and its present state.
+func (t *Table) reconcileSession(s *session) {
 	for _, attempt := range s.cancelSetups {
 		t.actions.CancelSetup(s.id, attempt)
 	}
@@ -832,11 +832,10 @@
 	}
 }
 
-// moduleActions implements choice.Acts: it turns the module's decisions into the wanted state of sessions.
+// moduleActions implements choice.Actions: it turns the module's decisions into the wanted state of sessions.
 type moduleActions struct{ t *Table }
 
 // withActive applies update to a session unless it is closing or ended.
-
 func (a moduleActions) withActive(id choice.SessID, update func(s *session)) {
 	if s := a.t.sessions[id]; s != nil && s.phase != ended && s.phase != closing {
 		update(s)
@@ -862,14 +861,14 @@
 	})
 }
 
-func (a moduleActions) BusyReply(id choice.SessID, comeBack float64) {
+func (a moduleActions) BusyReply(id choice.SessID, retryAfter float64) {
 	a.withActive(id, func(s *session) {
-		s.answer, s.retryAfter, s.inModule = Busy, comeBack, false
-		a.t.record(s, decisionlog.Entry{Kind: decisionlog.BusyReplied, Seconds: comeBack})
+		s.answer, s.retryAfter, s.inModule = Busy, retryAfter, false
+		a.t.record(s, decisionlog.Entry{Kind: decisionlog.BusyReplied, Seconds: retryAfter})
 	})
 }
 
-func (a moduleActions) SendMessage(int, []byte) {} // unused: StartFigures.Peers is never set, as fronts exchange no messages yet
+func (a moduleActions) SendMessage(int, []byte) {} // unused: choice.Config.PeerMessages is never set here, as fronts exchange no messages yet
 func (a moduleActions) FailureReply(id choice.SessID) {
 	a.withActive(id, func(s *session) {
 		s.answer, s.inModule = Failed, false
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -65,7 +65,7 @@
 	for _, e := range fourBoxes() {
 		h.boxState[e.ID] = choice.Ready
 	}
-	h.apply(func() { h.table.UpdateDirectory(true, fourBoxes()) })
+	h.apply(func() { h.table.UpdateBoxes(true, fourBoxes()) })
 	return h
 }
 
@@ -73,7 +73,7 @@
 func (h *harness) apply(event func()) {
 	h.table.SetTime(h.now)
 	event()
-	h.table.Settle()
+	h.table.Reconcile()
 }
 
 func (h *harness) Setup(id choice.SessID, attempt int, box choice.ServerID, rung int) {
@@ -174,7 +174,7 @@
 	h.ids = append(h.ids, id)
 	v := &viewer{requestedAt: h.now, deadline: h.now + h.table.limits.SetupTimeout[group], paid: group == 0, title: title, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
 	h.viewers[id] = v
-	h.apply(func() { h.table.Open(id, Request{Group: group, Title: title, Span: 4, BestRung: 3}) })
+	h.apply(func() { h.table.Open(id, Request{Group: group, Title: title, CellCount: 4, BestRung: 3}) })
 	return id
 }
 
@@ -237,10 +237,10 @@
 	})
 }
 
-// advance moves the clock forward, stopping at each instant that NextTimer returns.
+// advance moves the clock forward, stopping at each instant that NextWakeup returns.
 func (h *harness) advance(seconds float64) {
 	for end := h.now + seconds; ; {
-		n := h.table.NextTimer()
+		n := h.table.NextWakeup()
 		if n == 0 || n > end {
 			h.now = max(h.now, end)
 			return
@@ -391,7 +391,7 @@
 	first := h.viewers[id].attempts[1].box
 	h.boxState[first] = choice.Draining
 	h.apply(func() {
-		h.table.UpdateDirectory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
+		h.table.UpdateBoxes(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
 	})
 	v := h.viewers[id]
 	if v.attempts[1].inFlight || v.attempts[2] == nil || v.attempts[2].box == first {
@@ -406,7 +406,7 @@
 	h.advance(0.3)
 	h.answerSetup(playing, 1, 200, true)
 	h.apply(func() { h.table.SetupSent(waiting, 1) })
-	h.apply(h.table.EndAll)
+	h.apply(h.table.EndSessions)
 	if v := h.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
 		t.Fatalf("SETUP that may have run: answers %v", v.answers)
 	}
@@ -513,7 +513,7 @@
 	return list
 }
 
-// TestAnyOrder generates random orders of events from viewers, boxes, the clock and the directory. Each request must get
+// TestAnyOrder generates random orders of events from viewers, boxes, the clock and the list of boxes. Each request must get
 // exactly one answer in time, never have two SETUPs in flight, and leave nothing at a box or in the table; a paid SETUP
 // must not be repeated.
 func TestAnyOrder(t *testing.T) {
@@ -583,14 +583,14 @@
 				box := h.pendingProbes[0]
 				h.pendingProbes = h.pendingProbes[1:]
 				status := rapid.SampledFrom([]int{200, 0}).Draw(t, "status")
-				h.apply(func() { h.table.Probed(box, status, choice.TimedOut, choice.LoadReport{Link: 0.3, Uplink: -1}) })
+				h.apply(func() { h.table.ProbeEnded(box, status, choice.TimedOut, choice.LoadReport{Link: 0.3, Uplink: -1}) })
 			},
 			"list": func(t *rapid.T) {
 				box := choice.ServerID(rapid.IntRange(10, 13).Draw(t, "box"))
 				s := rapid.SampledFrom([]choice.Lifecycle{choice.Ready, choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
 				h.boxState[box] = s
 				h.apply(func() {
-					h.table.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
+					h.table.UpdateBoxes(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
 				})
 			},
 			"reload":    func(*rapid.T) { h.reload() },
@@ -615,7 +615,7 @@
 		h.now += 0.01
 		id := choice.SessID(fmt.Sprint(rand.Int63()))
 		h.viewers[id] = &viewer{deadline: h.now + 5, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
-		h.apply(func() { h.table.Open(id, Request{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
+		h.apply(func() { h.table.Open(id, Request{Group: 1, Title: "a", CellCount: 4, BestRung: 3}) })
 		h.apply(func() { h.table.RunTimers() })
 		h.apply(func() { h.table.ViewerGone(id) })
 		delete(h.viewers, id)
@@ -638,7 +638,7 @@
 	for id := choice.ServerID(10); id < 14; id++ {
 		h.boxState[id] = choice.Draining
 		h.apply(func() {
-			h.table.UpdateDirectory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
+			h.table.UpdateBoxes(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
 		})
 	}
 	busy := h.open(1, "vents")
@@ -680,11 +680,11 @@
 		h.boxState[choice.ServerID(100+i)] = choice.Ready
 	}
 	h.table = New(h.now, fig, limits, discardOps{h})
-	h.apply(func() { h.table.UpdateDirectory(true, list) })
+	h.apply(func() { h.table.UpdateBoxes(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
 		h.apply(func() {
-			h.table.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
+			h.table.AddHandedOver(id, Request{Group: 1, Title: "vents", StartCell: i % 300, CellCount: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
 	return h, Config{fig, limits, []int{0, 1}}, list
@@ -697,7 +697,7 @@
 		h.now++
 		h.table.SetTime(h.now)
 		h.table.Reload(cfg, list, func(m choice.Snapshot) choice.Snapshot { return m })
-		h.table.Settle()
+		h.table.Reconcile()
 	}
 }
 
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -83,7 +83,7 @@
 	config.FrontIndex, config.Seed = me, uint64(sf.sim.rand.Int63())
 	sf.requests, sf.openIDs, sf.requestTimes, sf.retryTimes, sf.probes = map[SessID]*simRequest{}, nil, nil, nil, nil
 	sf.front = New(sf.sim.now, config, sf)
-	sf.front.UpdateDirectory(true, sf.sim.listings())
+	sf.front.UpdateServers(true, sf.sim.listings())
 	sf.front.Reconcile()
 }
 
@@ -122,7 +122,7 @@
 
 func (sf *simulatedFront) Setup(id SessID, server ServerID, wait float64) {
 	sim, req := sf.sim, sf.requests[id]
-	if req == nil || req.answered || req.inFlight || req.playing || sim.now >= req.SetupTimeout || wait <= 0 {
+	if req == nil || req.answered || req.inFlight || req.playing || sim.now >= req.SetupDeadline || wait <= 0 {
 		sim.violation("rules 1, 2: SETUP for %s, which must not have one", id)
 		return
 	}
@@ -265,7 +265,7 @@
 		sf.probes = nil
 		for range sim.rand.Intn(4) {
 			sf.request(Request{Group: sim.rand.Intn(2), Title: fmt.Sprint("t", sim.rand.Intn(3)), StartCell: sim.rand.Intn(6),
-				CellCount: 3, BestRung: 1 + sim.rand.Intn(3), SetupTimeout: sim.now + 0.1 + sim.rand.Float64()*4})
+				CellCount: 3, BestRung: 1 + sim.rand.Intn(3), SetupDeadline: sim.now + 0.1 + sim.rand.Float64()*4})
 		}
 		sf.front.Reconcile()
 		for _, id := range sf.openIDs {
@@ -280,7 +280,7 @@
 func (sf *simulatedFront) advance(req *simRequest) {
 	sim := sf.sim
 	switch {
-	case req.inFlight && sim.now >= req.SetupTimeout:
+	case req.inFlight && sim.now >= req.SetupDeadline:
 		sf.endSetup(req, TimedOut, false)
 	case req.inFlight && sim.rand.Intn(4) == 0:
 		if sim.rand.Intn(3) == 0 {
@@ -288,7 +288,7 @@
 			return
 		}
 		req.inFlight, req.playing, req.endsAt = false, true, sim.now+sim.rand.Float64()*20
-		sf.front.SetupDone(req.ID)
+		sf.front.SessionEstablished(req.ID)
 	case req.inFlight && sim.rand.Intn(60) == 0:
 		req.answered = true
 		sf.front.RequestClosed(req.ID)
@@ -315,7 +315,7 @@
 	}
 	for _, sf := range sim.fronts {
 		sf.front.SetTime(sim.now)
-		sf.front.UpdateDirectory(false, []Listing{
+		sf.front.UpdateServers(false, []Listing{
 			{ID: id, Cell: int(id) - 10, State: sim.states[id], Weight: 1, StartedAt: sim.startedAt[id]}})
 		sf.front.Reconcile()
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -18,7 +18,7 @@
 	group int
 }
 
-// server is a server in the directory, as this front sees it.
+// server is a listed server, as this front sees it.
 type server struct {
 	id           ServerID
 	zone, cell   int
@@ -48,7 +48,7 @@
 	group                          *group
 	seat                           seatKey
 	startCell, cellCount, bestRung int
-	requestedAt, setupTimeout      float64
+	requestedAt, setupDeadline     float64
 	endsAt                         float64 // expected; 0 is not known
 
 	holder      *server
@@ -76,7 +76,7 @@
 
 func compareID(s *server, id ServerID) int { return cmp.Compare(s.id, id) }
 
-// server is nil where the directory has no such server.
+// server returns the server with an id, nil where there is none.
 func (f *Front) server(id ServerID) *server {
 	if i, found := slices.BinarySearchFunc(f.servers, id, compareID); found {
 		return f.servers[i]
@@ -220,7 +220,7 @@
 	return m
 }
 
-// Restore takes a snapshot, after the first UpdateDirectory and before any session. Servers that are not listed are
+// Restore takes a snapshot, after the first UpdateServers and before any session. Servers that are not listed are
 // skipped.
 func (f *Front) Restore(m Snapshot) {
 	f.firstSetups, f.retries = slices.Clone(m.FirstSetups), slices.Clone(m.Retries)
--- a/cmd/rainhaven/node.go
+++ b/cmd/rainhaven/node.go
@@ -39,7 +39,7 @@
 			if path == "" {
 				return failed("GW_CONFIG names no configuration file")
 			}
-			read := func() (*start.Start, error) { return start.Read(path) }
+			read := func() (*start.Config, error) { return start.Read(path) }
 			s, err := read()
 			if err != nil {
 				return failed("%s: %w", path, err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -44,7 +44,7 @@
 	w      *wire.Writer
 }
 
-// runBatch dispatches the events in order, then calls Settle on each front that got one, in the order of first mention.
+// runBatch dispatches the events in order, then calls Reconcile on each front that got one, in the order of first mention.
 func (h *host) runBatch(now float64, events []wire.Event) error {
 	var order []string
 	seen := map[string]bool{}
@@ -81,7 +81,7 @@
 func (h *host) dispatch(now float64, e *wire.Event) {
 	switch e.Kind {
 	case wire.Start:
-		h.fronts[e.Front] = choice.New(now, e.Figures, wire.ActWriter{Front: e.Front, Out: h.w})
+		h.fronts[e.Front] = choice.New(now, e.Config, wire.ActionWriter{Front: e.Front, Out: h.w})
 		return
 	case wire.Stop:
 		delete(h.fronts, e.Front)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -342,7 +342,7 @@
 		return nil, nil
 	}
 	f := t.Choice
-	m, notes := restore.FromSnapshot(now(), saved, restore.Config{WindowSeconds: f.RetryWindow, BaseAllowance: f.BaseRetries, RetryShare: f.RetriesPerSession, WarmUpSeconds: f.WarmUp})
+	m, notes := restore.FromSnapshot(now(), saved, restore.Config{RetryWindow: f.RetryWindow, BaseRetries: f.BaseRetries, RetriesPerSession: f.RetriesPerSession, WarmUp: f.WarmUp})
 	d.Log.Info("stored state", zap.Float64("seconds old", now()-saved.SavedAt), zap.Bool("clean", saved.CleanExit), zap.Int("boxes", len(m.Servers)),
 		zap.Strings("what", notes))
 	return &m, nil
@@ -364,7 +364,7 @@
 		case <-t.C:
 		}
 		if m, ok := d.front.Snapshot(); ok {
-			d.save(restore.Snapshot{SavedAt: now(), Memory: m})
+			d.save(restore.Snapshot{SavedAt: now(), Choice: m})
 		}
 	}
 }
@@ -434,7 +434,7 @@
 	d.Log.Info("stopping", zap.Int("sessions", d.front.Sessions()))
 	d.wg.Go(func() {
 		d.front.Close()
-		d.save(restore.Snapshot{SavedAt: now(), CleanExit: true, Memory: d.front.FinalSnapshot()})
+		d.save(restore.Snapshot{SavedAt: now(), CleanExit: true, Choice: d.front.FinalSnapshot()})
 		d.post(func() {
 			d.frontClosed = true
 			d.machine.SessionsEnded()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -297,7 +297,7 @@
 					t.Fatal(err)
 				}
 				s.Close()
-				return found && len(stored.Memory.Retries) == 2
+				return found && len(stored.Choice.Retries) == 2
 			})
 		}
 		p.signals <- syscall.SIGTERM
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -439,7 +439,7 @@
 		if !finished {
 			finished = true
 			f.metrics.probes.WithLabelValues(outcomeName(status, outcome)).Inc()
-			f.table.Probed(box, status, outcome, rep)
+			f.table.ProbeEnded(box, status, outcome, rep)
 		}
 	}
 	noReport := choice.LoadReport{Link: -1, Uplink: -1}
--- a/internal/front/describe.go
+++ b/internal/front/describe.go
@@ -33,7 +33,7 @@
 		return
 	}
 	f.pendingDescribes[p.Title] = append(f.pendingDescribes[p.Title], pendingDescribe{v, pr, p})
-	action, box, body := f.descriptions.Request(f.now(), p.Title, title.StartCell, title.Span)
+	action, box, body := f.descriptions.Request(f.now(), p.Title, title.StartCell, title.CellCount)
 	f.runDescribeAction(p.Title, action, box, body)
 }
 
@@ -79,7 +79,7 @@
 		}
 		finished = true
 		f.metrics.descriptions.WithLabelValues(outcome).Inc()
-		action, next, b := f.descriptions.HandleReply(f.now(), title, box, body, t.StartCell, t.Span)
+		action, next, b := f.descriptions.HandleReply(f.now(), title, box, body, t.StartCell, t.CellCount)
 		f.runDescribeAction(title, action, next, b)
 	}
 	f.connect(f.ctx, box, func(c *boxConn) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -6,7 +6,7 @@
 //
 //	first SETUP of a viewer                       RequestSession
 //	viewer disconnects                            RequestClosed, or SetupEnded(Served, final) once the box has answered TEARDOWN
-//	box answers SETUP with 2xx                    SetupDone, then LoadNote with the values of its Load-Report
+//	box answers SETUP with 2xx                    SessionEstablished, then LoadNote with the values of its Load-Report
 //	box answers SETUP with 453 or 503             SetupEnded(Full): it never ran
 //	box answers SETUP with another status         SetupEnded(ServerError): it may have run
 //	no connection to the box                      SetupEnded(NoConnection): it never ran
@@ -15,7 +15,7 @@
 //	SETUP times out                               SetupEnded(TimedOut), and the SETUP is canceled
 //	connection breaks in an established session   SetupEnded(Reset, final)
 //	TEARDOWN answered                             SetupEnded(Served, final)
-//	new box list                                  UpdateDirectory
+//	new box list                                  UpdateServers
 //	share of media time delivered in a second     ShortDelivery, as choice/delivery decides
 //	load note in RTCP                             LoadNote, one per box as choice/delivery decides
 //	probe answered, failed or timed out           ProbeEnded
@@ -151,7 +151,7 @@
 	f.table = session.New(f.now(), terms.Choice, f.sessionLimits(), actions)
 	f.meter = delivery.New(terms.Choice.NoteInterval)
 	f.descriptions, f.pendingDescribes = describe.New(terms.Choice.Cells), map[string][]pendingDescribe{}
-	f.pool = pool.New(terms.Limits.BoxConnections)
+	f.pool = pool.New(terms.Limits.MaxBoxConnections)
 	f.updateBoxes(true, terms.Boxes)
 	if o.Snapshot != nil {
 		f.table.Restore(*o.Snapshot)
@@ -168,7 +168,7 @@
 
 func (f *Front) sessionLimits() session.Limits {
 	t := f.terms()
-	b := session.Limits{MaxSessions: t.Limits.Sessions, ViewerIdleTimeout: t.Limits.ViewerIdle, KeepAliveInterval: t.Limits.KeepAlive}
+	b := session.Limits{MaxSessions: t.Limits.MaxSessions, ViewerIdleTimeout: t.Limits.ViewerIdleTimeout, KeepAliveInterval: t.Limits.KeepAliveInterval}
 	for _, g := range t.Groups {
 		b.SetupTimeout = append(b.SetupTimeout, g.SetupTimeout)
 	}
@@ -238,13 +238,13 @@
 			f.measureDelivery()
 		case <-f.quit:
 			f.table.SetTime(f.now())
-			f.table.EndAll()
+			f.table.EndSessions()
 			f.settle()
 			f.finalSnapshot = f.table.Snapshot()
 			f.closeConns()
 			return
 		}
-		if next := f.table.NextTimer(); next > 0 && next <= f.now() {
+		if next := f.table.NextWakeup(); next > 0 && next <= f.now() {
 			f.table.RunTimers()
 		}
 		f.settle()
@@ -252,7 +252,7 @@
 			f.onDrained()
 			f.onDrained = nil
 		}
-		if next := f.table.NextTimer(); next != timerAt {
+		if next := f.table.NextWakeup(); next != timerAt {
 			timerAt = next
 			wait := time.Hour
 			if next > 0 {
@@ -266,14 +266,14 @@
 // settle runs the table's actions and the callbacks they queue until none is left.
 func (f *Front) settle() {
 	start := time.Now()
-	f.table.Settle()
+	f.table.Reconcile()
 	for len(f.deferred) > 0 {
 		batch := f.deferred
 		f.deferred = nil
 		for _, run := range batch {
 			run()
 		}
-		f.table.Settle()
+		f.table.Reconcile()
 	}
 	f.metrics.settleSeconds.Observe(time.Since(start).Seconds())
 }
@@ -303,19 +303,19 @@
 	f.metrics.sessions.Set(float64(len(f.sessions)))
 }
 
-// UpdateBoxes updates the list of boxes: the complete list if whole is set, else only changed entries.
-func (f *Front) UpdateBoxes(whole bool, list []settings.Box) {
+// UpdateBoxes updates the list of boxes: the complete list if full is set, else only changed entries.
+func (f *Front) UpdateBoxes(full bool, list []settings.Box) {
 	list = slices.Clone(list)
-	f.post(func() { f.updateBoxes(whole, list) })
+	f.post(func() { f.updateBoxes(full, list) })
 }
 
-func (f *Front) updateBoxes(whole bool, list []settings.Box) {
-	f.table.UpdateDirectory(whole, f.storeBoxes(whole, list))
+func (f *Front) updateBoxes(full bool, list []settings.Box) {
+	f.table.UpdateBoxes(full, f.storeBoxes(full, list))
 }
 
 // storeBoxes updates the front's own box data and returns the listings for the table.
-func (f *Front) storeBoxes(whole bool, list []settings.Box) []choice.Listing {
-	if whole {
+func (f *Front) storeBoxes(full bool, list []settings.Box) []choice.Listing {
+	if full {
 		clear(f.addresses)
 	}
 	listings := make([]choice.Listing, len(list))
@@ -325,7 +325,7 @@
 			delete(f.addresses, b.ID)
 		}
 	}
-	f.descriptions.UpdateBoxes(whole, listings)
+	f.descriptions.UpdateBoxes(full, listings)
 	return listings
 }
 
@@ -380,7 +380,7 @@
 			continue
 		}
 		pause = 5 * time.Millisecond
-		if n := f.openConns.Add(1); f.terms().Limits.Connections > 0 && n > int64(f.terms().Limits.Connections) {
+		if n := f.openConns.Add(1); f.terms().Limits.MaxConnections > 0 && n > int64(f.terms().Limits.MaxConnections) {
 			f.openConns.Add(-1)
 			f.metrics.rejectedConns.Inc()
 			c.Close()
@@ -507,7 +507,7 @@
 // the given time.
 func (f *Front) HealthFacts(within time.Duration) (h health.Facts) {
 	t := f.terms()
-	h.MaxSessions, h.StateAge = t.Limits.Sessions, -1
+	h.MaxSessions, h.StateAge = t.Limits.MaxSessions, -1
 	result := make(chan health.Facts, 1)
 	timer := time.NewTimer(within)
 	defer timer.Stop()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -55,9 +55,9 @@
 		MaxStreams: []float64{100}, NoteLag: 0.2, NoteInterval: 1, MaxSetups: 3, MaxRetryAfter: 1, Reporting: choice.ReportsInAnswers,
 		BaseRetries: 20, RetriesPerSession: 0.1, RetryWindow: 10},
 		Groups: []settings.Group{{Name: "clips", SetupTimeout: 3, Rates: b.site.Ladder}, {Name: "exam", SetupTimeout: 2, Rates: b.site.Ladder}},
-		Titles: map[string]settings.Title{"vents": {Span: boxes}},
-		Limits: limits.Bounds{Connections: 1000, Sessions: 1000, BoxConnections: 200, Queue: 1 << 18, ViewerIdle: 60,
-			KeepAlive: 20, ConnectTimeout: 0.25, ProbeTimeout: 0.25, WriteStall: 5}}
+		Titles: map[string]settings.Title{"vents": {CellCount: boxes}},
+		Limits: limits.Bounds{MaxConnections: 1000, MaxSessions: 1000, MaxBoxConnections: 200, QueueBytes: 1 << 18, ViewerIdleTimeout: 60,
+			KeepAliveInterval: 20, ConnectTimeout: 0.25, ProbeTimeout: 0.25, WriteStall: 5}}
 	if adjust != nil {
 		adjust(&b.terms, b.site)
 	}
@@ -403,7 +403,7 @@
 }
 
 func TestKilledBoxEndsSession(t *testing.T) {
-	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Limits.KeepAlive = 0 })
+	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Limits.KeepAliveInterval = 0 })
 	w := b.request("clips")
 	w.Watch = 0
 	playing := make(chan struct{})
--- a/internal/front/handover.go
+++ b/internal/front/handover.go
@@ -73,7 +73,7 @@
 		sess.tracks = append(sess.tracks, track{t.Number, t.RTPChannel, t.RTCPChannel, t.BoxChannel})
 	}
 	f.sessions[sess.id] = sess
-	f.table.Adopt(sess.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, Span: title.Span, BestRung: h.BestRung,
+	f.table.AddHandedOver(sess.id, session.Request{Group: g, Title: h.Title, StartCell: title.StartCell, CellCount: title.CellCount, BestRung: h.BestRung,
 		Length: title.Length}, h.Box, h.Rung)
 	f.connect(f.ctx, h.Box, func(c *boxConn) {
 		earlyOps := sess.earlyOps
--- a/internal/front/reload.go
+++ b/internal/front/reload.go
@@ -49,7 +49,7 @@
 	t.Choice.Seed = old.Choice.Seed
 	f.current.Store(&t)
 	if p.Has(reload.UpdateLimits) {
-		f.pool.SetMaxPerBox(t.Limits.BoxConnections)
+		f.pool.SetMaxPerBox(t.Limits.MaxBoxConnections)
 	}
 	if p.Has(reload.ResetReporting) {
 		f.meter = delivery.New(t.Choice.NoteInterval)
@@ -61,7 +61,7 @@
 			sess.group = p.NewGroupIndex[sess.group]
 		}
 		list := f.storeBoxes(true, t.Boxes)
-		f.table.Reload(session.Config{Figures: t.Choice, Limits: f.sessionLimits(), GroupMap: p.NewGroupIndex}, list, p.DiscardStale)
+		f.table.Reload(session.Config{Choice: t.Choice, Limits: f.sessionLimits(), NewGroupIndex: p.NewGroupIndex}, list, p.DiscardStale)
 	default:
 		if p.Has(reload.UpdateLimits) {
 			f.table.SetLimits(f.sessionLimits())
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -56,13 +56,13 @@
 	slices.Reverse(terms.Choice.Groups)
 	terms.Groups = slices.Clone(terms.Groups)
 	slices.Reverse(terms.Groups)
-	terms.Limits.Sessions = 500
+	terms.Limits.MaxSessions = 500
 	plan, err := b.Reload(terms)
 	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
 	rejected := terms
-	rejected.Listen, rejected.Limits.Sessions = "127.0.0.1:1", 1
+	rejected.Listen, rejected.Limits.MaxSessions = "127.0.0.1:1", 1
 	if plan, err := b.Reload(rejected); err != nil || len(plan.Rejections) != 1 {
 		t.Errorf("change of the listen address: %+v %v", plan, err)
 	}
@@ -94,7 +94,7 @@
 	b := newHarness(t, 2, nil)
 	terms := b.terms
 	terms.Boxes = slices.Clone(terms.Boxes[:1])
-	terms.Titles = map[string]settings.Title{"vents": {Span: 2}, "fans": {Span: 2}}
+	terms.Titles = map[string]settings.Title{"vents": {CellCount: 2}, "fans": {CellCount: 2}}
 	plan, err := b.Reload(terms)
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -78,7 +78,7 @@
 
 // startViewer starts the goroutines of a viewer connection.
 func (f *Front) startViewer(c net.Conn) {
-	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Limits{}), out: relay.NewQueue(f.terms().Limits.Queue),
+	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Limits{}), out: relay.NewQueue(f.terms().Limits.QueueBytes),
 		inFlight: make(chan struct{}, limits.MaxPipelined), sessions: map[choice.SessID]*frontSession{}}
 	f.wg.Add(2)
 	go func() {
@@ -130,7 +130,7 @@
 
 // read handles requests and RTCP frames until the connection ends.
 func (v *viewer) read() error {
-	idle := time.Duration((v.f.terms().Limits.ViewerIdle + 5) * 1e9)
+	idle := time.Duration((v.f.terms().Limits.ViewerIdleTimeout + 5) * 1e9)
 	var windowStart time.Time
 	frames := 0
 	for {
@@ -435,7 +435,7 @@
 	}
 	sess.bestRung = session.BestRung(f.terms().Groups[group].Rates, bandwidth)
 	f.metrics.sessionRequests.WithLabelValues(f.terms().Groups[group].Name).Inc()
-	f.table.Open(sess.id, session.Request{Group: group, Title: place.Title, StartCell: title.StartCell, Span: title.Span,
+	f.table.Open(sess.id, session.Request{Group: group, Title: place.Title, StartCell: title.StartCell, CellCount: title.CellCount,
 		BestRung: sess.bestRung, Length: title.Length})
 }
 
@@ -548,5 +548,5 @@
 }
 
 func (f *Front) sessionHeader(sess *frontSession) string {
-	return rtsp.FormatSession(string(sess.id), time.Duration(f.terms().Limits.ViewerIdle*1e9))
+	return rtsp.FormatSession(string(sess.id), time.Duration(f.terms().Limits.ViewerIdleTimeout*1e9))
 }
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -171,7 +171,7 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if kept, ok := r.kept[i]; ok {
 		x := terms.Choice
-		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
+		m, _ := restore.FromSnapshot(r.now(), kept, restore.Config{RetryWindow: x.RetryWindow, BaseRetries: x.BaseRetries, RetriesPerSession: x.RetriesPerSession, WarmUp: x.WarmUp})
 		o.Snapshot = &m
 	} else {
 		r.wit.FrontStarted(terms.Name, r.now())
@@ -501,7 +501,7 @@
 	r.spoil.terms(&terms)
 	p.reloads++ // the script's own goroutine alone
 	terms.Choice.MaxRetryAfter += float64(p.reloads%2) / 2
-	terms.Limits.Sessions += p.reloads % 2
+	terms.Limits.MaxSessions += p.reloads % 2
 	plan, err := p.f.Reload(terms)
 	if err != nil || len(plan.Rejections) > 0 {
 		r.log.Info("a reload was not taken", zap.Strings("why", plan.Rejections), zap.Error(err))
@@ -519,7 +519,7 @@
 	r.mu.Unlock()
 	if r.o.Remember {
 		if m, ok := p.f.Snapshot(); ok {
-			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
+			r.kept[i] = restore.Snapshot{SavedAt: r.now(), Choice: m}
 		}
 	}
 	r.wit.FrontKilled(frontName(i), r.now())
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -522,9 +522,9 @@
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
 	read := make(chan bool, 1)
-	f.reloadConfig = func() (*start.Start, error) {
+	f.reloadConfig = func() (*start.Config, error) {
 		read <- true
-		return &start.Start{Coordinator: f.coordinatorListener.Addr().String()}, nil
+		return &start.Config{Coordinator: f.coordinatorListener.Addr().String()}, nil
 	}
 	f.reloadSignals <- syscall.SIGHUP
 	<-read
@@ -542,7 +542,7 @@
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
 	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
 	up, drains := listEvent(2, false, listEntry("s-1", s1.Addr().String(), "up")), listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining"))
 	f.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -7,7 +7,7 @@
 
 // retryBudget is the platform's retry budget, from the settings.
 func (n *Node) retryBudget() invariant.Budget {
-	f := n.config.Config
+	f := n.config.Choice
 	return invariant.Budget{BaseAllowance: f.BaseRetries, RequestShare: f.RetriesPerSession, WindowSeconds: f.RetryWindow}
 }
 
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -79,7 +79,7 @@
 		return setup, fmt.Errorf("unknown class %.30q", setup.class)
 	}
 	setup.class = n.config.Groups[setup.group]
-	config := n.config.Config
+	config := n.config.Choice
 	setup.request = choice.Request{ID: choice.SessID(setup.id), Group: setup.group, Title: setup.url[len(mediaRoot):], CellCount: 1, BestRung: len(config.Ladder) - 1}
 	for _, pair := range strings.Split(m.Header.Get(headerFacts), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), ":")
@@ -119,7 +119,7 @@
 
 // parseLoadReport parses a server's load report; an invalid one counts as none.
 func parseLoadReport(m *rtsp.Message) choice.LoadReport {
-	r, err := wire.ReadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(headerState)))
+	r, err := wire.ParseLoadReport(strings.NewReplacer(";", ",", " ", "").Replace(m.Header.Get(headerState)))
 	if err != nil {
 		return noReport
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,8 +60,8 @@
 
 // Node is a front node.
 type Node struct {
-	config       *start.Start
-	reloadConfig func() (*start.Start, error)
+	config       *start.Config
+	reloadConfig func() (*start.Config, error)
 	log          *zap.Logger
 	ctx          context.Context
 	wg           sync.WaitGroup
@@ -135,8 +135,8 @@
 
 // Options configures a node.
 type Options struct {
-	Config             *start.Start
-	ReloadConfig       func() (*start.Start, error) // reads the configuration file again
+	Config             *start.Config
+	ReloadConfig       func() (*start.Config, error) // reads the configuration file again
 	Log                *zap.Logger
 	ReloadSignals      <-chan os.Signal // reload the configuration
 	TerminationSignals <-chan os.Signal // the first starts the drain, the second ends all sessions
@@ -164,7 +164,7 @@
 	defer n.wg.Wait()
 	defer cancel()
 	n.updateClock()
-	n.front = choice.New(n.now, o.Config.Config, actions{n})
+	n.front = choice.New(n.now, o.Config.Choice, actions{n})
 	n.lastIndex = o.Config.LastIndex
 	for _, e := range o.Config.InitialEvents {
 		n.updateServers(e)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -484,11 +484,11 @@
 	f, s1 := newSingleServerHarness(t, 256)
 	f.acceptFollower()
 	failed := make(chan bool, 1)
-	f.reloadConfig = func() (*start.Start, error) { failed <- true; return nil, errors.New("half a file") }
+	f.reloadConfig = func() (*start.Config, error) { failed <- true; return nil, errors.New("half a file") }
 	f.reloadSignals <- syscall.SIGHUP
 	<-failed
 	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
 	f.reloadSignals <- syscall.SIGHUP
 	select {
 	case c := <-follows:
@@ -627,7 +627,7 @@
 			if r := parseLoadReport(m); r.Link > 100 || r.Uplink > 100 {
 				t.Fatalf("%+v", r)
 			}
-			if a, err := n.parseSetup(m); err == nil && (a.request.CellCount < 1 || a.request.BestRung >= len(s.Config.Ladder) || a.request.StartCell < 0 || a.currentServer == "" && a.patience <= 0) {
+			if a, err := n.parseSetup(m); err == nil && (a.request.CellCount < 1 || a.request.BestRung >= len(s.Choice.Ladder) || a.request.StartCell < 0 || a.currentServer == "" && a.patience <= 0) {
 				t.Fatalf("%+v", a)
 			}
 			parseCause(m)
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -32,7 +32,7 @@
 // Drain has probes of this node fail; requests are still accepted.
 func (o lifecycleActions) Drain() { o.n.ready = false }
 
-// EndSessions reports at once that sessions have ended; finish answers the open requests.
+// EndSessions reports at once that sessions have ended; shutDown answers the open requests.
 func (o lifecycleActions) EndSessions() { o.n.lifecycle.SessionsEnded() }
 
 func (o lifecycleActions) Exit(code lifecycle.ExitCode, reason string) {
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -17,7 +17,7 @@
 	}
 	sv.probeCount++
 	n.probeCount++
-	sv.probeID = probeSessionID(n.config.Config.Seed, n.probeCount)
+	sv.probeID = probeSessionID(n.config.Choice.Seed, n.probeCount)
 	sv.probeTimer = n.after(limits.Defaults.ProbeTimeout, func() { n.endProbe(sv, choice.TimedOut, noReport) })
 	for _, l := range sv.conns {
 		if l.up && !l.isClosing() && (sv.probeConn == nil || len(l.setups) < len(sv.probeConn.setups)) {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -182,7 +182,7 @@
 	if err != nil || delivery.SanitizeReport(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
-	if kind == wire.RungInForce && int(x) >= len(n.config.Config.Ladder) {
+	if kind == wire.RungInForce && int(x) >= len(n.config.Choice.Ladder) {
 		return
 	}
 	n.log.Debug("note received", str("server", sv.id), str("kind", m.Header.Get(headerNote)), str("figure", m.Header.Get(headerReading)))
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -17,9 +17,9 @@
 // acceptRequest passes a new session to the module. Its deadline counts from the instant at which it was read, however long it
 // waited in the queue.
 func (n *Node) acceptRequest(v *client, a clientSetup, readAt float64) {
-	s := &session{clientSetup: a, client: v, rung: n.config.Config.Groups[a.group].Floor, setupStart: -1}
-	s.request.SetupTimeout = readAt + max(a.patience-share.AnswerMargin, 0)
-	n.guard.RequestRead(n.now, s.id, n.config.Config.Groups[a.group].Paid, readAt+a.patience)
+	s := &session{clientSetup: a, client: v, rung: n.config.Choice.Groups[a.group].Floor, setupStart: -1}
+	s.request.SetupDeadline = readAt + max(a.patience-share.AnswerMargin, 0)
+	n.guard.RequestRead(n.now, s.id, n.config.Choice.Groups[a.group].Paid, readAt+a.patience)
 	n.sessions[s.id] = s
 	v.sessions = append(v.sessions, s)
 	v.Pending++
@@ -43,7 +43,7 @@
 		return
 	}
 	a.body = nil
-	s := &session{clientSetup: a, client: v, state: established, establishedAt: n.now, server: sv, rung: n.config.Config.Groups[a.group].Floor}
+	s := &session{clientSetup: a, client: v, state: established, establishedAt: n.now, server: sv, rung: n.config.Choice.Groups[a.group].Floor}
 	n.sessions[s.id] = s
 	v.sessions = append(v.sessions, s)
 	v.Established++
@@ -313,7 +313,7 @@
 		n.endUnanswered(s)
 		return
 	}
-	wait := min(share.OvertakenAnswerWait, s.request.SetupTimeout-n.now)
+	wait := min(share.OvertakenAnswerWait, s.request.SetupDeadline-n.now)
 	s.setupTimer = n.after(max(wait, 0), func() {
 		s.setupTimer = nil
 		n.endUnanswered(s)
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -235,7 +235,7 @@
 	exitCode            chan lifecycle.ExitCode
 	coordinatorListener net.Listener
 	followers           chan *followerConn
-	reloadConfig        func() (*start.Start, error)
+	reloadConfig        func() (*start.Config, error)
 	network             Network              // nil is the system's network
 	onLog               func(message string) // called for each log line as it is written
 	writeDelay          time.Duration        // delays each write of the node to a client
@@ -347,7 +347,7 @@
 	serving := make(chan *Node, 1)
 	go func() {
 		code, err := Run(Options{Config: s, Listener: l, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { serving <- n },
-			Network: f.network, ReloadConfig: func() (*start.Start, error) { return f.reloadConfig() }})
+			Network: f.network, ReloadConfig: func() (*start.Config, error) { return f.reloadConfig() }})
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/node/start/start.go
+++ b/internal/node/start/start.go
@@ -17,8 +17,8 @@
 	"rainhaven/internal/wire"
 )
 
-// Start is the parsed configuration of a front node.
-type Start struct {
+// Config is the parsed configuration of a front node.
+type Config struct {
 	Name, Listen     string
 	Coordinator      string // address
 	MemoryMB         int
@@ -26,7 +26,7 @@
 	LastIndex        int64        // number of the coordinator's last event known at the start
 	InitialEvents    []feed.Event // describe the list of servers at the start
 	Names            feed.Names
-	Config           choice.Config
+	Choice           choice.Config
 	Groups           []string // names of the service groups by number
 	SetupTimeout     float64  // the longest of all service groups, in seconds
 	ConnectTimeout   float64  // limit for opening a connection to a server, in seconds
@@ -53,7 +53,7 @@
 const defaultMaxDescriptors = 1024
 
 // Read reads and parses the configuration file at path.
-func Read(path string) (*Start, error) {
+func Read(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 }
 
 // Parse parses the content of a configuration file.
-func Parse(text []byte) (*Start, error) {
+func Parse(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	}
 	flat := map[string]string{}
 	flatten("", file.Settings, flat)
-	config, err := wire.ParseStartFigures(flat)
+	config, err := wire.ParseConfig(flat)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -88,8 +88,8 @@
 	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %.30q is not a hexadecimal number", file.Seed)
 	}
-	s := &Start{Name: file.Name, Listen: file.Listen, Coordinator: file.Coordinator, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: cmp.Or(file.Limits.Sockets, defaultMaxDescriptors),
-		LastIndex: file.Known.Index, InitialEvents: file.Known.Updates, Config: config}
+	s := &Config{Name: file.Name, Listen: file.Listen, Coordinator: file.Coordinator, MemoryMB: file.Limits.MemoryMB, MaxDescriptors: cmp.Or(file.Limits.Sockets, defaultMaxDescriptors),
+		LastIndex: file.Known.Index, InitialEvents: file.Known.Updates, Choice: config}
 	if len(config.Groups) == 0 || len(config.Ladder) == 0 {
 		return nil, fmt.Errorf("settings: service groups or ladder are missing")
 	}
--- a/internal/node/start/start_test.go
+++ b/internal/node/start/start_test.go
@@ -20,7 +20,7 @@
 	if s.Name != "n3" || s.MaxDescriptors != 256 || s.MemoryMB != 48 || s.LastIndex != 3 || len(s.InitialEvents) != 1 || s.ConnectTimeout != 0.25 || s.IdleTimeout != 30 || s.MaxSetupsPerConn != 7 || s.SetupTimeout != 1.79 {
 		t.Errorf("%+v", s)
 	}
-	f := s.Config
+	f := s.Choice
 	if f.Seed != 0x8c1f30d27a5be964 || f.FrontIndex != 2 || f.Fronts != 3 || f.Zone != 1 || len(f.Ladder) != 2 || f.Ladder[1] != 443.5 || !f.Probes || f.WarmUp != 12 || f.MaxSetups != 4 {
 		t.Errorf("%+v", f)
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -180,7 +180,7 @@
 	f, s1 := newSingleServerHarness(t, 256)
 	old := f.acceptFollower()
 	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Start, error) { return &start.Start{Coordinator: l.Addr().String()}, nil }
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
 	f.reloadSignals <- syscall.SIGHUP
 	c := <-follows
 	defer c.Close()
@@ -207,12 +207,12 @@
 	}
 	for k := range 10 {
 		read := make(chan bool, 1)
-		f.reloadConfig = func() (*start.Start, error) {
+		f.reloadConfig = func() (*start.Config, error) {
 			defer func() { read <- true }()
 			if k%3 == 1 {
 				return nil, errors.New("half a file")
 			}
-			return &start.Start{Coordinator: addrs[k%len(addrs)]}, nil
+			return &start.Config{Coordinator: addrs[k%len(addrs)]}, nil
 		}
 		f.reloadSignals <- syscall.SIGHUP
 		<-read
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -42,13 +42,13 @@
 func (t Trials) wallOffset() time.Duration { return t.WallOffset }
 
 // alterConfig applies a sabotage to the configuration, or to the start itself.
-func (t Trials) alterConfig(f *start.Start) {
+func (t Trials) alterConfig(f *start.Config) {
 	s := t.Sabotage
 	switch s {
 	case SabotageSlowStart:
-		f.Config.WarmUp = 0
+		f.Choice.WarmUp = 0
 	case SabotageBudget:
-		f.Config.RetryWindow = 0
+		f.Choice.RetryWindow = 0
 	case SabotageReady:
 		time.Sleep(sabotagedStartDelay)
 	case SabotageDescriptors:
@@ -58,14 +58,14 @@
 			}
 		}
 	}
-	for i := range f.Config.Groups {
+	for i := range f.Choice.Groups {
 		switch s {
 		case SabotageFloor:
-			f.Config.Groups[i].Floor, f.Config.Groups[i].Top = 0, 0
+			f.Choice.Groups[i].Floor, f.Choice.Groups[i].Top = 0, 0
 		case SabotageSeats:
-			f.Config.Groups[i].Seats = 0
+			f.Choice.Groups[i].Seats = 0
 		case SabotageRefusal:
-			f.Config.Groups[i].Paid = false
+			f.Choice.Groups[i].Paid = false
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // duplicateSetup sends a sabotaged SETUP to a second server as well.
 func (n *Node) duplicateSetup(s *session) {
-	paid := n.config.Config.Groups[s.group].Paid
+	paid := n.config.Choice.Groups[s.group].Paid
 	sabotage := n.trials.Sabotage
 	if sabotage == SabotageRepeat && !paid || sabotage == SabotageOverlap && paid || sabotage != SabotageRepeat && sabotage != SabotageOverlap {
 		return
--- a/internal/node/trials_off.go
+++ b/internal/node/trials_off.go
@@ -13,7 +13,7 @@
 type Trials struct{}
 
 func (Trials) wallOffset() time.Duration                    { return 0 }
-func (Trials) alterConfig(*start.Start)                     {}
+func (Trials) alterConfig(*start.Config)                    {}
 func (Trials) alterListing(l choice.Listing) choice.Listing { return l }
 func (Trials) alterWait(seconds float64) float64            { return seconds }
 func (Trials) alterDeadline(seconds float64) float64        { return seconds }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -40,7 +40,7 @@
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		feed.Follow(ctx, addr, lastIndex, n.config.Config.Seed, func() {
+		feed.Follow(ctx, addr, lastIndex, n.config.Choice.Seed, func() {
 			if !reported {
 				reported = n.post(event{do: func() { n.coordinatorResponded(w) }})
 			}
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -47,8 +47,8 @@
 
 // Title holds the cells and the length of a title.
 type Title struct {
-	StartCell, Span int
-	Length          float64 // seconds; 0 if unknown
+	StartCell, CellCount int
+	Length               float64 // seconds; 0 if unknown
 }
 
 // Box is a listed server with its address.
--- a/internal/settings/migrate_test.go
+++ b/internal/settings/migrate_test.go
@@ -56,7 +56,7 @@
 	}
 	f := cfg.Choice
 	if f.Groups[1].AddedRateShare != 0.3 || f.Groups[1].Top != 2 || f.Groups[0].AddedRateShare != 0 || f.FullThreshold != 1 || f.NoteInterval != 0 ||
-		f.MaxSetups != 5 || f.RetryWindow != 0 || cfg.DrainGrace != 0.25 || cfg.Titles["vents"] != (Title{Span: 6}) ||
+		f.MaxSetups != 5 || f.RetryWindow != 0 || cfg.DrainGrace != 0.25 || cfg.Titles["vents"] != (Title{CellCount: 6}) ||
 		len(cfg.Boxes) != 6 || !f.Groups[0].Paid {
 		t.Errorf("%+v", cfg)
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -65,12 +65,12 @@
 		{Name: "length", Kind: Number, Doc: "length in seconds; 0 is unknown"},
 		{Name: "wanted", Kind: Number, Default: 1.0, Doc: "relative demand on a simulated day"}}},
 	{Name: "limits", AtMostOnce: true, Doc: "limits of the front", Fields: []Field{
-		{Name: "connections", Kind: Integer, Default: float64(limits.Defaults.Connections), Min: 1, Doc: "maximum number of viewer connections"},
-		{Name: "sessions", Kind: Integer, Default: float64(limits.Defaults.Sessions), Min: 1, Doc: "maximum number of sessions; further ones get a busy reply"},
-		{Name: "box_connections", Kind: Integer, Default: float64(limits.Defaults.BoxConnections), Min: 1, Doc: "maximum number of connections to one box"},
-		{Name: "queue", Kind: Integer, Default: float64(limits.Defaults.Queue), Min: 1 << 14, Max: 1 << 28, Doc: "maximum bytes of media queued for one viewer"},
-		{Name: "viewer_idle", Kind: Number, Default: limits.Defaults.ViewerIdle, Min: 5, Max: 3600, Doc: "seconds without input after which a viewer is considered gone"},
-		{Name: "keep_alive", Kind: Number, Default: limits.Defaults.KeepAlive, Min: 1, Max: 3600, Doc: "seconds between keep-alive requests to a box"},
+		{Name: "connections", Kind: Integer, Default: float64(limits.Defaults.MaxConnections), Min: 1, Doc: "maximum number of viewer connections"},
+		{Name: "sessions", Kind: Integer, Default: float64(limits.Defaults.MaxSessions), Min: 1, Doc: "maximum number of sessions; further ones get a busy reply"},
+		{Name: "box_connections", Kind: Integer, Default: float64(limits.Defaults.MaxBoxConnections), Min: 1, Doc: "maximum number of connections to one box"},
+		{Name: "queue", Kind: Integer, Default: float64(limits.Defaults.QueueBytes), Min: 1 << 14, Max: 1 << 28, Doc: "maximum bytes of media queued for one viewer"},
+		{Name: "viewer_idle", Kind: Number, Default: limits.Defaults.ViewerIdleTimeout, Min: 5, Max: 3600, Doc: "seconds without input after which a viewer is considered gone"},
+		{Name: "keep_alive", Kind: Number, Default: limits.Defaults.KeepAliveInterval, Min: 1, Max: 3600, Doc: "seconds between keep-alive requests to a box"},
 		{Name: "connect_timeout", Kind: Number, Default: limits.Defaults.ConnectTimeout, Min: 0.01, Max: 30, Doc: "timeout for connecting to a box, in seconds"},
 		{Name: "probe_timeout", Kind: Number, Default: limits.Defaults.ProbeTimeout, Min: 0.01, Max: 30, Doc: "timeout for the response to a probe, in seconds"},
 		{Name: "write_stall", Kind: Number, Default: limits.Defaults.WriteStall, Min: 0.5, Max: 300, Doc: "maximum seconds for one write to a viewer"}}},
@@ -279,11 +279,11 @@
 		if e.Int("span") > f.Cells && f.Cells > 0 {
 			doc.Errorf(e.Line, "title %s: span %d exceeds the %d cells", e.Text("name"), e.Int("span"), f.Cells)
 		}
-		cfg.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), Span: e.Int("span"), Length: e.Number("length")}
+		cfg.Titles[e.Text("name")] = Title{StartCell: e.Int("start_cell"), CellCount: e.Int("span"), Length: e.Number("length")}
 	}
 	e = doc.singleOrDefaults("limits")
-	cfg.Limits = limits.Bounds{Connections: e.Int("connections"), Sessions: e.Int("sessions"), BoxConnections: e.Int("box_connections"),
-		Queue: e.Int("queue"), ViewerIdle: e.Number("viewer_idle"), KeepAlive: e.Number("keep_alive"),
+	cfg.Limits = limits.Bounds{MaxConnections: e.Int("connections"), MaxSessions: e.Int("sessions"), MaxBoxConnections: e.Int("box_connections"),
+		QueueBytes: e.Int("queue"), ViewerIdleTimeout: e.Number("viewer_idle"), KeepAliveInterval: e.Number("keep_alive"),
 		ConnectTimeout: e.Number("connect_timeout"), ProbeTimeout: e.Number("probe_timeout"), WriteStall: e.Number("write_stall")}
 	e = doc.singleOrDefaults("drains")
 	cfg.DrainGrace = e.Number("grace")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -37,7 +37,7 @@
 	if b := cfg.Boxes[1]; b.ID != 11 || b.Zone != 0 || b.State != choice.Ready || b.Address != "127.0.0.1:9001" {
 		t.Errorf("%+v", b)
 	}
-	if cfg.Limits.Sessions == 0 || cfg.Groups[0].Rates[3] != 3500 || cfg.Titles["vents"].Span != 3 {
+	if cfg.Limits.MaxSessions == 0 || cfg.Groups[0].Rates[3] != 3500 || cfg.Titles["vents"].CellCount != 3 {
 		t.Errorf("%+v", cfg)
 	}
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,9 +13,9 @@
 )
 
 func sample(n int) restore.Snapshot {
-	s := restore.Snapshot{SavedAt: float64(n), Memory: choice.Snapshot{FirstSetups: []float64{1, 2}}}
+	s := restore.Snapshot{SavedAt: float64(n), Choice: choice.Snapshot{FirstSetups: []float64{1, 2}}}
 	for i := range 300 {
-		s.Memory.Servers = append(s.Memory.Servers, choice.ServerSnapshot{ID: choice.ServerID(i), StartedAt: float64(n), MeanGap: 3.25})
+		s.Choice.Servers = append(s.Choice.Servers, choice.ServerSnapshot{ID: choice.ServerID(i), StartedAt: float64(n), MeanGap: 3.25})
 	}
 	return s
 }
@@ -53,7 +53,7 @@
 	s.Close()
 	s, snapshot, found, _ := load(t, f)
 	s.Close()
-	if !found || snapshot.SavedAt != 4 || len(snapshot.Memory.Servers) != 300 || snapshot.Memory.Servers[7].MeanGap != 3.25 {
+	if !found || snapshot.SavedAt != 4 || len(snapshot.Choice.Servers) != 300 || snapshot.Choice.Servers[7].MeanGap != 3.25 {
 		t.Errorf("found %v, saved at %v", found, snapshot.SavedAt)
 	}
 	f.Close()
--- a/internal/wire/start.go
+++ b/internal/wire/start.go
@@ -21,16 +21,16 @@
 		fr.setErr(fmt.Errorf("salt=%q is not an integer", f["salt"]))
 	}
 	fr.setErr(err)
-	e.Figures, err = ParseStartFigures(f)
-	e.Figures.Seed = seed
+	e.Config, err = ParseConfig(f)
+	e.Config.Seed = seed
 	fr.setErr(err)
 	return e, fr.err
 }
 
-// ParseStartFigures parses a front's configuration, keyed by the field names of the simulator's first message. Lists are
+// ParseConfig parses a front's configuration, keyed by the field names of the simulator's first message. Lists are
 // separated by commas, and objects in a list are numbered. A missing field stays zero, which switches its function off. The
 // caller sets Seed.
-func ParseStartFigures(f map[string]string) (s choice.Config, err error) {
+func ParseConfig(f map[string]string) (s choice.Config, err error) {
 	fr := &fieldReader{fields: f}
 	s.FrontIndex, s.Fronts, s.Zone = fr.integer("me", false), fr.integer("balancers", false), fr.integer("zone", false)
 	family := "family_info."
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -42,7 +42,7 @@
 type Event struct {
 	Front    string
 	Kind     Kind
-	Figures  choice.Config
+	Config   choice.Config
 	FullList bool
 	Servers  []choice.Listing
 	Request  choice.Request
@@ -59,7 +59,7 @@
 func (e *Event) Dispatch(f *choice.Front) {
 	switch e.Kind {
 	case ServerList:
-		f.UpdateDirectory(e.FullList, e.Servers)
+		f.UpdateServers(e.FullList, e.Servers)
 	case Request:
 		f.RequestSession(e.Request)
 	case Handover:
@@ -67,7 +67,7 @@
 	case ClientLeft:
 		f.RequestClosed(e.Request.ID)
 	case Established:
-		f.SetupDone(e.Request.ID)
+		f.SessionEstablished(e.Request.ID)
 	case SetupEnded:
 		f.SetupEnded(e.Request.ID, e.Server, e.Outcome, e.Final, e.Report)
 	case ProbeEnded:
@@ -240,7 +240,7 @@
 		e.Kind = Request
 		e.Request = choice.Request{ID: choice.SessID(fr.text("xid")), Group: fr.integer("tier_class", false),
 			Title: fr.fields["programme"], StartCell: fr.integer("start_cell", false), CellCount: fr.integer("span", false),
-			BestRung: fr.integer("best_rung", false), SetupTimeout: fr.seconds("expires", name == "ASK"),
+			BestRung: fr.integer("best_rung", false), SetupDeadline: fr.seconds("expires", name == "ASK"),
 			Length: fr.seconds("work", false)}
 		if name == "PREEXISTING" {
 			e.Kind, e.Server = Handover, fr.server("server")
@@ -261,7 +261,7 @@
 			fr.setErr(fmt.Errorf("unknown outcome=%d", e.Outcome))
 		}
 		var err error
-		if e.Report, err = ReadReport(f["telemetry"]); err != nil {
+		if e.Report, err = ParseLoadReport(f["telemetry"]); err != nil {
 			fr.setErr(err)
 		}
 	case "PROGRESS":
@@ -286,9 +286,9 @@
 	return noteKinds[n]
 }
 
-// ReadReport parses a load report: name:value pairs separated by commas. Missing loads are -1, and unknown names
+// ParseLoadReport parses a load report: name:value pairs separated by commas. Missing loads are -1, and unknown names
 // are skipped.
-func ReadReport(s string) (choice.LoadReport, error) {
+func ParseLoadReport(s string) (choice.LoadReport, error) {
 	r := choice.LoadReport{Link: -1, Uplink: -1}
 	if s == "" || s == "-" {
 		return r, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -30,7 +30,7 @@
 	if err != nil || now != 8.41225 || len(ev) != 6 {
 		t.Fatal(now, len(ev), err)
 	}
-	s := ev[0].Figures
+	s := ev[0].Config
 	if s.Fronts != 3 || len(s.Ladder) != 2 || !s.Groups[0].Paid || s.Groups[1].Paid || s.Groups[0].Floor != 1 ||
 		s.Groups[1].StartTarget != 0.8 || s.Groups[0].AddedRateShare != 0 || s.Groups[1].AddedRateShare != 0.3 || !s.PeerMessages {
 		t.Errorf("figures %+v", s)
@@ -41,7 +41,7 @@
 	if l := ev[2].Servers; ev[2].FullList || len(l) != 1 || l[0].State != choice.Gone {
 		t.Errorf("list of the reused set_id: %+v", l)
 	}
-	if q := ev[3].Request; q.SetupTimeout != 8.65225 || q.Group != 1 || q.BestRung != 2 {
+	if q := ev[3].Request; q.SetupDeadline != 8.65225 || q.Group != 1 || q.BestRung != 2 {
 		t.Errorf("request %+v", q)
 	}
 	if e := ev[4]; e.Outcome != choice.Full || e.Final || e.Report != (choice.LoadReport{Link: 0.5, Capped: true, Uplink: 1.25}) {
@@ -76,7 +76,7 @@
 func TestReply(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	a := ActWriter{Front: "front_3", Out: w}
+	a := ActionWriter{Front: "front_3", Out: w}
 	a.SetRung("x", 2)
 	a.Setup("x", 7, 0.08)
 	a.BusyReply("y", 1)
