--- a/choice/api.go
+++ b/choice/api.go
@@ -6,12 +6,12 @@
 	SessID   string
 )
 
-// Actions is what a Front asks its owner to do. Reconcile alone calls it.
+// Actions carries out a Front's decisions. All methods are called from within Reconcile.
 type Actions interface {
 	// SetRung sets a session's rung.
 	SetRung(id SessID, rung int)
-	// Setup sends a SETUP and waits for its answer at most so many seconds.
-	Setup(id SessID, server ServerID, wait float64)
+	// Setup sends a SETUP, which times out after so many seconds.
+	Setup(id SessID, server ServerID, timeout float64)
 	// BusyReply answers a request finally as busy, with the advice to retry after so many seconds; 0 is no advice.
 	BusyReply(id SessID, retryAfter float64)
 	// FailureReply answers a request finally as failed.
@@ -24,7 +24,7 @@
 	SetTimer(after float64)
 }
 
-// Reporting says when servers report their load.
+// Reporting is when servers report their load.
 type Reporting int
 
 // Servers report never, with their answers, or with probe results only.
@@ -41,7 +41,7 @@
 	StartTarget    float64 // seconds within which an answer is wanted
 	Paid           bool    // a SETUP is paid for and must not be repeated
 	Floor, Top     int     // lowest and highest rung
-	AddedRateShare float64 // share of its rate that a further viewer of a title adds at a server; 0 is all of it
+	AddedRateShare float64 // share of its rate that another viewer of a title adds at a server, where streams are shared; 0 is all of it
 	Seats          int     // most sessions of one title that a front may hold; 0 is no limit
 }
 
@@ -68,8 +68,8 @@
 	Reporting          Reporting
 	WarmUp             float64 // seconds after its start until a server is warm
 	ColdShare          float64 // share of its capacity that a server starts with
-	OverloadFactor     float64 // a cold server fails when it gets so many times what it can take
-	OverloadTime       float64 // for so many seconds
+	OverloadFactor     float64 // a cold server fails when it gets so many times the SETUPs that it can handle
+	OverloadTime       float64 // over so many seconds
 	UnsyncedClock      bool    // the front's clock is unrelated to other fronts' clocks
 	BaseRetries        float64 // retries allowed within RetryWindow, however few sessions there are
 	RetriesPerSession  float64 // further ones for each session with a SETUP within RetryWindow
@@ -91,7 +91,7 @@
 	ID               ServerID
 	Zone, Kind, Cell int
 	State            Lifecycle
-	Weight           float64
+	Weight           float64 // as listed; not used, as all are alike
 	StartedAt        float64 // instant of its latest start; 0 is long ago
 }
 
@@ -127,7 +127,7 @@
 
 // LoadReport is a server's report of its load. A negative load is not reported.
 type LoadReport struct {
-	Link   float64 // what is asked of its link over the link's capacity
+	Link   float64 // demand on its link over the link's capacity
 	Capped bool    // Link is 1 at most
 	Uplink float64 // the same of its rack's uplink
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -13,7 +13,7 @@
 //  3. Silence: a server that is unusually silent is probed, ejected, and reinstated once it answers probes.
 //  4. Retries: within the start target, the retry budget and the terms of paid groups.
 //  5. Warm-up: a cold server gets SETUPs in this front's slots only, and counts at its warm share.
-//  6. Probe before placing: the best holder is probed first if nothing was heard of it lately and probes cost little.
+//  6. Probe before placing: the best holder is probed first if it has not reported lately and probes cost little.
 package choice
 
 import (
@@ -64,7 +64,7 @@
 	unsyncedClock bool // fronts' clocks are unrelated, so they can't take turns
 	slotSeconds   float64
 	halfSlots     bool    // the second half of each slot is unused
-	coldBudget    float64 // with an unsynced clock: SETUPs that a cold server can take within the overload time
+	coldBudget    float64 // with an unsynced clock: SETUPs that a cold server can handle within the overload time
 	slotCount     float64 // with an unsynced clock: slots in the overload time
 
 	servers       []*server           // by id; a server that has gone is removed once no session is left there
@@ -120,7 +120,7 @@
 }
 
 const (
-	timerInterval        = 0.25 // seconds between looks at established sessions
+	timerInterval        = 0.25 // seconds between checks of established sessions
 	reserveShare         = 0.25 // share of a link that new sessions and steps up leave for noise and other fronts' sessions
 	refillSeconds        = 20   // viewers of sessions that a restart ended are back within this
 	demandWindow         = 10   // seconds over which demand is smoothed
@@ -135,8 +135,8 @@
 	assumedLoad          = 0.5  // of a link that nothing is known of
 	assumedWeight        = 0.3  // of assumedLoad beside reported loads
 	assumedFraction      = 0.4  // of top rates that one assumed session of each group plays at
-	fullSeconds          = 1    // a server counts as full so long after it says so; reports take as long to change
-	messagesPerRequest   = 6    // further ones cost what they gain
+	fullSeconds          = 1    // a server counts as full for this long after a Full answer; reports take as long to change
+	messagesPerRequest   = 6    // more of them cost as much as they gain
 	probesToReinstate    = 2    // in a row, so that one lucky answer doesn't reinstate a server
 	slotUsedUp           = 99   // more SETUPs than a slot allows
 	streamHolders        = 8    // one in so many of a title's holders is preferred for its shared stream
@@ -160,30 +160,30 @@
 }
 
 // New makes a front that knows no servers and no sessions.
-func New(now float64, c Config, actions Actions) *Front {
+func New(now float64, config Config, actions Actions) *Front {
 	f := &Front{
-		actions: actions, now: now, rngState: c.Seed%0xfffffffe + 1, seed: c.Seed,
-		cells: max(c.Cells, 1), racks: max(c.Racks, 1), fronts: max(c.Fronts, 1), index: c.FrontIndex, zone: c.Zone,
-		maxStreams: c.MaxStreams, fleetLinkCapacity: c.FleetLinkCapacity,
-		noteLag: c.NoteLag, noteInterval: c.NoteInterval,
-		maxSetups: max(c.MaxSetups, 1), maxRetryAfter: c.MaxRetryAfter,
-		baseRetries: c.BaseRetries, retriesPerSession: c.RetriesPerSession, retryWindow: c.RetryWindow,
-		warmUpSeconds: c.WarmUp, coldShare: c.ColdShare, unsyncedClock: c.UnsyncedClock,
-		fullThreshold: cmp.Or(c.FullThreshold, -1), refilledAt: now + refillSeconds,
-		probesAllowed: c.Probes, messagesAllowed: c.PeerMessages && c.Fronts > 1,
+		actions: actions, now: now, rngState: config.Seed%0xfffffffe + 1, seed: config.Seed,
+		cells: max(config.Cells, 1), racks: max(config.Racks, 1), fronts: max(config.Fronts, 1), index: config.FrontIndex, zone: config.Zone,
+		maxStreams: config.MaxStreams, fleetLinkCapacity: config.FleetLinkCapacity,
+		noteLag: config.NoteLag, noteInterval: config.NoteInterval,
+		maxSetups: max(config.MaxSetups, 1), maxRetryAfter: config.MaxRetryAfter,
+		baseRetries: config.BaseRetries, retriesPerSession: config.RetriesPerSession, retryWindow: config.RetryWindow,
+		warmUpSeconds: config.WarmUp, coldShare: config.ColdShare, unsyncedClock: config.UnsyncedClock,
+		fullThreshold: cmp.Or(config.FullThreshold, -1), refilledAt: now + refillSeconds,
+		probesAllowed: config.Probes, messagesAllowed: config.PeerMessages && config.Fronts > 1,
 		sessions: map[SessID]*session{}, seatsTaken: map[seatKey]int{},
 	}
-	f.uplinkCapacity = max(c.MeanUplinkCapacity*float64(f.racks), 1)
+	f.uplinkCapacity = max(config.MeanUplinkCapacity*float64(f.racks), 1)
 	if len(f.maxStreams) == 0 {
 		f.maxStreams = []float64{1}
 	}
 	lowest := math.Inf(1)
-	for _, g := range c.Groups {
+	for _, g := range config.Groups {
 		lowest = min(lowest, g.Utility)
 	}
-	for _, g := range c.Groups {
-		rates := make([]float64, len(c.Ladder))
-		for i, r := range c.Ladder {
+	for _, g := range config.Groups {
+		rates := make([]float64, len(config.Ladder))
+		for i, r := range config.Ladder {
 			rates[i] = r * g.Scale
 		}
 		g.AddedRateShare = cmp.Or(g.AddedRateShare, 1)
@@ -193,72 +193,72 @@
 		}
 	}
 	for range f.racks {
-		f.uplinks = append(f.uplinks, &link{nominal: c.MeanUplinkCapacity, capacity: c.MeanUplinkCapacity, kind: 1})
+		f.uplinks = append(f.uplinks, &link{nominal: config.MeanUplinkCapacity, capacity: config.MeanUplinkCapacity, kind: 1})
 	}
 	// Rungs are coarse, so rates settle below the target by themselves: the target is close to the capacity. What
 	// other fronts send is known late, the more of them the later, unless servers turn the excess away.
 	f.targetShare = 0.97
-	if c.FullThreshold == 0 {
+	if config.FullThreshold == 0 {
 		f.targetShare -= 0.08 * math.Pow(1-1/float64(f.fronts), 3)
 	}
 	// Where crossing zones has a price, a tenth of a session settles near ties; more loses headroom than it saves.
-	if c.CrossZonePrice > 0 {
+	if config.CrossZonePrice > 0 {
 		f.sameZoneBonus = 0.1
 	}
 	// Drawback of the limit: where probes are dear, what is known of a link comes later.
-	f.probeFirst = c.Probes && c.ProbePrice < maxProbePrice
+	f.probeFirst = config.Probes && config.ProbePrice < maxProbePrice
 	// The budget of the smallest kind of server, of which a quarter is kept for requests of more than the mean work.
-	budget := c.OverloadFactor * slices.Min(f.maxStreams) / max(c.WarmUp, 1e-3) * c.ColdShare * c.OverloadTime
+	budget := config.OverloadFactor * slices.Min(f.maxStreams) / max(config.WarmUp, 1e-3) * config.ColdShare * config.OverloadTime
 	if budget > 0 {
 		// A window of the overload time touches one slot more than fit in it. Where that leaves no slot, half of
 		// each slot is unused.
-		f.slotSeconds = c.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
+		f.slotSeconds = config.OverloadTime / max(math.Floor(budget*0.75)-1, 0.5)
 		f.halfSlots = budget*0.75 < 2
 		if f.unsyncedClock {
 			f.coldBudget, f.slotCount = budget, slowstart.SlotsPerWindow(budget)
-			f.slotSeconds = c.OverloadTime / f.slotCount
+			f.slotSeconds = config.OverloadTime / f.slotCount
 		}
 	}
 	return f
 }
 
-// SetTime sets the clock. It comes before each batch of events; all instants are of this clock, in seconds.
+// SetTime sets the clock. It must be called before each batch of events; all instants are of this clock, in seconds.
 func (f *Front) SetTime(now float64) { f.now = now }
 
-// UpdateServers takes the whole list of servers, or only the entries that changed.
+// UpdateServers applies the full list of servers, or only the entries that changed.
 func (f *Front) UpdateServers(full bool, list []Listing) {
 	first := f.capacityPerStream == 0
 	if first {
-		// Weights are all alike and say nothing of capacity, so the capacity of all links is divided by the streams that
+		// All weights are alike and don't reflect capacity, so the capacity of all links is divided by the streams that
 		// each kind of server may run.
 		sum := 0.0
-		for _, e := range list {
-			sum += f.maxStreams[min(e.Kind, len(f.maxStreams)-1)]
+		for _, entry := range list {
+			sum += f.maxStreams[min(entry.Kind, len(f.maxStreams)-1)]
 		}
 		f.capacityPerStream = f.fleetLinkCapacity / max(sum, 1)
 	}
 	named := map[ServerID]bool{}
-	for _, e := range list {
-		named[e.ID] = true
-		i, found := slices.BinarySearchFunc(f.servers, e.ID, compareID)
+	for _, entry := range list {
+		named[entry.ID] = true
+		i, found := slices.BinarySearchFunc(f.servers, entry.ID, compareID)
 		if !found {
 			// A front that was restarted may have used the present slot before, so the slot counts as used up.
-			s := &server{id: e.ID, link: &link{}, slot: math.Floor(f.now / max(f.slotSeconds, 1e-3)), slotSetups: slotUsedUp}
+			s := &server{id: entry.ID, link: &link{}, slot: math.Floor(f.now / max(f.slotSeconds, 1e-3)), slotSetups: slotUsedUp}
 			f.servers = slices.Insert(f.servers, i, s)
 		}
 		s := f.servers[i]
 		// Guards against a start listed without its instant: a server that the first list didn't have is cold from
 		// now on. Drawback: a warm server may be treated as cold for one warm-up.
-		if !found && !first && e.StartedAt == 0 {
+		if !found && !first && entry.StartedAt == 0 {
 			s.startedAt = f.now
 		}
-		if e.StartedAt > s.startedAt {
-			s.startedAt, s.ejected, s.lastHeardAt, s.link.readAt = e.StartedAt, false, 0, 0
+		if entry.StartedAt > s.startedAt {
+			s.startedAt, s.ejected, s.lastHeardAt, s.link.readAt = entry.StartedAt, false, 0, 0
 		}
-		s.zone, s.cell, s.state = e.Zone, e.Cell, e.State
-		s.link.nominal = f.capacityPerStream * f.maxStreams[min(e.Kind, len(f.maxStreams)-1)]
+		s.zone, s.cell, s.state = entry.Zone, entry.Cell, entry.State
+		s.link.nominal = f.capacityPerStream * f.maxStreams[min(entry.Kind, len(f.maxStreams)-1)]
 		s.link.capacity = max(s.link.capacity, s.link.nominal)
-		s.uplink = f.uplinks[e.Cell%f.racks]
+		s.uplink = f.uplinks[entry.Cell%f.racks]
 	}
 	for _, s := range f.servers {
 		if full && !named[s.id] {
@@ -281,11 +281,11 @@
 // messages are lost, the own sums are used alone. Loads of single links are not exchanged: all fronts would prefer the
 // same ones.
 func (f *Front) ReceiveMessage(message []byte) {
-	if m, ok := decodeMessage(message); ok && f.messagesAllowed &&
-		m[otherRungRates] <= m[otherTopRates] && m[premiumRungRates] <= m[premiumTopRates] {
+	if sums, ok := decodeMessage(message); ok && f.messagesAllowed &&
+		sums[otherRungRates] <= sums[otherTopRates] && sums[premiumRungRates] <= sums[premiumTopRates] {
 		f.decayPeerSums()
-		for i := range m {
-			f.peerSums[i] += m[i]
+		for i := range sums {
+			f.peerSums[i] += sums[i]
 		}
 		f.summedAt = 0
 	}
@@ -293,14 +293,14 @@
 
 // decayPeerSums lets other fronts' sums fall with the time since the last call.
 func (f *Front) decayPeerSums() {
-	k := math.Exp((f.peerSumsAt - f.now) / peerSumsDecay)
+	factor := math.Exp((f.peerSumsAt - f.now) / peerSumsDecay)
 	for i := range f.peerSums {
-		f.peerSums[i] *= k
+		f.peerSums[i] *= factor
 	}
 	f.peerSumsAt = f.now
 }
 
-// placeAwaitingProbe places the sessions whose awaited probe has ended, or that have waited for maxProbeWait.
+// placeAwaitingProbe places the sessions whose awaited probe has ended, or that have waited for maxProbeWait seconds.
 func (f *Front) placeAwaitingProbe() {
 	var ready []*session
 	f.awaitingProbe = slices.DeleteFunc(f.awaitingProbe, func(s *session) bool {
@@ -317,7 +317,7 @@
 	}
 }
 
-// Stop ends placing, before the process ends: sessions that wait for a probe are rejected now, those with a SETUP in
+// Stop ends all placing, before the process exits: sessions that wait for a probe are rejected now, those with a SETUP in
 // flight when it fails.
 func (f *Front) Stop() {
 	f.stopped = true
@@ -353,9 +353,9 @@
 	for _, s := range l.sessions {
 		top[s.group.premium] += s.rate(s.bestRung)
 	}
-	k := 1 - math.Exp((l.smoothedAt-f.now)/demandWindow)
+	gain := 1 - math.Exp((l.smoothedAt-f.now)/demandWindow)
 	for i := range top {
-		l.demand[i] += (top[i] - l.demand[i]) * k
+		l.demand[i] += (top[i] - l.demand[i]) * gain
 		// Load surge: a lost server's sessions arrive at few holders faster than smoothing follows.
 		l.demand[i] = max(l.demand[i], top[i])
 	}
@@ -385,7 +385,7 @@
 		}
 	}
 	f.topRateSum = f.topRates[0] + f.topRates[1]
-	// One assumed session of each group is added: the mix of a front with few sessions says little of the others'.
+	// One assumed session of each group is added: the mix of a front with few sessions is no good estimate of the others'.
 	f.decayPeerSums()
 	tops := [2]float64{f.topRates[0] + f.peerSums[otherTopRates], f.topRates[1] + f.peerSums[premiumTopRates]}
 	rungs := [2]float64{f.rungRates[0] + f.peerSums[otherRungRates], f.rungRates[1] + f.peerSums[premiumRungRates]}
@@ -435,39 +435,39 @@
 	return f.coldShare + (1-f.coldShare)*max(f.now-sv.startedAt, 0)/f.warmUpSeconds
 }
 
-// pressure is the demand on a link over its target, with more added to that of s's group: own is what the group's rungs
+// pressure is the demand on a link over its target, with added put on top of the demand of s's group: own is what the group's rungs
 // are scaled by, total decides whether new sessions get a busy reply.
-func (f *Front) pressure(l *link, sv *server, s *session, more float64) (own, total float64) {
+func (f *Front) pressure(l *link, sv *server, s *session, added float64) (own, total float64) {
 	f.smoothDemand(l)
-	t := max(f.target(l, sv), 1)
-	d := l.demand
-	d[s.group.premium] += more
+	target := max(f.target(l, sv), 1)
+	demand := l.demand
+	demand[s.group.premium] += added
 	// Other fronts' demand, like the own one, is in top rates: their rates over the fraction that sessions play at.
 	f.sumOwnSessions()
 	others := f.otherDemand(l)
 	premiumOfTop, premiumOfRungs := f.premiumShare[0], f.premiumShare[1]
-	d[0] += others / f.rungFraction * (1 - premiumOfTop)
-	d[1] += others / f.rungFraction * premiumOfTop
+	demand[0] += others / f.rungFraction * (1 - premiumOfTop)
+	demand[1] += others / f.rungFraction * premiumOfTop
 	// A short-delivery note raises all demand to what shows the shortage, and less as time goes on without notes.
-	if least := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/shortfallDecay); least > d[0]+d[1] && d[0]+d[1] > 0 {
-		factor := least / (d[0] + d[1])
-		d[0], d[1] = d[0]*factor, d[1]*factor
+	if minDemand := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/shortfallDecay); minDemand > demand[0]+demand[1] && demand[0]+demand[1] > 0 {
+		factor := minDemand / (demand[0] + demand[1])
+		demand[0], demand[1] = demand[0]*factor, demand[1]*factor
 	}
 	// In an overload the lead of the premium groups is bounded: a few top rungs cost many others their lowest.
 	if s.group.premium == 1 {
-		return max(d[1], (d[0]+d[1])/premiumLead) / t, d[1] / t
+		return max(demand[1], (demand[0]+demand[1])/premiumLead) / target, demand[1] / target
 	}
-	return d[0] / max(t-l.rungDemand(true)-others*premiumOfRungs, 1), (d[0] + d[1]) / t
+	return demand[0] / max(target-l.rungDemand(true)-others*premiumOfRungs, 1), (demand[0] + demand[1]) / target
 }
 
 // rungFor is the rung nearest to the session's top rate times target over demand, by the tighter of link and uplink.
-func (f *Front) rungFor(s *session, sv *server, more float64) int {
-	onLink, _ := f.pressure(sv.link, sv, s, more)
-	onUplink, _ := f.pressure(sv.uplink, sv, s, more)
-	wanted := s.group.rates[s.bestRung] / max(onLink, onUplink, 1)
+func (f *Front) rungFor(s *session, sv *server, added float64) int {
+	onLink, _ := f.pressure(sv.link, sv, s, added)
+	onUplink, _ := f.pressure(sv.uplink, sv, s, added)
+	wantedRate := s.group.rates[s.bestRung] / max(onLink, onUplink, 1)
 	rung := s.bestRung
 	for i := s.bestRung - 1; i >= s.group.Floor; i-- {
-		if math.Abs(s.group.rates[i]-wanted) < math.Abs(s.group.rates[rung]-wanted) {
+		if math.Abs(s.group.rates[i]-wantedRate) < math.Abs(s.group.rates[rung]-wantedRate) {
 			rung = i
 		}
 	}
@@ -499,7 +499,7 @@
 		headroom float64
 		full     bool
 	}
-	var list []holder
+	var candidates []holder
 	top, floor := s.group.rates[s.bestRung], s.group.rates[s.group.Floor]
 	for _, sv := range f.servers {
 		if (sv.cell-s.startCell+f.cells)%f.cells >= s.cellCount || sv.state != Ready {
@@ -530,30 +530,30 @@
 		if sv.zone == f.zone {
 			headroom += top * f.sameZoneBonus
 		}
-		list = append(list, holder{sv, headroom, full})
+		candidates = append(candidates, holder{sv, headroom, full})
 	}
-	slices.SortStableFunc(list, func(a, b holder) int { return cmp.Compare(b.headroom, a.headroom) })
+	slices.SortStableFunc(candidates, func(a, b holder) int { return cmp.Compare(b.headroom, a.headroom) })
 	// The best holder is probed first where its load was not reported lately: where fronts are many, each knows few
 	// links. Probing a second and third holder costs as much as it gains.
-	if f.probeFirst && s.setupsSent == 0 && !s.probeAwaited && len(list) > 1 && s.setupDeadline-f.now > 1 {
-		if sv := list[0].sv; f.now-sv.link.reportedAt > recentReport {
+	if f.probeFirst && s.setupsSent == 0 && !s.probeAwaited && len(candidates) > 1 && s.setupDeadline-f.now > 1 {
+		if sv := candidates[0].sv; f.now-sv.link.reportedAt > recentReport {
 			sv.probeWanted, s.probeAwaited, s.awaitedProbe = true, true, sv
 			f.awaitingProbe = append(f.awaitingProbe, s)
 			return
 		}
 	}
-	i := slices.IndexFunc(list, func(h holder) bool { return !h.full })
+	i := slices.IndexFunc(candidates, func(h holder) bool { return !h.full })
 	if i < 0 {
 		f.reject(s)
 		return
 	}
-	best := list[i].sv
+	best := candidates[i].sv
 	s.rateShare = f.rateShareAt(s, best)
-	r := f.rungFor(s, best, s.rate(s.bestRung))
-	if r > s.group.Floor && s.rate(r) > f.headroom(best)-reserveShare*best.link.capacity {
-		r--
+	rung := f.rungFor(s, best, s.rate(s.bestRung))
+	if rung > s.group.Floor && s.rate(rung) > f.headroom(best)-reserveShare*best.link.capacity {
+		rung--
 	}
-	s.wantedRung, s.setupWanted = r, true
+	s.wantedRung, s.setupWanted = rung, true
 	f.attach(s, best)
 	if slot := math.Floor(f.now / max(f.slotSeconds, 1e-3)); slot != best.slot {
 		best.slot, best.slotSetups = slot, 0
@@ -564,7 +564,7 @@
 	}
 }
 
-// retryAllowed tells whether one more retry stays within the retry budget, a sliding window. First SETUPs count for a
+// retryAllowed reports whether one more retry stays within the retry budget, a sliding window. First SETUPs count for a
 // little less than the window and retries for a little more, so that rounded instants can't exceed it. A request
 // without a SETUP adds nothing, which guards against viewers that send requests by the hundred and withdraw them.
 // Drawback: the budget is tighter than allowed where many requests get a busy reply without a SETUP.
@@ -574,7 +574,7 @@
 	return f.retryWindow <= 0 || float64(len(f.retries)+1) <= f.baseRetries+f.retriesPerSession*float64(len(f.firstSetups))
 }
 
-// mayReceiveSetup tells whether a server's warm-up allows this front a SETUP now. To keep fronts, some of them just
+// mayReceiveSetup reports whether a server's warm-up allows this front a SETUP now. To keep fronts, some of them just
 // restarted, from overloading a cold server together, time is divided into slots that fronts own in turn, with one SETUP
 // per slot, and more as the server warms up. This fails if fronts' clocks differ by more than a slot; where clocks are
 // unrelated, random slots replace the turns (choice/slowstart).
@@ -615,17 +615,17 @@
 }
 
 // SetupEnded reports how a SETUP, or the session it established, ended; final means that no answer is due.
-func (f *Front) SetupEnded(id SessID, on ServerID, o Outcome, final bool, rep LoadReport) {
-	sv := f.server(on)
+func (f *Front) SetupEnded(id SessID, server ServerID, outcome Outcome, final bool, report LoadReport) {
+	sv := f.server(server)
 	if sv != nil {
-		switch o {
+		switch outcome {
 		case Served, ServerError, Full:
 			f.markAlive(sv)
-			f.recordReport(sv, rep, 0)
+			f.recordReport(sv, report, 0)
 		case TimedOut, NoConnection, Reset:
-			f.eject(sv, o != NoConnection)
+			f.eject(sv, outcome != NoConnection)
 		}
-		if o == Full {
+		if outcome == Full {
 			sv.fullUntil = f.now + fullSeconds
 			f.recordReport(sv, LoadReport{Link: f.fullThreshold, Uplink: -1}, 0)
 		}
@@ -641,11 +641,11 @@
 		delete(f.sessions, id)
 		return
 	}
-	if o != Full && o != NoConnection && o != Unsent {
+	if outcome != Full && outcome != NoConnection && outcome != Unsent {
 		s.mayHaveRun = true
 	}
 	s.tried = append(s.tried, sv)
-	if o == EndedUnanswered { // the viewer has had its session; a retry would start another one after its end
+	if outcome == EndedUnanswered { // the viewer has had its session; a retry would start another one after its end
 		f.changed = append(f.changed, s)
 		f.reject(s)
 		return
@@ -670,9 +670,9 @@
 	}
 }
 
-// LoadNote takes a load note: what is asked of a server's link, or of its rack's uplink, over the capacity.
-func (f *Front) LoadNote(id SessID, on ServerID, load float64, uplink bool) {
-	sv := f.server(on)
+// LoadNote handles a load note: the demand on a server's link, or on its rack's uplink, over the capacity.
+func (f *Front) LoadNote(id SessID, server ServerID, load float64, uplink bool) {
+	sv := f.server(server)
 	if sv == nil {
 		return
 	}
@@ -688,19 +688,19 @@
 	}
 }
 
-// recordReport takes a load report that is lag seconds old.
-func (f *Front) recordReport(sv *server, r LoadReport, lag float64) {
-	// A capped load near its cap may, with its noise, stand for any excess: it counts where it raises what is known.
+// recordReport records a load report that is lag seconds old.
+func (f *Front) recordReport(sv *server, report LoadReport, lag float64) {
+	// A capped load near its cap may, with its noise, hide any excess: it counts only where it raises the known load.
 	known := sv.link.rungDemand(false) + f.otherDemand(sv.link)
-	if r.Link >= 0 && (!r.Capped || r.Link < 0.9 || r.Link*sv.link.capacity > known) {
-		f.recordLoad(sv.link, r.Link, lag)
+	if report.Link >= 0 && (!report.Capped || report.Link < 0.9 || report.Link*sv.link.capacity > known) {
+		f.recordLoad(sv.link, report.Link, lag)
 	}
-	if r.Uplink >= 0 {
-		f.recordLoad(sv.uplink, r.Uplink, lag)
+	if report.Uplink >= 0 {
+		f.recordLoad(sv.uplink, report.Uplink, lag)
 	}
 }
 
-// recordLoad takes a link's load as a server reported it.
+// recordLoad records a link's load as a server reported it.
 func (f *Front) recordLoad(l *link, load, lag float64) {
 	l.reportedLoad, l.reportedAt = load, f.now
 	f.sumOwnSessions()
@@ -715,21 +715,21 @@
 	if i := int(lag / timerInterval); i > 0 {
 		own = l.pastDemand[min(i, len(l.pastDemand))-1]
 	}
-	// Where own sessions alone ask more than the load times the nominal capacity, the capacity is larger than that.
+	// Where own sessions alone demand more than the load times the nominal capacity, the capacity is larger than nominal.
 	l.capacity += (max(l.nominal, own/max(load, 0.1)) - l.capacity) * 0.6
-	if r := max(load*l.capacity-own, 0); l.readAt == 0 {
-		l.otherDemand = r
+	if other := max(load*l.capacity-own, 0); l.readAt == 0 {
+		l.otherDemand = other
 	} else {
-		l.otherDemand += (r - l.otherDemand) * 0.8 // reports are noisy, but each shows a later state
+		l.otherDemand += (other - l.otherDemand) * 0.8 // reports are noisy, but each shows a later state
 	}
 	f.sumOwnSessions()
 	l.readAt, l.changed, l.ownDemandAtReading = f.now, true, f.ownDemand
 }
 
-// ShortDelivery takes a short-delivery note: the share of the rate that a server delivers; 0.98 or more means that the
+// ShortDelivery handles a short-delivery note: the share of the rate that a server delivers; 0.98 or more means that the
 // shortage is over.
-func (f *Front) ShortDelivery(on ServerID, share float64) {
-	sv := f.server(on)
+func (f *Front) ShortDelivery(server ServerID, share float64) {
+	sv := f.server(server)
 	if sv == nil || share >= 0.98 {
 		return
 	}
@@ -739,7 +739,7 @@
 		f.eject(sv, false)
 		return
 	}
-	// Notes don't say whether link or uplink is short: it is the link, unless a recent report shows the uplink full.
+	// Notes don't state whether link or uplink is short: it is the link, unless a recent report shows the uplink full.
 	l := sv.link
 	if f.now-sv.uplink.reportedAt < recentReport && sv.uplink.reportedLoad > 1 {
 		l = sv.uplink
@@ -750,24 +750,24 @@
 }
 
 // ProbeEnded reports how a probe ended.
-func (f *Front) ProbeEnded(on ServerID, o Outcome, rep LoadReport) {
-	sv := f.server(on)
+func (f *Front) ProbeEnded(server ServerID, outcome Outcome, report LoadReport) {
+	sv := f.server(server)
 	if sv == nil {
 		return
 	}
 	sv.probePending = false
 	defer f.placeAwaitingProbe()
-	if o == Unsent { // it says nothing of the server
+	if outcome == Unsent { // this shows nothing about the server
 		return
 	}
-	if o != Served {
+	if outcome != Served {
 		f.eject(sv, false)
 		return
 	}
 	f.markAlive(sv)
-	f.recordReport(sv, rep, 0.25)
+	f.recordReport(sv, report, 0.25)
 	if sv.ejected {
-		// The server may have restarted, and be cold, before the list of servers says so.
+		// The server may have restarted, and be cold, before the list of servers shows it.
 		if sv.probesAnswered++; sv.probesAnswered >= probesToReinstate {
 			sv.ejected, sv.startedAt = false, max(sv.startedAt, f.now)
 		}
@@ -823,7 +823,7 @@
 	}
 }
 
-// updateMeanLoad averages the last reported load of each link, not all readings: probes go where requests are most, and
+// updateMeanLoad averages the last reported load of each link, not all readings: probes go where most requests are, and
 // would weigh too much. Assumed loads stand in until there are reports.
 func (f *Front) updateMeanLoad(links []*link) {
 	var sum, weights [2]float64
@@ -857,27 +857,27 @@
 }
 
 // changeRung has Reconcile set another rung.
-func (f *Front) changeRung(s *session, to int) {
-	s.wantedRung, s.rungChangedAt = to, f.now
+func (f *Front) changeRung(s *session, rung int) {
+	s.wantedRung, s.rungChangedAt = rung, f.now
 	f.changed = append(f.changed, s)
 }
 
-// drawStep tells whether a session takes a step of a rate. One larger than this front's part of the headroom or excess is
-// drawn with the odds part/step, so that all fronts, which hear of the same load at once, together change about what
-// there is.
+// drawStep reports whether a session changes its rate by step. A step larger than part, this front's part of the headroom
+// or excess, is made with probability part/step, so that all fronts, which learn of the same load at once, together change
+// about as much as there is.
 func (f *Front) drawStep(step, part float64) bool { return step <= part || f.random() < part/step }
 
 // stepDown moves sessions one rung down while the rates on a link exceed the target by a tenth.
 func (f *Front) stepDown(l *link, sv *server) {
 	own := l.rungDemand(false)
-	all, t := own+f.otherDemand(l), f.target(l, sv)
-	if !l.changed || f.now < l.nextStepDown || all <= t*1.1 {
+	total, target := own+f.otherDemand(l), f.target(l, sv)
+	if !l.changed || f.now < l.nextStepDown || total <= target*1.1 {
 		return
 	}
-	excess := (all - t) * own / all // this front's part
+	excess := (total - target) * own / total // this front's part
 	// Half of the sessions step down at a time. A slower pace lets an overloaded link spoil all of its sessions, a faster
 	// one follows noisy and late readings back and forth.
-	for n := (len(l.sessions) + 1) / 2; n > 0 && excess > 0; n-- {
+	for remaining := (len(l.sessions) + 1) / 2; remaining > 0 && excess > 0; remaining-- {
 		s := l.heaviest(func(s *session) float64 {
 			below := max(s.wantedRung-1, s.group.Floor)
 			return (s.rate(s.wantedRung) - s.rate(below)) / s.group.Utility
@@ -885,13 +885,13 @@
 		if s == nil {
 			return
 		}
-		to := s.wantedRung - 1
-		less := s.rate(s.wantedRung) - s.rate(to)
-		if !f.drawStep(less, excess) {
+		rung := s.wantedRung - 1
+		decrease := s.rate(s.wantedRung) - s.rate(rung)
+		if !f.drawStep(decrease, excess) {
 			return
 		}
-		excess -= less
-		f.changeRung(s, to)
+		excess -= decrease
+		f.changeRung(s, rung)
 		l.nextStepDown, l.nextStepUp = f.now+stepDownInterval, f.now+stepUpAfterDown
 	}
 }
@@ -899,8 +899,8 @@
 // stepUp moves one session of a server a rung up when link and uplink have headroom.
 func (f *Front) stepUp(sv *server) {
 	// Without reports the mean load of links decides: some servers report their load to probes only.
-	unread := f.now-max(sv.link.readAt, sv.link.stepUpCheckedAt) >= 3
-	if !unread && !sv.link.changed && !sv.uplink.changed || f.now < max(sv.link.nextStepUp, sv.uplink.nextStepUp) ||
+	unreported := f.now-max(sv.link.readAt, sv.link.stepUpCheckedAt) >= 3
+	if !unreported && !sv.link.changed && !sv.uplink.changed || f.now < max(sv.link.nextStepUp, sv.uplink.nextStepUp) ||
 		sv.state != Ready {
 		return
 	}
@@ -913,11 +913,11 @@
 		return s.rate(s.wantedRung+1) - s.rate(s.wantedRung)
 	}
 	s := sv.link.heaviest(func(s *session) float64 {
-		more := addedRate(s)
-		if more == 0 || more > headroom || s.endsAt > 0 && s.endsAt < f.now+3 || f.now-s.rungChangedAt < minSecondsBeforeStep {
+		added := addedRate(s)
+		if added == 0 || added > headroom || s.endsAt > 0 && s.endsAt < f.now+3 || f.now-s.rungChangedAt < minSecondsBeforeStep {
 			return 0
 		}
-		return s.group.Utility / more
+		return s.group.Utility / added
 	})
 	if s == nil {
 		return
@@ -942,8 +942,8 @@
 	for _, o := range l.sessions {
 		sum += o.rate(o.group.Floor)
 	}
-	if r := f.rungRates[0] + f.rungRates[1]; r > 0 {
-		sum += f.otherDemand(l) * f.floorRateSum / r
+	if total := f.rungRates[0] + f.rungRates[1]; total > 0 {
+		sum += f.otherDemand(l) * f.floorRateSum / total
 	}
 	return sum / f.target(l, sv)
 }
--- a/choice/message.go
+++ b/choice/message.go
@@ -25,25 +25,25 @@
 const messageVersion = 1
 
 // encodeMessage writes a message: the version and six big-endian 16-bit numbers.
-func encodeMessage(m frontSums) []byte {
+func encodeMessage(sums frontSums) []byte {
 	out := []byte{messageVersion}
 	scale := 1.0 // where a sum doesn't fit, all are divided by the same number, so that their ratios stay
 	for i, unit := range sumUnits {
-		scale = max(scale, m[i]/unit/math.MaxUint16)
+		scale = max(scale, sums[i]/unit/math.MaxUint16)
 	}
 	for i, unit := range sumUnits {
-		out = binary.BigEndian.AppendUint16(out, uint16(max(m[i], 0)/unit/scale))
+		out = binary.BigEndian.AppendUint16(out, uint16(max(sums[i], 0)/unit/scale))
 	}
 	return out
 }
 
 // decodeMessage reads a message; ok is false where it is malformed.
-func decodeMessage(in []byte) (m frontSums, ok bool) {
+func decodeMessage(in []byte) (sums frontSums, ok bool) {
 	if len(in) != 13 || in[0] != messageVersion {
-		return m, false
+		return sums, false
 	}
 	for i, unit := range sumUnits {
-		m[i] = float64(binary.BigEndian.Uint16(in[1+2*i:])) * unit
+		sums[i] = float64(binary.BigEndian.Uint16(in[1+2*i:])) * unit
 	}
-	return m, true
+	return sums, true
 }
--- a/choice/pool/pool.go
+++ b/choice/pool/pool.go
@@ -41,11 +41,11 @@
 func New(perBox int) *Pool { return &Pool{max(perBox, 1), map[choice.ServerID]*boxConns{}} }
 
 // SetMaxPerBox changes the limit of connections per box. Open connections beyond a lower limit stay open.
-func (k *Pool) SetMaxPerBox(n int) { k.maxPerBox = max(n, 1) }
+func (p *Pool) SetMaxPerBox(n int) { p.maxPerBox = max(n, 1) }
 
 // Get takes the most recently used idle connection to a box out of the pool, if there is one.
-func (k *Pool) Get(id choice.ServerID) (ConnID, bool) {
-	b := k.boxes[id]
+func (p *Pool) Get(id choice.ServerID) (ConnID, bool) {
+	b := p.boxes[id]
 	if b == nil || len(b.idle) == 0 {
 		return 0, false
 	}
@@ -55,13 +55,13 @@
 }
 
 // Reserve reports whether another connection to a box may be opened, and if so counts it as open until Closed is called.
-func (k *Pool) Reserve(id choice.ServerID) bool {
-	b := k.boxes[id]
+func (p *Pool) Reserve(id choice.ServerID) bool {
+	b := p.boxes[id]
 	if b == nil {
 		b = &boxConns{}
-		k.boxes[id] = b
+		p.boxes[id] = b
 	}
-	if b.open >= k.maxPerBox {
+	if b.open >= p.maxPerBox {
 		return false
 	}
 	b.open++
@@ -80,8 +80,8 @@
 }
 
 // Put returns a connection to the pool. If it reports false, the caller must close the connection.
-func (k *Pool) Put(id choice.ServerID, c ConnID, now float64) bool {
-	b := k.boxes[id]
+func (p *Pool) Put(id choice.ServerID, c ConnID, now float64) bool {
+	b := p.boxes[id]
 	if b == nil || len(b.idle) >= maxIdle || slices.ContainsFunc(b.idle, func(i idleConn) bool { return i.conn == c }) {
 		return false
 	}
@@ -90,21 +90,21 @@
 }
 
 // Closed records that a connection was closed by either side.
-func (k *Pool) Closed(id choice.ServerID, c ConnID) {
-	b := k.boxes[id]
+func (p *Pool) Closed(id choice.ServerID, c ConnID) {
+	b := p.boxes[id]
 	if b == nil {
 		return
 	}
 	b.idle = slices.DeleteFunc(b.idle, func(i idleConn) bool { return i.conn == c })
 	if b.open--; b.open <= 0 {
-		delete(k.boxes, id)
+		delete(p.boxes, id)
 	}
 }
 
 // Expired removes and returns the connections that have been idle for too long. The caller closes each of them and calls
 // Closed.
-func (k *Pool) Expired(now float64) (list []ConnID) {
-	for _, b := range k.boxes {
+func (p *Pool) Expired(now float64) (list []ConnID) {
+	for _, b := range p.boxes {
 		for len(b.idle) > 0 && now-b.idle[0].since >= idleTimeout {
 			list = append(list, b.idle[0].conn)
 			b.idle = b.idle[1:]
@@ -115,8 +115,8 @@
 }
 
 // Count returns how many connections are open and how many of those are idle.
-func (k *Pool) Count() (open, idle int) {
-	for _, b := range k.boxes {
+func (p *Pool) Count() (open, idle int) {
+	for _, b := range p.boxes {
 		open += b.open
 		idle += len(b.idle)
 	}
--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,8 +10,8 @@
 	"rainhaven/choice"
 )
 
-// testFigures returns a front with a paid group (0) that has a floor and seats, and a free one (1).
-func testFigures() (choice.Config, Limits) {
+// testConfig returns a front with a paid group (0) that has a floor and seats, and a free one (1).
+func testConfig() (choice.Config, Limits) {
 	return choice.Config{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
 			{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
@@ -59,9 +59,9 @@
 
 func newHarness(tb rapid.TB) *harness {
 	h := &harness{tb: tb, now: 100, viewers: map[choice.SessID]*viewer{}, boxState: map[choice.ServerID]choice.Lifecycle{}}
-	fig, limits := testFigures()
-	h.paidSeats = fig.Groups[0].Seats
-	h.table = New(h.now, fig, limits, h)
+	config, limits := testConfig()
+	h.paidSeats = config.Groups[0].Seats
+	h.table = New(h.now, config, limits, h)
 	for _, e := range fourBoxes() {
 		h.boxState[e.ID] = choice.Ready
 	}
@@ -181,11 +181,11 @@
 // reload applies new settings. Each reload changes seats, a floor, the number of SETUPs and the setup timeouts.
 func (h *harness) reload() {
 	h.reloads++
-	fig, limits := testFigures()
+	config, limits := testConfig()
 	if h.reloads%2 == 1 {
-		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MaxSetups, limits.SetupTimeout = 3, 1, 2, []float64{2, 4}
+		config.Groups[0].Seats, config.Groups[1].Floor, config.MaxSetups, limits.SetupTimeout = 3, 1, 2, []float64{2, 4}
 	}
-	h.paidSeats = fig.Groups[0].Seats
+	h.paidSeats = config.Groups[0].Seats
 	var list []choice.Listing
 	for i := range 4 {
 		if s := h.boxState[choice.ServerID(10+i)]; s != choice.Gone {
@@ -193,10 +193,10 @@
 		}
 	}
 	h.apply(func() {
-		h.table.Reload(Config{fig, limits, []int{0, 1}}, list, func(m choice.Snapshot) choice.Snapshot { return m })
+		h.table.Reload(Config{config, limits, []int{0, 1}}, list, func(m choice.Snapshot) choice.Snapshot { return m })
 	})
 	for _, s := range h.table.sessions {
-		if floor := fig.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
+		if floor := config.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
 			h.tb.Fatalf("%s: wanted rung %d is below the floor", s.id, s.wantRung)
 		}
 	}
@@ -438,11 +438,11 @@
 // the seats.
 func TestReloadKeepsRuleCounters(t *testing.T) {
 	h := newHarness(t)
-	fig, limits := testFigures()
-	fig.BaseRetries, fig.RetriesPerSession, fig.Probes = 2, 0, false
+	config, limits := testConfig()
+	config.BaseRetries, config.RetriesPerSession, config.Probes = 2, 0, false
 	reload := func() {
 		h.apply(func() {
-			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
+			h.table.Reload(Config{config, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 	}
 	reload()
@@ -475,7 +475,7 @@
 	// A SETUP in flight keeps its seat; an answer that comes just before the reload is decided by the old settings.
 	h.now += 20
 	var ids []choice.SessID
-	for range fig.Groups[0].Seats {
+	for range config.Groups[0].Seats {
 		id := h.open(0, "exam")
 		h.apply(func() { h.table.SetupSent(id, 1) })
 		ids = append(ids, id)
@@ -496,7 +496,7 @@
 			h.table.SetupSent(id, 1)
 			a.inFlight, v.mayHaveRun = false, status == 500
 			h.table.BoxAnswered(id, 1, status, choice.LoadReport{Link: -1, Uplink: -1})
-			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
+			h.table.Reload(Config{config, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
 			t.Errorf("status %d and a reload in one batch: answers %v after %d SETUPs", status, v.answers, len(v.attempts))
@@ -672,14 +672,14 @@
 // newLargeTable returns a table with 1000 playing sessions on 300 boxes, its settings and its list of boxes.
 func newLargeTable(b *testing.B) (*harness, Config, []choice.Listing) {
 	h := newHarness(b)
-	fig, limits := testFigures()
-	fig.Cells, fig.Racks, fig.FleetLinkCapacity, fig.MeanUplinkCapacity, limits.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
+	config, limits := testConfig()
+	config.Cells, config.Racks, config.FleetLinkCapacity, config.MeanUplinkCapacity, limits.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
-	for i := range fig.Cells {
+	for i := range config.Cells {
 		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Weight: 1})
 		h.boxState[choice.ServerID(100+i)] = choice.Ready
 	}
-	h.table = New(h.now, fig, limits, discardOps{h})
+	h.table = New(h.now, config, limits, discardOps{h})
 	h.apply(func() { h.table.UpdateBoxes(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
@@ -687,7 +687,7 @@
 			h.table.AddHandedOver(id, Request{Group: 1, Title: "vents", StartCell: i % 300, CellCount: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
-	return h, Config{fig, limits, []int{0, 1}}, list
+	return h, Config{config, limits, []int{0, 1}}, list
 }
 
 // BenchmarkReload measures how long a reload blocks the event loop.
--- a/choice/share/share.go
+++ b/choice/share/share.go
@@ -55,19 +55,19 @@
 }
 
 // Idle reports whether a connection has been without sessions for too long.
-func (h ConnUsage) Idle(now float64) bool {
-	return h.SentMessage && h.Pending == 0 && h.Established == 0 && now-h.LastUsed > idleTimeoutSeconds
+func (u ConnUsage) Idle(now float64) bool {
+	return u.SentMessage && u.Pending == 0 && u.Established == 0 && now-u.LastUsed > idleTimeoutSeconds
 }
 
 // TooManyMalformed reports whether a connection without sessions has sent so many malformed requests that it is closed.
-func (h ConnUsage) TooManyMalformed() bool {
-	return h.Malformed >= maxMalformedRequests && h.Pending == 0 && h.Established == 0
+func (u ConnUsage) TooManyMalformed() bool {
+	return u.Malformed >= maxMalformedRequests && u.Pending == 0 && u.Established == 0
 }
 
 // TooManyPending reports whether a further request on the connection is refused, with total unanswered requests on all
 // connections.
-func (h ConnUsage) TooManyPending(total int) bool {
-	return h.Pending >= MaxPendingPerConn || total >= maxPendingTotal
+func (u ConnUsage) TooManyPending(total int) bool {
+	return u.Pending >= MaxPendingPerConn || total >= maxPendingTotal
 }
 
 // MaxHandedOver is the maximum number of established sessions that a node takes over, by its memory. A session takes about a
@@ -86,17 +86,17 @@
 // EvictionRank orders connections for closing: the lowest rank is closed first, and within a rank the one unused longest. A
 // connection with a negative rank is never closed. It guards against hundreds of connections that are silent or only send
 // probes, for which new ones of usual viewers would be refused.
-func (h ConnUsage) EvictionRank(now float64) int {
+func (u ConnUsage) EvictionRank(now float64) int {
 	switch {
-	case h.Pending > 0:
+	case u.Pending > 0:
 		return -1
-	case !h.SentMessage && now-h.OpenedAt >= silenceGraceSeconds:
+	case !u.SentMessage && now-u.OpenedAt >= silenceGraceSeconds:
 		return 0
-	case h.SentMessage && !h.RequestedSession:
+	case u.SentMessage && !u.RequestedSession:
 		return 1
-	case h.SentMessage && h.Established == 0:
+	case u.SentMessage && u.Established == 0:
 		return 2
-	case !h.SentMessage:
+	case !u.SentMessage:
 		return 3
 	}
 	return 4
--- a/choice/state.go
+++ b/choice/state.go
@@ -126,7 +126,7 @@
 	return float64(uint32(f.rngState)) / (1 << 32)
 }
 
-// attach puts a session on a server's link and uplink and takes its seat.
+// attach adds a session to a server's link and uplink and occupies its seat.
 func (f *Front) attach(s *session, sv *server) {
 	f.smoothDemand(sv.link)
 	f.smoothDemand(sv.uplink)
@@ -197,57 +197,57 @@
 		l.shortfallDemand, l.shortfallAt}
 }
 
-// restore takes what an earlier front learned. Capacity is scaled to the present nominal capacity.
-func (l *link) restore(r LinkSnapshot) {
-	if r.NominalCapacity > 0 {
-		l.capacity = l.nominal * r.Capacity / r.NominalCapacity
+// restore loads what an earlier front learned. Capacity is scaled to the present nominal capacity.
+func (l *link) restore(saved LinkSnapshot) {
+	if saved.NominalCapacity > 0 {
+		l.capacity = l.nominal * saved.Capacity / saved.NominalCapacity
 	}
 	l.otherDemand, l.readAt, l.ownDemandAtReading, l.reportedLoad, l.reportedAt, l.shortfallDemand, l.shortfallAt =
-		r.OtherDemand, r.ReadAt, r.OwnDemand, r.ReportedLoad, r.ReportedAt, r.ShortfallDemand, r.ShortfallAt
+		saved.OtherDemand, saved.ReadAt, saved.OwnDemand, saved.ReportedLoad, saved.ReportedAt, saved.ShortfallDemand, saved.ShortfallAt
 }
 
 // Snapshot returns what the front has learned.
 func (f *Front) Snapshot() Snapshot {
-	m := Snapshot{FirstSetups: slices.Clone(f.firstSetups), Retries: slices.Clone(f.retries),
+	snapshot := Snapshot{FirstSetups: slices.Clone(f.firstSetups), Retries: slices.Clone(f.retries),
 		MeanLoad: f.meanLoad, MeanLoadDemand: f.meanLoadDemand, RefilledAt: f.refilledAt}
 	for _, s := range f.servers {
-		m.Servers = append(m.Servers, ServerSnapshot{s.id, s.startedAt, s.slot, s.slotSetups, s.ejected, s.fullUntil,
+		snapshot.Servers = append(snapshot.Servers, ServerSnapshot{s.id, s.startedAt, s.slot, s.slotSetups, s.ejected, s.fullUntil,
 			s.gaps.mean, s.gaps.deviation, s.lastHeardAt, s.link.snapshot()})
 	}
 	for _, l := range f.uplinks {
-		m.Uplinks = append(m.Uplinks, l.snapshot())
+		snapshot.Uplinks = append(snapshot.Uplinks, l.snapshot())
 	}
-	return m
+	return snapshot
 }
 
-// Restore takes a snapshot, after the first UpdateServers and before any session. Servers that are not listed are
+// Restore loads a snapshot. It must be called after the first UpdateServers and before any session. Servers that are not listed are
 // skipped.
-func (f *Front) Restore(m Snapshot) {
-	f.firstSetups, f.retries = slices.Clone(m.FirstSetups), slices.Clone(m.Retries)
-	f.meanLoad, f.meanLoadDemand, f.refilledAt = m.MeanLoad, m.MeanLoadDemand, cmp.Or(m.RefilledAt, f.refilledAt)
-	for _, r := range m.Servers {
-		s := f.server(r.ID)
+func (f *Front) Restore(snapshot Snapshot) {
+	f.firstSetups, f.retries = slices.Clone(snapshot.FirstSetups), slices.Clone(snapshot.Retries)
+	f.meanLoad, f.meanLoadDemand, f.refilledAt = snapshot.MeanLoad, snapshot.MeanLoadDemand, cmp.Or(snapshot.RefilledAt, f.refilledAt)
+	for _, saved := range snapshot.Servers {
+		s := f.server(saved.ID)
 		if s == nil {
 			continue
 		}
-		if r.Slot >= 0 {
-			s.slot, s.slotSetups = r.Slot, r.SlotSetups
+		if saved.Slot >= 0 {
+			s.slot, s.slotSetups = saved.Slot, saved.SlotSetups
 		}
-		if s.gaps = (gapStats{r.MeanGap, r.GapDeviation}); s.startedAt > r.StartedAt {
+		if s.gaps = (gapStats{saved.MeanGap, saved.GapDeviation}); s.startedAt > saved.StartedAt {
 			continue // it has restarted since
 		}
-		s.startedAt, s.lastHeardAt, s.fullUntil = r.StartedAt, r.LastHeardAt, r.FullUntil
-		s.link.restore(r.Link)
-		if r.Ejected && f.probesAllowed { // only probes reinstate it
+		s.startedAt, s.lastHeardAt, s.fullUntil = saved.StartedAt, saved.LastHeardAt, saved.FullUntil
+		s.link.restore(saved.Link)
+		if saved.Ejected && f.probesAllowed { // only probes reinstate it
 			f.eject(s, false)
 		}
 	}
-	for i, r := range m.Uplinks[:min(len(m.Uplinks), len(f.uplinks))] {
-		f.uplinks[i].restore(r)
+	for i, saved := range snapshot.Uplinks[:min(len(snapshot.Uplinks), len(f.uplinks))] {
+		f.uplinks[i].restore(saved)
 	}
 }
 
-// SessionState is what decides on a session now, for operators who ask for an explanation.
+// SessionState is the state that decisions on a session depend on now, for operators who ask for an explanation.
 type SessionState struct {
 	SetupsSent   int
 	SeatsTaken   bool // all seats of its title are taken
@@ -271,12 +271,12 @@
 
 // Explain returns how the front sees a session and the holders of its title now; ok is false where there is no such
 // session.
-func (f *Front) Explain(id SessID) (st SessionState, ok bool) {
+func (f *Front) Explain(id SessID) (state SessionState, ok bool) {
 	s := f.sessions[id]
 	if s == nil {
-		return st, false
+		return state, false
 	}
-	st = SessionState{SetupsSent: s.setupsSent, SeatsTaken: s.group.Seats > 0 && f.seatsTaken[s.seat] >= s.group.Seats,
+	state = SessionState{SetupsSent: s.setupsSent, SeatsTaken: s.group.Seats > 0 && f.seatsTaken[s.seat] >= s.group.Seats,
 		RetriesSpent: !f.retryAllowed(), MayHaveRun: s.mayHaveRun}
 	for _, sv := range f.servers {
 		if (sv.cell-s.startCell+f.cells)%f.cells >= s.cellCount {
@@ -284,10 +284,10 @@
 		}
 		_, onLink := f.pressure(sv.link, sv, s, 0)
 		_, onUplink := f.pressure(sv.uplink, sv, s, 0)
-		st.Holders = append(st.Holders, HolderState{sv.id, sv.state, sv.ejected, f.now < sv.fullUntil, !f.mayReceiveSetup(sv),
+		state.Holders = append(state.Holders, HolderState{sv.id, sv.state, sv.ejected, f.now < sv.fullUntil, !f.mayReceiveSetup(sv),
 			slices.Contains(s.tried, sv), f.headroom(sv), onLink, onUplink})
 	}
-	return st, true
+	return state, true
 }
 
 // ServerEstimate is what a front counts at one server, to be compared with what the server does.
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -79,12 +79,12 @@
 			continue
 		}
 		n.clientSlots.inUse.Add(1)
-		v := &client{conn: newConn(nc, n.log), readControl: newReadControl(nc)}
-		if !n.post(event{do: func() { n.clientOpened(v) }}) {
-			v.close()
+		cl := &client{conn: newConn(nc, n.log), readControl: newReadControl(nc)}
+		if !n.post(event{do: func() { n.clientOpened(cl) }}) {
+			cl.close()
 			return
 		}
 		n.wg.Add(1)
-		go n.readClient(v)
+		go n.readClient(cl)
 	}
 }
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("%d connections are open, the limit is %d", n, most)
 		}
 	})
-	v := f.connect()
-	v.setup(testID(1), "free", "")
-	v.expect("503") // there are no servers
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
+	cl.expect("503") // there are no servers
 }
--- a/internal/node/acts.go
+++ b/internal/node/acts.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func (a actions) Setup(id choice.SessID, number choice.ServerID, wait float64) {
+func (a actions) Setup(id choice.SessID, number choice.ServerID, timeout float64) {
 	n := a.n
 	s, sv := n.sessions[string(id)], n.serversByNumber[number]
 	if s == nil {
@@ -37,15 +37,15 @@
 		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
-	n.log.Debug("SETUP ordered", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", wait))
+	n.log.Debug("SETUP ordered", str("sess", s.id), str("server", sv.id), num("rung", s.rung), zap.Float64("wait", timeout))
 	if !n.guard.StartAttempt(n.now, s.id) {
 		n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: id}, Server: number, Outcome: choice.Unsent, Report: noReport})
 		return
 	}
-	wait = n.trials.alterWait(wait)
+	timeout = n.trials.alterWait(timeout)
 	s.history.add(n.now, stepAttempt, sv.id)
-	s.state, s.server, s.setupDeadline, s.resends, s.localRetries = attempting, sv, n.now+wait, 0, 0
-	s.setupTimer = n.after(wait, func() { n.setupTimedOut(s) })
+	s.state, s.server, s.setupDeadline, s.resends, s.localRetries = attempting, sv, n.now+timeout, 0, 0
+	s.setupTimer = n.after(timeout, func() { n.setupTimedOut(s) })
 	n.dispatchSetup(s)
 }
 
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -14,7 +14,7 @@
 	"rainhaven/internal/rtsp"
 )
 
-// client is a connection of a client. It carries many sessions.
+// client is the connection of a client. It carries many sessions.
 type client struct {
 	*conn
 	share.ConnUsage
@@ -28,82 +28,82 @@
 }
 
 // readClient passes the messages of a client to the loop until its connection ends or the loop stops it.
-func (n *Node) readClient(v *client) {
+func (n *Node) readClient(cl *client) {
 	defer n.wg.Done()
-	defer context.AfterFunc(n.ctx, func() { v.nc.Close() })()
-	messages := rtsp.NewConn(v.nc, messageBounds)
-	v.awaitFirstMessage()
+	defer context.AfterFunc(n.ctx, func() { cl.nc.Close() })()
+	messages := rtsp.NewConn(cl.nc, messageBounds)
+	cl.awaitFirstMessage()
 	for {
 		err := messages.AwaitMessage()
 		if err == nil {
-			v.messageStarted()
+			cl.messageStarted()
 			var m *rtsp.Message
 			if m, _, err = messages.Next(); err == nil && m != nil {
-				v.messageEnded()
+				cl.messageEnded()
 				at := n.clock()
-				if !n.post(event{do: func() { n.handleClientMessage(v, m, at) }}) {
+				if !n.post(event{do: func() { n.handleClientMessage(cl, m, at) }}) {
 					break
 				}
 				continue
 			}
 		}
-		if v.wasStopped(err) {
-			if n.post(event{do: func() { n.handleReaderStopped(v, messages.Buffered() > 0) }}) && v.awaitResume(n.ctx) {
+		if cl.wasStopped(err) {
+			if n.post(event{do: func() { n.handleReaderStopped(cl, messages.Buffered() > 0) }}) && cl.awaitResume(n.ctx) {
 				continue
 			}
-			v.awaitFlush(n.ctx) // the last answer may not have been written yet
+			cl.awaitFlush(n.ctx) // the last answer may not have been written yet
 			break
 		}
-		n.readFailed(v, err)
+		n.readFailed(cl, err)
 		break
 	}
-	v.close()
+	cl.close()
 	n.clientSlots.release()
-	n.post(event{do: func() { n.clientClosed(v) }})
+	n.post(event{do: func() { n.clientClosed(cl) }})
 }
 
 // readFailed has the loop end a connection from which nothing more can be read.
-func (n *Node) readFailed(v *client, err error) {
-	v.readErr = err
+func (n *Node) readFailed(cl *client, err error) {
+	cl.readErr = err
 	var malformed *rtsp.MalformedError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		if n.post(event{do: func() { n.clientSentEOF(v) }}) {
-			v.awaitFlush(n.ctx)
+		if n.post(event{do: func() { n.clientSentEOF(cl) }}) {
+			cl.awaitFlush(n.ctx)
 		}
 		return
 	}
-	timedOut := errors.Is(err, os.ErrDeadlineExceeded) && !v.isClosing()
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded) && !cl.isClosing()
 	if !timedOut && !errors.As(err, &malformed) && err != nil {
 		return
 	}
 	delivered := n.post(event{do: func() {
 		if timedOut {
-			n.messageTimedOut(v)
+			n.messageTimedOut(cl)
 		} else {
-			n.rejectMalformed(v, malformed)
+			n.rejectMalformed(cl, malformed)
 		}
 	}})
 	if delivered {
-		v.discardInput()
+		cl.discardInput()
 	}
 }
 
 // clientSentEOF handles the end of a client's input. Whether the client has gone or still reads is unknown: its open
 // requests are given up and get a final answer all the same.
-func (n *Node) clientSentEOF(v *client) {
-	if v.closed {
+func (n *Node) clientSentEOF(cl *client) {
+	if cl.closed {
 		return
 	}
-	v.readerStopped = true
-	n.abortOpenRequests(v, true)
-	v.closeGracefully()
+	cl.readerStopped = true
+	n.abortOpenRequests(cl, true)
+	cl.closeGracefully()
 }
 
 // clientOpened registers a new connection of a client.
-func (n *Node) clientOpened(v *client) {
-	v.OpenedAt, v.LastUsed = n.now, n.now
+func (n *Node) clientOpened(cl *client) {
+	cl.OpenedAt, cl.LastUsed = n.now, n.now
 	n.counts["viewers"]++
-	n.clients = append(n.clients, v)
+	n.clients = append(n.clients, cl)
 	n.enforceClientLimit()
 }
 
@@ -112,30 +112,30 @@
 	limit := share.MaxViewerConns(n.config.MaxDescriptors, n.serverConnCount())
 	n.clientSlots.setLimit(limit)
 	open, ending := 0, 0
-	for _, v := range n.clients {
-		if v.isClosing() || v.pendingClose != "" {
+	for _, cl := range n.clients {
+		if cl.isClosing() || cl.pendingClose != "" {
 			ending++
 		} else {
 			open++
 		}
 	}
 	// Connections that are being closed hold a descriptor as well: past the limit they don't wait for their peers.
-	for _, v := range n.clients {
+	for _, cl := range n.clients {
 		if open+ending <= limit {
 			return
 		}
-		if v.isClosing() && v.closeIfFlushed() {
+		if cl.isClosing() && cl.closeIfFlushed() {
 			ending--
 		}
 	}
 	for ; open > limit; open-- {
 		var candidate *client
-		for _, v := range n.clients {
-			if v.isClosing() || v.pendingClose != "" || v.EvictionRank(n.now) < 0 {
+		for _, cl := range n.clients {
+			if cl.isClosing() || cl.pendingClose != "" || cl.EvictionRank(n.now) < 0 {
 				continue
 			}
-			if candidate == nil || v.EvictionRank(n.now) < candidate.EvictionRank(n.now) || v.EvictionRank(n.now) == candidate.EvictionRank(n.now) && v.LastUsed < candidate.LastUsed {
-				candidate = v
+			if candidate == nil || cl.EvictionRank(n.now) < candidate.EvictionRank(n.now) || cl.EvictionRank(n.now) == candidate.EvictionRank(n.now) && cl.LastUsed < candidate.LastUsed {
+				candidate = cl
 			}
 		}
 		if candidate == nil {
@@ -147,26 +147,26 @@
 
 // closeIdleClients closes connections of clients that have had no session for a long time.
 func (n *Node) closeIdleClients() {
-	for _, v := range n.clients {
-		if v.Idle(n.now) {
-			n.requestClose(v, reasonIdle)
+	for _, cl := range n.clients {
+		if cl.Idle(n.now) {
+			n.requestClose(cl, reasonIdle)
 		}
 	}
 }
 
 // messageTimedOut ends a connection with a message that was not completed in time. Open requests on it are answered;
 // without any, it is just closed.
-func (n *Node) messageTimedOut(v *client) {
-	if v.Pending == 0 {
-		v.readerStopped = true // its reader holds no complete message
-		n.closeClient(v, reasonMessageTimeout)
+func (n *Node) messageTimedOut(cl *client) {
+	if cl.Pending == 0 {
+		cl.readerStopped = true // its reader holds no complete message
+		n.closeClient(cl, reasonMessageTimeout)
 		return
 	}
-	n.rejectMalformed(v, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
+	n.rejectMalformed(cl, &rtsp.MalformedError{Status: rtsp.RequestTimeout})
 }
 
 // rejectMalformed answers malformed input and ends the connection, as the start of its next message is unknown.
-func (n *Node) rejectMalformed(v *client, malformed *rtsp.MalformedError) {
+func (n *Node) rejectMalformed(cl *client, malformed *rtsp.MalformedError) {
 	n.malformedCount++
 	status := rtsp.BadRequest
 	request := &rtsp.Message{Header: rtsp.Header{}}
@@ -178,25 +178,25 @@
 			request.Header["Cseq"] = []string{malformed.CSeq}
 		}
 	}
-	n.abortOpenRequests(v, true)
-	v.send(responseMessage(request, status))
-	v.readerStopped = true
-	n.closeClient(v, reasonMalformed)
+	n.abortOpenRequests(cl, true)
+	cl.send(responseMessage(request, status))
+	cl.readerStopped = true
+	n.closeClient(cl, reasonMalformed)
 }
 
 // abortOpenRequests ends the unanswered requests of a connection, and answers them if answer is set.
-func (n *Node) abortOpenRequests(v *client, answer bool) {
-	if v.Pending == 0 {
+func (n *Node) abortOpenRequests(cl *client, answer bool) {
+	if cl.Pending == 0 {
 		return
 	}
-	for _, s := range slices.Clone(v.sessions) {
+	for _, s := range slices.Clone(cl.sessions) {
 		if s.state == established {
 			continue
 		}
 		if answer {
-			n.refuse(v, s.id, rtsp.InternalError, 0)
+			n.refuse(cl, s.id, rtsp.InternalError, 0)
 		}
-		s.history.add(n.now, stepClientClosed, errText(v.readErr))
+		s.history.add(n.now, stepClientClosed, errText(cl.readErr))
 		s.history.unusual = true
 		n.cancelRequest(s)
 	}
@@ -204,112 +204,112 @@
 
 // clientClosed handles the end of a client's connection. Established sessions go on, except those whose answer was not
 // written.
-func (n *Node) clientClosed(v *client) {
-	if v.closed {
+func (n *Node) clientClosed(cl *client) {
+	if cl.closed {
 		return
 	}
-	v.closed, v.readerStopped = true, true
-	n.log.Debug("client connection ended", str("from", v.peer()), str("why", errText(v.readErr)), str("closed", string(v.pendingClose)), zap.Bool("spoke", v.SentMessage), zap.Float64("age", n.now-v.OpenedAt), num("open", v.Pending), num("standing", v.Established))
-	n.abortOpenRequests(v, false)
-	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == v })
-	for _, b := range v.undelivered(n.now, v.writtenTotal) {
+	cl.closed, cl.readerStopped = true, true
+	n.log.Debug("client connection ended", str("from", cl.peer()), str("why", errText(cl.readErr)), str("closed", string(cl.pendingClose)), zap.Bool("spoke", cl.SentMessage), zap.Float64("age", n.now-cl.OpenedAt), num("open", cl.Pending), num("standing", cl.Established))
+	n.abortOpenRequests(cl, false)
+	n.clients = slices.DeleteFunc(n.clients, func(o *client) bool { return o == cl })
+	for _, b := range cl.undelivered(n.now, cl.writtenTotal) {
 		n.sendRelease(nil, b)
 	}
-	for _, s := range slices.Clone(v.sessions) {
+	for _, s := range slices.Clone(cl.sessions) {
 		s.client = nil
-		if s.answerEnd < 0 || s.answerEnd > v.writtenTotal { // the client never received its answer, so nobody plays this session
+		if s.answerEnd < 0 || s.answerEnd > cl.writtenTotal { // the client never received its answer, so nobody plays this session
 			n.endSessionForClient(s)
 		}
 	}
 }
 
 // handleClientMessage handles one message of a client.
-func (n *Node) handleClientMessage(v *client, m *rtsp.Message, readAt float64) {
-	n.traceReceived(v.conn, m)
-	if v.closed || v.isClosing() {
-		n.log.Debug("ignored a message on a closed connection", str("from", v.peer()), str("method", m.Method), str("sess", m.Session()))
+func (n *Node) handleClientMessage(cl *client, m *rtsp.Message, readAt float64) {
+	n.traceReceived(cl.conn, m)
+	if cl.closed || cl.isClosing() {
+		n.log.Debug("ignored a message on a closed connection", str("from", cl.peer()), str("method", m.Method), str("sess", m.Session()))
 		return
 	}
-	v.SentMessage, v.LastUsed = true, n.now
+	cl.SentMessage, cl.LastUsed = true, n.now
 	switch m.Method {
 	case rtsp.Setup:
-		n.handleSetup(v, m, readAt)
+		n.handleSetup(cl, m, readAt)
 	case rtsp.TearDown:
-		n.handleTeardown(v, m)
+		n.handleTeardown(cl, m)
 	case rtsp.Options:
 		status := rtsp.OK
 		if !n.ready {
 			status = rtsp.ServiceUnavailable
 		}
-		v.send(responseMessage(m, status))
+		cl.send(responseMessage(m, status))
 	case "": // a response to a release, or one that answers no request
 	case rtsp.Announce, rtsp.Redirect, rtsp.SetParameter: // no answer is expected
 	default:
-		n.rejectRequest(v, m, rtsp.NotImplemented)
+		n.rejectRequest(cl, m, rtsp.NotImplemented)
 	}
 }
 
 // rejectRequest refuses an invalid request, and closes connections that send many of them.
-func (n *Node) rejectRequest(v *client, m *rtsp.Message, status int) {
+func (n *Node) rejectRequest(cl *client, m *rtsp.Message, status int) {
 	n.malformedCount++
-	v.send(responseMessage(m, status))
-	if v.Malformed++; v.TooManyMalformed() {
-		n.requestClose(v, reasonInvalidRequests)
+	cl.send(responseMessage(m, status))
+	if cl.Malformed++; cl.TooManyMalformed() {
+		n.requestClose(cl, reasonInvalidRequests)
 	}
 }
 
 // handleSetup handles a SETUP: of a new session, or of an established one that is handed over to this node.
-func (n *Node) handleSetup(v *client, m *rtsp.Message, readAt float64) {
+func (n *Node) handleSetup(cl *client, m *rtsp.Message, readAt float64) {
 	setup, err := n.parseSetup(m)
 	if err != nil {
 		n.log.Debug("refused a SETUP", str("why", err.Error()))
-		n.rejectRequest(v, m, rtsp.BadRequest)
+		n.rejectRequest(cl, m, rtsp.BadRequest)
 		return
 	}
-	v.RequestedSession = true
+	cl.RequestedSession = true
 	if setup.currentServer != "" {
-		n.acceptHandover(v, setup)
+		n.acceptHandover(cl, setup)
 		return
 	}
 	if existing := n.sessions[setup.id]; existing != nil {
 		// Answers are matched by session id, so two requests with one id on one connection get one answer.
-		if existing.client == v && existing.state != established {
+		if existing.client == cl && existing.state != established {
 			n.guard.Answer(n.now, existing.id, invariant.Failed)
 			n.cancelRequest(existing)
 		}
-		n.rejectRequest(v, m, rtsp.BadRequest)
+		n.rejectRequest(cl, m, rtsp.BadRequest)
 		return
 	}
-	if v.TooManyPending(n.openRequests) {
-		n.log.Debug("too many open requests", str("from", v.peer()), num("open", v.Pending), num("all", n.openRequests))
+	if cl.TooManyPending(n.openRequests) {
+		n.log.Debug("too many open requests", str("from", cl.peer()), num("open", cl.Pending), num("all", n.openRequests))
 		n.counts["past the bound"]++
-		v.send(responseMessage(m, rtsp.ServiceUnavailable))
+		cl.send(responseMessage(m, rtsp.ServiceUnavailable))
 		return
 	}
-	n.acceptRequest(v, setup, readAt)
+	n.acceptRequest(cl, setup, readAt)
 }
 
 // handleTeardown handles a TEARDOWN: it gives up a pending SETUP, or ends an established session, whichever connection
 // it arrives on.
-func (n *Node) handleTeardown(v *client, m *rtsp.Message) {
+func (n *Node) handleTeardown(cl *client, m *rtsp.Message) {
 	s := n.sessions[m.Session()]
 	if s == nil {
 		if !validID(m.Session()) {
-			n.rejectRequest(v, m, rtsp.BadRequest)
+			n.rejectRequest(cl, m, rtsp.BadRequest)
 			return
 		}
-		v.send(responseMessage(m, rtsp.OK))
+		cl.send(responseMessage(m, rtsp.OK))
 		return
 	}
 	if s.state != established {
-		if s.client == v {
+		if s.client == cl {
 			s.history.add(n.now, stepCancelled, "")
 			n.cancelRequest(s)
-			v.send(responseMessage(m, rtsp.OK))
+			cl.send(responseMessage(m, rtsp.OK))
 		}
 		return
 	}
 	s.history.add(n.now, stepCancelled, "")
 	n.endSessionForClient(s)
-	v.send(responseMessage(m, rtsp.OK))
+	cl.send(responseMessage(m, rtsp.OK))
 }
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -13,43 +13,43 @@
 
 // requestClose closes a connection of a client without open requests, once its reader has passed on what it read. If a
 // request is among that, the connection stays open.
-func (n *Node) requestClose(v *client, reason closeReason) {
-	if v.pendingClose != "" || v.closed || v.isClosing() {
+func (n *Node) requestClose(cl *client, reason closeReason) {
+	if cl.pendingClose != "" || cl.closed || cl.isClosing() {
 		return
 	}
-	n.log.Debug("closing a client connection", str("from", v.peer()), str("why", string(reason)), num("rank", v.EvictionRank(n.now)))
-	v.pendingClose = reason
+	n.log.Debug("closing a client connection", str("from", cl.peer()), str("why", string(reason)), num("rank", cl.EvictionRank(n.now)))
+	cl.pendingClose = reason
 	if n.trials.closesWithoutReader() {
-		v.closeOnceFlushed()
+		cl.closeOnceFlushed()
 		return
 	}
-	v.requestStop(!v.SentMessage)
+	cl.requestStop(!cl.SentMessage)
 }
 
 // handleReaderStopped handles the report that a reader has stopped and passed on all that it read; partial says that
 // the start of another message was read.
-func (n *Node) handleReaderStopped(v *client, partial bool) {
+func (n *Node) handleReaderStopped(cl *client, partial bool) {
 	switch {
-	case v.closed:
+	case cl.closed:
 	case n.exiting:
-		v.readerStopped = true
-	case v.Pending == 0:
-		v.readerStopped = true
-		n.closeClient(v, v.pendingClose)
-		v.endReading()
+		cl.readerStopped = true
+	case cl.Pending == 0:
+		cl.readerStopped = true
+		n.closeClient(cl, cl.pendingClose)
+		cl.endReading()
 	case partial: // stopped within a message, where reading can't resume
-		n.rejectMalformed(v, nil)
-		v.endReading()
+		n.rejectMalformed(cl, nil)
+		cl.endReading()
 	default:
-		v.pendingClose = ""
-		v.resumeReading()
+		cl.pendingClose = ""
+		cl.resumeReading()
 	}
 }
 
 // closeClient closes a connection of a client once its queued bytes are written.
-func (n *Node) closeClient(v *client, reason closeReason) {
-	n.guard.Close(v.peer(), v.Pending, v.readerStopped)
-	v.pendingClose = reason
+func (n *Node) closeClient(cl *client, reason closeReason) {
+	n.guard.Close(cl.peer(), cl.Pending, cl.readerStopped)
+	cl.pendingClose = reason
 	n.counts["closed: "+string(reason)]++
-	v.closeOnceFlushed()
+	cl.closeOnceFlushed()
 }
--- a/internal/node/conn_test.go
+++ b/internal/node/conn_test.go
@@ -55,15 +55,15 @@
 // tcpPair returns both ends of a loopback connection.
 func tcpPair(t *testing.T) (a, b net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if a, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	defer listener.Close()
+	if a, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if b, err = l.Accept(); err != nil {
+	if b, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close(); b.Close() })
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -24,15 +24,15 @@
 
 // batch blocks the loop while it runs steps, and waits after each until it has queued one more event: the loop then
 // handles the events as one batch, in that order.
-func (f *harness) batch(steps ...func()) {
-	f.t.Helper()
-	f.inspect(func(n *Node) {
+func (h *harness) batch(steps ...func()) {
+	h.t.Helper()
+	h.inspect(func(n *Node) {
 		queued := len(n.events)
 		for _, step := range steps {
 			step()
 			for end := time.Now().Add(testTimeout); len(n.events) <= queued; time.Sleep(100 * time.Microsecond) {
 				if time.Now().After(end) {
-					f.t.Error("a step queued no event")
+					h.t.Error("a step queued no event")
 					return
 				}
 			}
@@ -41,28 +41,28 @@
 	})
 }
 
-// stalledLink adds a connection to the first server on which no byte leaves.
-func (f *harness) stalledLink() *serverConn {
-	f.t.Helper()
+// addStalledServerConn adds a connection to the first server on which no byte leaves.
+func (h *harness) addStalledServerConn() *serverConn {
+	h.t.Helper()
 	a, b := net.Pipe()
-	f.t.Cleanup(func() { b.Close() })
-	return f.addLink(a)
+	h.t.Cleanup(func() { b.Close() })
+	return h.addServerConn(a)
 }
 
-// addLink adds a connection to the first server.
-func (f *harness) addLink(nc net.Conn) (l *serverConn) {
-	f.inspect(func(n *Node) {
+// addServerConn adds a connection to the first server.
+func (h *harness) addServerConn(nc net.Conn) (sc *serverConn) {
+	h.inspect(func(n *Node) {
 		s := n.servers[0]
-		l = &serverConn{conn: newConn(nc, zap.NewNop()), server: s, up: true, lastUsed: n.now}
-		s.conns = append(s.conns, l)
+		sc = &serverConn{conn: newConn(nc, zap.NewNop()), server: s, up: true, lastUsed: n.now}
+		s.conns = append(s.conns, sc)
 	})
-	f.t.Cleanup(func() { l.close() })
-	return l
+	h.t.Cleanup(func() { sc.close() })
+	return sc
 }
 
-// breakLink ends a connection made by addLink or stalledLink, as its reader would.
-func (f *harness) breakLink(l *serverConn) {
-	f.inspect(func(n *Node) { n.serverConnClosed(l, l.close(), errors.New("broken")) })
+// breakServerConn ends a connection made by addServerConn or addStalledServerConn, as its reader would.
+func (h *harness) breakServerConn(sc *serverConn) {
+	h.inspect(func(n *Node) { n.serverConnClosed(sc, sc.close(), errors.New("broken")) })
 }
 
 // setupText returns a complete SETUP of a client, with its patience in milliseconds.
@@ -72,28 +72,28 @@
 }
 
 // sendTerminate sends a signal to end, and waits until a second one counts as another request to end.
-func (f *harness) sendTerminate() {
-	f.t.Helper()
-	f.terminationSignals <- syscall.SIGTERM
+func (h *harness) sendTerminate() {
+	h.t.Helper()
+	h.terminationSignals <- syscall.SIGTERM
 	signalledAt := 0.0
-	f.inspect(func(n *Node) { signalledAt = n.now })
+	h.inspect(func(n *Node) { signalledAt = n.now })
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		now := signalledAt + 1 // if the loop has ended
-		f.inspect(func(n *Node) { now = n.now })
+		h.inspect(func(n *Node) { now = n.now })
 		if now > signalledAt+0.25 {
 			return
 		}
 	}
 }
 
-// wantNoSetup fails the test if a host has received a SETUP. All that the node had to send must have arrived before.
-func (f *harness) wantNoSetup(h *fakeServer) {
-	f.t.Helper()
+// wantNoSetup fails the test if a server has received a SETUP. All that the node had to send must have arrived before.
+func (h *harness) wantNoSetup(s *fakeServer) {
+	h.t.Helper()
 	for {
 		select {
-		case x := <-h.received:
+		case x := <-s.received:
 			if x.msg.Method == rtsp.Setup {
-				f.t.Errorf("%s got a SETUP for %s", h.name, x.msg.Session())
+				h.t.Errorf("%s got a SETUP for %s", s.name, x.msg.Session())
 			}
 		default:
 			return
@@ -102,22 +102,22 @@
 }
 
 // Requests that are open at the second signal to end are answered before their connections close: paid ones that may
-// have run fail, the others get a busy reply. Without finish both connections were just closed.
+// have run fail, the others get a busy reply. Before shutDown answered them, both connections were just closed.
 func TestEndAnswersWhatIsOpen(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v, w := f.connect(), f.connect()
-	v.setup(testID(1), "paid", "")
+	cl, other := f.connect(), f.connect()
+	cl.setup(testID(1), "paid", "")
 	f.expectAt(rtsp.Setup, s1)
 	f.inspect(func(n *Node) { // the next SETUP waits for a connection
 		sv := n.servers[0]
 		sv.conns = append(sv.conns, &serverConn{server: sv, cancelDial: func() {}})
 	})
-	w.setup(testID(2), "paid", "")
+	other.setup(testID(2), "paid", "")
 	f.waitFor("both requests are open", func(n *Node) bool { return n.openRequests == 2 })
 	f.sendTerminate()
 	f.terminationSignals <- syscall.SIGTERM
-	v.expect("500")
-	w.expect("503")
+	cl.expect("500")
+	other.expect("503")
 	code := <-f.exitCode
 	f.exitCode <- code
 	if code != lifecycle.ExitClean { // the platform counts other codes as crashes
@@ -128,7 +128,7 @@
 // A request that is read as the loop ends is answered as well.
 func TestRequestReadAsTheLoopEnds(t *testing.T) {
 	var s1 *fakeServer
-	var w *peer
+	var other *peer
 	f := newHarness(t, 256, func(f *harness) []*fakeServer {
 		s1 = f.startServer("s-1")
 		f.onLog = func(what string) {
@@ -136,22 +136,22 @@
 				return
 			}
 			had := len(f.node.events)
-			w.setup(testID(2), "free", "")
+			other.setup(testID(2), "free", "")
 			for end := time.Now().Add(testTimeout); len(f.node.events) == had && time.Now().Before(end); {
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
 		return []*fakeServer{s1}
 	})
-	v := f.connect()
-	w = f.connect()
-	v.setup(testID(1), "paid", "")
+	cl := f.connect()
+	other = f.connect()
+	cl.setup(testID(1), "paid", "")
 	f.expectAt(rtsp.Setup, s1)
 	f.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
 	f.sendTerminate()
 	f.terminationSignals <- syscall.SIGTERM // with no event of the test itself in the queue
-	w.expect("503")
-	v.expect("500")
+	other.expect("503")
+	cl.expect("500")
 }
 
 // An answer that is still being written when its connection is evicted is written whole. It was discarded.
@@ -184,14 +184,14 @@
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
 	f.waitFor("the session is established", func(n *Node) bool { s := n.sessions[testID(1)]; return s != nil && s.state == established })
-	w := f.connect()
-	w.setup(testID(2), "free", "")
-	f.serveNext(s1, w)
+	other := f.connect()
+	other.setup(testID(2), "free", "")
+	f.serveNext(s1, other)
 	f.batch(func() { x.conn.tearDown(testID(1), 16) }) // its client, which reads nothing, closes next
 	f.waitFor("the session is released", func(n *Node) bool { return n.sessions[testID(1)] == nil })
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	if r := w.expect(rtsp.TearDown); r.Session() != testID(1) {
+	if r := other.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 }
@@ -200,12 +200,12 @@
 // notified all the same. It was not, and the session played on.
 func TestReleaseBeforeAConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	f.batch(func() { v.setup(testID(1), "free", ";at:s-1") }, func() { v.tearDown(testID(1), 0) })
+	cl := f.connect()
+	f.batch(func() { cl.setup(testID(1), "free", ";at:s-1") }, func() { cl.tearDown(testID(1), 0) })
 	if x, _ := f.expectAt(rtsp.TearDown, s1); x.msg.Session() != testID(1) || parseCause(x.msg) != causeMoved {
 		t.Errorf("released %+v", x.msg.Header)
 	}
-	v.expect("200")
+	cl.expect("200")
 	f.waitFor("nothing is owed", func(n *Node) bool { return len(n.servers[0].pendingMessages) == 0 && len(n.sessions) == 0 })
 }
 
@@ -214,14 +214,14 @@
 func TestDrainBeforeTheSetupIsSentAnew(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
-	l := f.stalledLink()
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	f.waitFor("the SETUP is queued", func(*Node) bool { return len(l.setups) == 1 })
+	sc := f.addStalledServerConn()
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	f.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == 1 })
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	f.waitFor("the drain is handled", func(n *Node) bool { return n.servers[0].state == choice.Draining })
-	f.breakLink(l)
-	v.expect("503")
+	f.breakServerConn(sc)
+	cl.expect("503")
 	f.wantNoSetup(s1)
 }
 
@@ -229,21 +229,21 @@
 // over any number of them.
 func TestSetupIsSentAnewOnce(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	dams := []*serverConn{f.stalledLink(), f.stalledLink(), f.stalledLink()}
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
+	stalled := []*serverConn{f.addStalledServerConn(), f.addStalledServerConn(), f.addStalledServerConn()}
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
 	for range 2 {
-		var l *serverConn
+		var sc *serverConn
 		f.waitFor("the SETUP is queued", func(n *Node) bool {
-			i := slices.IndexFunc(dams, func(l *serverConn) bool { return len(l.setups) == 1 && !l.closed })
+			i := slices.IndexFunc(stalled, func(sc *serverConn) bool { return len(sc.setups) == 1 && !sc.closed })
 			if i >= 0 {
-				l = dams[i]
+				sc = stalled[i]
 			}
 			return i >= 0
 		})
-		f.breakLink(l)
+		f.breakServerConn(sc)
 	}
-	v.expect("503") // the SETUP never ran
+	cl.expect("503") // the SETUP never ran
 	f.wantNoSetup(s1)
 }
 
@@ -257,23 +257,23 @@
 					hosts = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
 					return hosts[:]
 				})
-				v := f.connect()
-				v.setup(testID(1), "free", "")
+				cl := f.connect()
+				cl.setup(testID(1), "free", "")
 				x, h := f.expectAt(rtsp.Setup, hosts[:]...)
-				steps := []func(){func() { x.conn.answer(x.msg, 453, "") }, func() { leave(v) }}
+				steps := []func(){func() { x.conn.answer(x.msg, 453, "") }, func() { leave(cl) }}
 				if order == "gone first" {
 					slices.Reverse(steps)
 				}
 				f.batch(steps...)
 				f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
-				w := f.connect() // the next SETUP at the other server must be of this client
-				w.setup(testID(2), "free", "")
+				other := f.connect() // the next SETUP at the other server must be of this client
+				other.setup(testID(2), "free", "")
 				y, at := f.nextSetup(hosts[:]...)
 				if y.msg.Session() != testID(2) {
 					t.Errorf("%s received %s after its client had left", at.name, y.msg.Session())
 				}
 				y.conn.answer(y.msg, 200, answerBody)
-				w.expect("200")
+				other.expect("200")
 				f.wantNoSetup(h)
 			})
 		}
@@ -281,8 +281,8 @@
 }
 
 // nextSetup returns the next SETUP at any of the hosts and skips other messages.
-func (f *harness) nextSetup(hosts ...*fakeServer) (receivedMessage, *fakeServer) {
-	f.t.Helper()
+func (h *harness) nextSetup(hosts ...*fakeServer) (receivedMessage, *fakeServer) {
+	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for _, h := range hosts {
 			select {
@@ -294,32 +294,32 @@
 			}
 		}
 	}
-	f.t.Fatal("no SETUP received")
+	h.t.Fatal("no SETUP received")
 	return receivedMessage{}, nil
 }
 
-// A connection is opened after the SETUP that waited for it was given up: it carries the next SETUP, not that one.
+// A connection is opened after the SETUP that waited for it was given up: the next SETUP is sent on it, not that one.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	var l *serverConn
+	var sc *serverConn
 	f.inspect(func(n *Node) {
-		l = &serverConn{server: n.servers[0], cancelDial: func() {}}
-		n.servers[0].conns = []*serverConn{l}
+		sc = &serverConn{server: n.servers[0], cancelDial: func() {}}
+		n.servers[0].conns = []*serverConn{sc}
 	})
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	f.waitFor("the SETUP waits for the connection", func(*Node) bool { return len(l.setups) == 1 })
-	v.Close()
-	f.waitFor("the SETUP is given up", func(n *Node) bool { return n.openRequests == 0 && len(l.setups) == 0 })
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	f.waitFor("the SETUP waits for the connection", func(*Node) bool { return len(sc.setups) == 1 })
+	cl.Close()
+	f.waitFor("the SETUP is given up", func(n *Node) bool { return n.openRequests == 0 && len(sc.setups) == 0 })
 	nc, err := net.Dial("tcp", s1.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f.inspect(func(n *Node) { l.conn = newConn(nc, zap.NewNop()); n.serverConnOpened(l) })
-	t.Cleanup(func() { l.close() })
-	w := f.connect()
-	w.setup(testID(2), "free", "")
+	f.inspect(func(n *Node) { sc.conn = newConn(nc, zap.NewNop()); n.serverConnOpened(sc) })
+	t.Cleanup(func() { sc.close() })
+	other := f.connect()
+	other.setup(testID(2), "free", "")
 	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
 		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
@@ -331,27 +331,27 @@
 	f, s1 := newSingleServerHarness(t, 3) // allows one connection to the server
 	a, b := net.Pipe()
 	defer b.Close()
-	l := f.addLink(a)
+	sc := f.addServerConn(a)
 	var v [3]*peer
 	for k := range v {
 		v[k] = f.connect()
 		v[k].setup(testID(k), "free", "")
-		f.waitFor("the SETUP is queued", func(*Node) bool { return len(l.setups) == k+1 })
+		f.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == k+1 })
 	}
-	f.waitFor("the first is being written", func(*Node) bool { l.mu.Lock(); defer l.mu.Unlock(); return l.queuedTotal > int64(len(l.buffer)) })
+	f.waitFor("the first is being written", func(*Node) bool { sc.mu.Lock(); defer sc.mu.Unlock(); return sc.queuedTotal > int64(len(sc.buffer)) })
 	v[1].Close()
-	f.waitFor("the SETUP is given up", func(*Node) bool { return len(l.setups) == 2 })
+	f.waitFor("the SETUP is given up", func(*Node) bool { return len(sc.setups) == 2 })
 	f.inspect(func(*Node) {
-		if x, y := l.setups[0], l.setups[1]; x.setupEnd != y.setupStart {
+		if x, y := sc.setups[0], sc.setups[1]; x.setupEnd != y.setupStart {
 			t.Errorf("one SETUP ends at %d, the next begins at %d", x.setupEnd, y.setupStart)
 		}
 	})
 	v[0].Close()
-	f.waitFor("the connection is closed", func(n *Node) bool { return l.isClosing() && n.openRequests == 1 })
+	f.waitFor("the connection is closed", func(n *Node) bool { return sc.isClosing() && n.openRequests == 1 })
 	if k, err := b.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes were written", k)
 	}
-	f.breakLink(l) // as its reader reports
+	f.breakServerConn(sc) // as its reader reports
 	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
 		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
@@ -363,10 +363,10 @@
 	for _, answerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := newSingleServerHarness(t, 256)
-			v := f.connect()
-			v.setup(testID(1), "paid", "")
+			cl := f.connect()
+			cl.setup(testID(1), "paid", "")
 			x, _ := f.expectAt(rtsp.Setup, s1)
-			steps := []func(){func() { x.conn.answer(x.msg, 200, answerBody) }, func() { v.tearDown(testID(1), 0) }}
+			steps := []func(){func() { x.conn.answer(x.msg, 200, answerBody) }, func() { cl.tearDown(testID(1), 0) }}
 			if !answerFirst {
 				slices.Reverse(steps)
 			}
@@ -377,7 +377,7 @@
 				}
 			}
 			seen := 0
-			for m := v.next(); m.CSeq() != 2; m = v.next() {
+			for m := cl.next(); m.CSeq() != 2; m = cl.next() {
 				seen++
 			}
 			if seen > 1 || seen == 1 && !answerFirst {
@@ -387,8 +387,8 @@
 		})
 		t.Run(fmt.Sprintf("time-out, answer first %v", answerFirst), func(t *testing.T) {
 			f, s1 := newSingleServerHarness(t, 256)
-			v := f.connect()
-			v.setup(testID(1), "paid", "")
+			cl := f.connect()
+			cl.setup(testID(1), "paid", "")
 			x, _ := f.expectAt(rtsp.Setup, s1)
 			timeOut := func() {
 				s := f.node.sessions[testID(1)] // the loop is blocked
@@ -406,7 +406,7 @@
 				want = "500"
 			}
 			f.batch(steps...)
-			v.expect(want)
+			cl.expect(want)
 			if !answerFirst {
 				for {
 					if y, _ := f.expectAt(rtsp.TearDown, s1); parseCause(y.msg) == causeMoved {
@@ -414,8 +414,8 @@
 					}
 				}
 			}
-			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
-			if m := v.expect("200"); m.Session() != testID(50) {
+			cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
+			if m := cl.expect("200"); m.Session() != testID(50) {
 				t.Error("answered twice")
 			}
 		})
@@ -425,20 +425,20 @@
 // A server at its limit of connections refuses one more: its sessions go on. They were released as lost.
 func TestRefusedBesideALiveConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	x := f.serveNext(s1, v)
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	x := f.serveNext(s1, cl)
 	s1.Listener.Close()
-	v.setup(testID(2), "paid", "")
+	cl.setup(testID(2), "paid", "")
 	y, _ := f.expectAt(rtsp.Setup, s1) // over the one open connection
-	v.setup(testID(3), "paid", "")
-	if m := v.expect("503"); m.Session() != testID(3) {
+	cl.setup(testID(3), "paid", "")
+	if m := cl.expect("503"); m.Session() != testID(3) {
 		t.Errorf("%s was refused", m.Session())
 	}
 	y.conn.answer(y.msg, 200, answerBody)
-	v.expect("200")
+	cl.expect("200")
 	x.conn.tearDown(testID(1), 16)
-	if r := v.expect(rtsp.TearDown); parseCause(r) != causeFinished || r.Session() != testID(1) {
+	if r := cl.expect(rtsp.TearDown); parseCause(r) != causeFinished || r.Session() != testID(1) {
 		t.Errorf("released %+v", r.Header)
 	}
 }
@@ -448,12 +448,12 @@
 func TestServerStartedAnew(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
-	v := f.connect()
-	v.setup(testID(1), "free", "")
-	f.serveNext(s1, v)
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
+	f.serveNext(s1, cl)
 	anew := strings.Replace(listEntry("s-1", s1.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().UnixMilli()+1), 1)
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, anew))
-	if r := v.expect(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != testID(1) {
+	if r := cl.expect(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != testID(1) {
 		t.Errorf("released %+v", r.Header)
 	}
 	f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].sessions) == 0 })
@@ -462,14 +462,14 @@
 // A message that never ends follows an open request: that request is answered. Its connection was just closed.
 func TestHalfAMessageBesideAnOpenRequest(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.sendf("%s", setupText(1, 4000)) // longer than the time limit of a message
+	cl := f.connect()
+	cl.sendf("%s", setupText(1, 4000)) // longer than the time limit of a message
 	f.expectAt(rtsp.Setup, s1)
-	v.sendf("%s", setupText(2, 4000)[:50])
-	if m := v.expect("500"); m.Session() != testID(1) {
+	cl.sendf("%s", setupText(2, 4000)[:50])
+	if m := cl.expect("500"); m.Session() != testID(1) {
 		t.Errorf("%s was answered", m.Session())
 	}
-	v.expect("408")
+	cl.expect("408")
 	f.expectAt(rtsp.TearDown, s1)
 }
 
@@ -477,8 +477,8 @@
 // the session, and the server is notified. It played on for nobody.
 func TestAnswerCrossesAClose(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	f.batch(func() { x.conn.answer(x.msg, 200, answerBody) }, func() { f.node.clients[0].closeOnceFlushed() })
 	if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
@@ -491,28 +491,28 @@
 func TestRequestsInPieces(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	text := func(k int) string { return setupText(k, 1500) }
-	v := f.connect()
-	v.Conn.(*net.TCPConn).SetNoDelay(true)
+	cl := f.connect()
+	cl.Conn.(*net.TCPConn).SetNoDelay(true)
 	for _, b := range []byte(text(1)) {
-		v.Write([]byte{b})
+		cl.Write([]byte{b})
 	}
-	f.serveNext(s1, v)
+	f.serveNext(s1, cl)
 	for k, at := range []int{20, strings.Index(text(1), "Subject") + 3, strings.Index(text(1), requestBody) + 5} {
 		one := text(10 + k)
-		v.sendf("%s", one[:at])
+		cl.sendf("%s", one[:at])
 		f.inspect(func(*Node) {})
-		v.sendf("%s", one[at:])
-		f.serveNext(s1, v)
+		cl.sendf("%s", one[at:])
+		f.serveNext(s1, cl)
 	}
-	v.sendf("%s", text(2)+text(3))
+	cl.sendf("%s", text(2)+text(3))
 	for range 2 {
 		x, _ := f.expectAt(rtsp.Setup, s1)
 		x.conn.answer(x.msg, 200, answerBody)
 	}
-	v.expect("200")
-	v.expect("200")
-	v.sendf("%s", text(4)[:50])
-	v.Close()
+	cl.expect("200")
+	cl.expect("200")
+	cl.sendf("%s", text(4)[:50])
+	cl.Close()
 	f.waitFor("the client is removed", func(n *Node) bool { return len(n.clients) == 0 && n.openRequests == 0 && n.sessions[testID(4)] == nil })
 }
 
@@ -541,8 +541,8 @@
 func TestReloadCrossesTheOldCoordinatorsLastEvent(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	feed := f.acceptFollower()
-	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
+	listener, follows := f.startCoordinator()
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
 	up, drains := listEvent(2, false, listEntry("s-1", s1.Addr().String(), "up")), listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining"))
 	f.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
@@ -571,13 +571,13 @@
 	})
 	f.acceptFollower().Close()
 	for range 100 { // after a probe they do not count as silent
-		v := f.connect()
-		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+		cl := f.connect()
+		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	}
 	for k := range 60 {
 		f.inspect(func(n *Node) { n.dialServer(n.servers[k]) })
 		f.waitFor("the connection is open, or was closed to make room", func(n *Node) bool {
-			return !slices.ContainsFunc(n.servers[k].conns, func(l *serverConn) bool { return !l.up })
+			return !slices.ContainsFunc(n.servers[k].conns, func(sc *serverConn) bool { return !sc.up })
 		})
 	}
 	f.waitFor("a tenth of the descriptors is free", func(n *Node) bool {
@@ -593,9 +593,9 @@
 // another's.
 func TestNodesShareNothing(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
-	f.serveNext(s1, v)
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
+	f.serveNext(s1, cl)
 	f.stop() // its client's connection stays open
 	text := strings.NewReplacer(`"free"`, `"gratis"`, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, f.addr), `"class_floor":[0,1]`, `"class_floor":[2,1]`).
 		Replace(f.config(256, 1, listEvent(1, true, listEntry("s-1", s1.Addr().String(), "up"))))
@@ -619,16 +619,16 @@
 		t.Fatal("the node does not start")
 	}
 	t.Cleanup(next.stop)
-	w, u := next.connect(), other.connect()
-	w.setup(testID(1), "free", "")
-	w.expect("400")
-	u.setup(testID(1), "gratis", "")
-	u.expect("400")
-	w.setup(testID(1), "gratis", "")
+	nextClient, otherClient := next.connect(), other.connect()
+	nextClient.setup(testID(1), "free", "")
+	nextClient.expect("400")
+	otherClient.setup(testID(1), "gratis", "")
+	otherClient.expect("400")
+	nextClient.setup(testID(1), "gratis", "")
 	x, _ := next.expectAt(rtsp.Setup, s1)
 	if q := x.msg.Header.Get("X-Quality"); q < "2" {
 		t.Errorf("rung %s is below the node's own floor", q)
 	}
-	u.setup(testID(1), "free", "")
+	otherClient.setup(testID(1), "free", "")
 	other.expectAt(rtsp.Setup, s2)
 }
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -42,12 +42,12 @@
 				s1, s2 = f.startServer("s-1"), f.startServer("s-2")
 				return []*fakeServer{s1, s2}
 			})
-			v := f.connect()
-			v.setup(testID(1), c.class, "")
+			cl := f.connect()
+			cl.setup(testID(1), c.class, "")
 			x, h := f.expectAt(rtsp.Setup, s1, s2)
 			conn := x.conn
 			if c.elsewhere {
-				v.setup(testID(2), "paid", "")
+				cl.setup(testID(2), "paid", "")
 				for conn == x.conn { // a second SETUP at the same server gets a connection of its own
 					y, g := f.expectAt(rtsp.Setup, s1, s2)
 					if g != h {
@@ -62,7 +62,7 @@
 				time.AfterFunc(c.answer, func() { x.conn.answer(x.msg, 200, answerBody) })
 			}
 			for _, want := range c.want {
-				if m := v.expectWithin(refusedWithin, want); m.Session() != testID(1) {
+				if m := cl.expectWithin(refusedWithin, want); m.Session() != testID(1) {
 					t.Errorf("%s for session %s", want, m.Session())
 				}
 			}
@@ -72,8 +72,8 @@
 					t.Error("the session is still known")
 				}
 			})
-			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-			v.expect("200") // and nothing about the session before it
+			cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+			cl.expect("200") // and nothing about the session before it
 			for _, server := range []*fakeServer{s1, s2} {
 				for len(server.received) > 0 {
 					if y := <-server.received; y.msg.Method == rtsp.Setup && y.msg.Session() == testID(1) {
@@ -89,11 +89,11 @@
 // handles first.
 func TestRequestReadAsItsConnectionIsClosed(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-	v.expect("200")
+	cl := f.connect()
+	cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+	cl.expect("200")
 	f.batch(
-		func() { v.setup(testID(1), "free", "") },
+		func() { cl.setup(testID(1), "free", "") },
 		func() {
 			f.node.clients[0].LastUsed = -100
 			f.node.closeIdleClients()
@@ -102,7 +102,7 @@
 	)
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200")
+	cl.expect("200")
 }
 
 // The node exits while readers still read requests: each request that was read before its connection is closed is answered, even
@@ -143,20 +143,20 @@
 // its client is notified.
 func TestReleaseOnAConnectionThatIsClosed(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
-	x := f.serveNext(s1, v)
-	v.setup(testID(2), "free", "")
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
+	x := f.serveNext(s1, cl)
+	cl.setup(testID(2), "free", "")
 	y, _ := f.expectAt(rtsp.Setup, s1)
 	if y.conn != x.conn {
 		t.Fatal("the second SETUP arrived on another connection")
 	}
 	var first *serverConn
 	f.inspect(func(n *Node) { first = n.serversByID["s-1"].conns[0] })
-	v.expect("503") // after its timeout
+	cl.expect("503") // after its timeout
 	f.waitFor("the connection is being closed", func(*Node) bool { return first.closed })
 	x.conn.tearDown(testID(1), causeFinished)
-	if m := v.expectWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != testID(1) {
+	if m := cl.expectWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != testID(1) {
 		t.Errorf("released %s", m.Session())
 	}
 }
@@ -167,14 +167,14 @@
 	for _, class := range []string{"free", "paid"} {
 		t.Run(class, func(t *testing.T) {
 			f, s1 := newSingleServerHarness(t, 256)
-			v := f.connect()
-			v.setup(testID(1), class, "")
+			cl := f.connect()
+			cl.setup(testID(1), class, "")
 			x, _ := f.expectAt(rtsp.Setup, s1)
-			v.Conn.(*net.TCPConn).CloseWrite()
-			if m := v.expectWithin(100*time.Millisecond, "500"); m.Session() != testID(1) {
+			cl.Conn.(*net.TCPConn).CloseWrite()
+			if m := cl.expectWithin(100*time.Millisecond, "500"); m.Session() != testID(1) {
 				t.Errorf("answered %s", m.Session())
 			}
-			v.expect("closed")
+			cl.expect("closed")
 			if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
 				t.Errorf("cancelled %s", y.msg.Session())
 			}
@@ -188,12 +188,12 @@
 // over a new connection if there is none.
 func TestResetAttemptIsWithdrawn(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	x.conn.Conn.(*net.TCPConn).SetLinger(0)
 	x.conn.Close()
-	v.expect("503")
+	cl.expect("503")
 	y, _ := f.expectAt(rtsp.TearDown, s1)
 	if y.msg.Session() != testID(1) || y.conn == x.conn {
 		t.Errorf("released %s, on the same connection: %v", y.msg.Session(), y.conn == x.conn)
@@ -207,16 +207,16 @@
 		f.writeDelay = 50 * time.Millisecond
 		return nil
 	})
-	v := f.connect()
-	v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-	v.expect("200")
+	cl := f.connect()
+	cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+	cl.expect("200")
 	f.batch(
-		func() { v.setup(testID(1), "free", "") },
+		func() { cl.setup(testID(1), "free", "") },
 		func() {
 			f.node.clients[0].LastUsed = -100
 			f.node.closeIdleClients()
 			f.node.events <- event{do: func() {}}
 		},
 	)
-	v.expect("503") // no server holds the title; whether the connection closes depends on whether the two events share a batch
+	cl.expect("503") // no server holds the title; whether the connection closes depends on whether the two events share a batch
 }
--- a/internal/node/exit.go
+++ b/internal/node/exit.go
@@ -27,8 +27,8 @@
 		n.answerOpenRequests()
 		return n.clientsFlushed() && len(n.events) == 0 && n.acceptStopped()
 	})
-	for _, v := range n.clients {
-		v.requestStop(true)
+	for _, cl := range n.clients {
+		cl.requestStop(true)
 	}
 	n.serveUntil(stopReadersTimeout, func() bool { n.answerOpenRequests(); return n.readersStopped() && len(n.events) == 0 })
 	n.closeClients()
@@ -89,27 +89,27 @@
 
 // clientsFlushed reports whether everything queued for clients has been written.
 func (n *Node) clientsFlushed() bool {
-	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.isFlushed() })
+	return !slices.ContainsFunc(n.clients, func(cl *client) bool { return !cl.isFlushed() })
 }
 
 // readersStopped reports whether the readers of all client connections have stopped.
 func (n *Node) readersStopped() bool {
-	return !slices.ContainsFunc(n.clients, func(v *client) bool { return !v.readerStopped })
+	return !slices.ContainsFunc(n.clients, func(cl *client) bool { return !cl.readerStopped })
 }
 
 // closeClients closes the client connections once what is queued on them is written, at the latest after forceCloseTimeout.
 func (n *Node) closeClients() {
-	for _, v := range n.clients {
-		n.guard.Close(v.peer(), v.Pending, v.readerStopped)
-		v.closeGracefully()
+	for _, cl := range n.clients {
+		n.guard.Close(cl.peer(), cl.Pending, cl.readerStopped)
+		cl.closeGracefully()
 	}
 	late := time.After(forceCloseTimeout)
-	for _, v := range n.clients {
+	for _, cl := range n.clients {
 		select {
-		case <-v.writerDone:
+		case <-cl.writerDone:
 		case <-late:
 			late = nil
 		}
-		v.nc.Close()
+		cl.nc.Close()
 	}
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -7,8 +7,8 @@
 
 // retryBudget is the platform's retry budget, from the settings.
 func (n *Node) retryBudget() invariant.Budget {
-	f := n.config.Choice
-	return invariant.Budget{BaseAllowance: f.BaseRetries, RequestShare: f.RetriesPerSession, WindowSeconds: f.RetryWindow}
+	config := n.config.Choice
+	return invariant.Budget{BaseAllowance: config.BaseRetries, RequestShare: config.RetriesPerSession, WindowSeconds: config.RetryWindow}
 }
 
 // logViolation logs a violation of an invariant. The guard counts them.
@@ -17,8 +17,8 @@
 }
 
 // provesNoEffect reports whether an outcome proves that the SETUP had no effect at its server.
-func provesNoEffect(o choice.Outcome) bool {
-	return o == choice.Full || o == choice.NoConnection || o == choice.Unsent
+func provesNoEffect(outcome choice.Outcome) bool {
+	return outcome == choice.Full || outcome == choice.NoConnection || outcome == choice.Unsent
 }
 
 // answerKind classifies a refusing status: 453, 454 and 503 promise that the request had no effect.
@@ -31,14 +31,14 @@
 }
 
 // refuse sends the final answer that refuses an open request, unless the guard objects or the client is gone.
-func (n *Node) refuse(v *client, id string, status int, retryAfter float64) {
-	if !n.guard.Answer(n.now, id, answerKind(status)) || v == nil || n.sabotages(SabotageAnswer, id) {
+func (n *Node) refuse(cl *client, id string, status int, retryAfter float64) {
+	if !n.guard.Answer(n.now, id, answerKind(status)) || cl == nil || n.sabotages(SabotageAnswer, id) {
 		return
 	}
 	if n.sabotages(SabotageTwice, id) {
-		v.send(refusalMessage(id, status, retryAfter))
+		cl.send(refusalMessage(id, status, retryAfter))
 	}
-	if from, _ := v.send(refusalMessage(id, status, retryAfter)); from < 0 {
-		n.log.Info("final answer not sent: the client's connection has closed", str("sess", id), str("from", v.peer()))
+	if from, _ := cl.send(refusalMessage(id, status, retryAfter)); from < 0 {
+		n.log.Info("final answer not sent: the client's connection has closed", str("sess", id), str("from", cl.peer()))
 	}
 }
--- a/internal/node/history.go
+++ b/internal/node/history.go
@@ -85,19 +85,19 @@
 var outcomeNames = map[choice.Outcome]string{choice.Full: "full", choice.ServerError: "server error", choice.TimedOut: "timed out", choice.Reset: "reset",
 	choice.NoConnection: "no connection", choice.Unsent: "never sent", choice.Cancelled: "cancelled", choice.EndedUnanswered: "departed"}
 
-func outcomeName(o choice.Outcome) string {
-	if name := outcomeNames[o]; name != "" {
+func outcomeName(outcome choice.Outcome) string {
+	if name := outcomeNames[outcome]; name != "" {
 		return name
 	}
-	return strconv.Itoa(int(o))
+	return strconv.Itoa(int(outcome))
 }
 
 // answerDetail describes whether an answer that ends at a byte offset of its client's connection has been sent.
-func answerDetail(v *client, end int64) string {
+func answerDetail(cl *client, end int64) string {
 	switch {
 	case end < 0:
 		return "200 not taken by the connection"
-	case v.bytesWritten() < end:
+	case cl.bytesWritten() < end:
 		return "200 queued"
 	}
 	return "200 written"
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -14,15 +14,15 @@
 
 // Header names of the protocol, in the form in which package rtsp stores them, and its constants.
 const (
-	headerClass        = "Subject"
-	headerPatience     = "X-Patience"
-	headerFacts        = "X-Facts"
-	headerRung         = "X-Quality"
-	headerState        = "X-State"
-	headerNote         = "X-Note"
-	headerReading      = "X-Reading"
-	headerRetryAfterMs = "X-Later-Ms"
-	headerReason       = "Reason"
+	headerClass        = "Subject"    // name of the session's service group
+	headerPatience     = "X-Patience" // milliseconds until the client, or the node at a server, gives up
+	headerFacts        = "X-Facts"    // name:value pairs about the session, separated by semicolons (parseSetup)
+	headerRung         = "X-Quality"  // rung to play at
+	headerState        = "X-State"    // a server's load report
+	headerNote         = "X-Note"     // kind of a server's note (noteKinds)
+	headerReading      = "X-Reading"  // value of the note
+	headerRetryAfterMs = "X-Later-Ms" // advice when to retry, in milliseconds
+	headerReason       = "Reason"     // cause of a TEARDOWN
 
 	mediaRoot = "rtsp://media/"
 
@@ -38,9 +38,9 @@
 
 // clientSetup is the content of a client's SETUP.
 type clientSetup struct {
-	id, class, url string
-	group          int
-	body           []byte
+	id, class, url string  // class is the name of the service group
+	group          int     // index of the service group
+	body           []byte  // passed on to the server
 	patience       float64 // seconds
 	request        choice.Request
 	currentServer  string // the server of a session that is handed over; empty for a new one
@@ -128,15 +128,15 @@
 
 // parseCause parses the cause in the Reason header; 0 means that there is none.
 func parseCause(m *rtsp.Message) int {
-	_, v, ok := strings.Cut(m.Header.Get(headerReason), "cause=")
+	_, value, ok := strings.Cut(m.Header.Get(headerReason), "cause=")
 	if !ok {
 		return 0
 	}
-	if i := strings.IndexFunc(v, func(r rune) bool { return r < '0' || r > '9' }); i >= 0 {
-		v = v[:i]
+	if i := strings.IndexFunc(value, func(r rune) bool { return r < '0' || r > '9' }); i >= 0 {
+		value = value[:i]
 	}
-	c, _ := strconv.Atoi(v)
-	return c
+	cause, _ := strconv.Atoi(value)
+	return cause
 }
 
 // addHeaders sets the headers that every message has, and, where they are not empty, CSeq and Session.
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -45,9 +45,9 @@
 // resource is short for a moment, it retries for a while, or until a signal to end arrives.
 func (n *Node) listenWithRetry(addr string, signals <-chan os.Signal) (net.Listener, error) {
 	for startedAt := time.Now(); ; {
-		l, err := n.network.Listen(addr)
+		listener, err := n.network.Listen(addr)
 		if err == nil || !isLocalError(err) || time.Since(startedAt).Seconds() > share.ListenTimeout {
-			return l, err
+			return listener, err
 		}
 		select {
 		case <-signals:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,6 +4,9 @@
 // One goroutine, the event loop, owns the module and all tables. Other goroutines read, write and dial, and post events to
 // the loop over one bounded queue. The loop takes all queued events as one batch and reconciles once per batch, as the
 // simulator's host does. docs/node.md lists the messages.
+//
+// Variables have the same names throughout: n is the node, cl a client's connection, s a session, sv a server, sc a
+// connection to a server and m a message.
 package node
 
 import (
@@ -91,9 +94,9 @@
 	acceptDone      chan struct{} // closed when the accept loop ends
 	openRequests    int           // requests without their final answer
 	timeouts        timeoutHeap
-	moduleEvents    []wire.Event         // for the module, at the next reconcile
-	watches         []*coordinatorFollow // of coordinators, newest last; older ones are removed when the newest sends its first message
-	lastIndex       int64                // of the last event of the list that was applied
+	moduleEvents    []wire.Event           // for the module, at the next reconcile
+	coordinators    []*followedCoordinator // those followed, newest last; older ones are removed when the newest sends its first message
+	lastIndex       int64                  // of the last event of the list that was applied
 
 	probeCount, malformedCount int
 	maintainedAt               float64
@@ -169,14 +172,14 @@
 	for _, e := range o.Config.InitialEvents {
 		n.updateServers(e)
 	}
-	l := o.Listener
-	if l == nil {
+	listener := o.Listener
+	if listener == nil {
 		var err error
-		if l, err = n.listenWithRetry(o.Config.Listen, o.TerminationSignals); err != nil {
+		if listener, err = n.listenWithRetry(o.Config.Listen, o.TerminationSignals); err != nil {
 			return lifecycle.ExitAddressUnavailable, err
 		}
 	}
-	defer l.Close()
+	defer listener.Close()
 	n.guard = invariant.New(n.retryBudget(), n.logViolation)
 	n.lifecycle = lifecycle.New(n.now, share.DrainSeconds(n.config.SetupTimeout), lifecycleActions{n})
 	n.reconcile()
@@ -185,14 +188,14 @@
 	n.lifecycle.Started()
 	n.acceptDone = make(chan struct{})
 	n.wg.Add(1)
-	go n.acceptClients(l)
+	go n.acceptClients(listener)
 	n.log.Info("serving", str("name", o.Config.Name), str("listen", o.Config.Listen), num("servers", len(n.servers)), num("groups", len(o.Config.Groups)))
 	if o.onServing != nil {
 		o.onServing(n)
 	}
 	n.loop(o.ReloadSignals, o.TerminationSignals)
 	close(n.clientSlots.closed)
-	l.Close()
+	listener.Close()
 	n.shutDown()
 	n.log.Info("node stopped", zap.Any("counts", n.counts))
 	return 0, nil
@@ -253,8 +256,8 @@
 			}
 		}
 		for len(n.timeouts) > 0 && n.timeouts[0].at <= n.now {
-			a := heap.Pop(&n.timeouts).(*timeout)
-			a.do()
+			t := heap.Pop(&n.timeouts).(*timeout)
+			t.do()
 		}
 		if n.now >= n.maintainedAt+maintenanceInterval {
 			n.maintainedAt = n.now
@@ -285,9 +288,9 @@
 		return
 	}
 	n.countsComparedAt = n.now
-	for _, b := range n.front.ServerEstimates() {
-		if sv := n.serversByNumber[b.Server]; sv != nil && b.Sessions != len(sv.sessions)+sv.pendingSetups() {
-			n.log.Debug("counts", str("server", sv.id), num("module", b.Sessions), num("standing", len(sv.sessions)), num("out", sv.pendingSetups()), zap.Float64("load", b.Load), zap.Bool("aside", b.Ejected))
+	for _, estimate := range n.front.ServerEstimates() {
+		if sv := n.serversByNumber[estimate.Server]; sv != nil && estimate.Sessions != len(sv.sessions)+sv.pendingSetups() {
+			n.log.Debug("counts", str("server", sv.id), num("module", estimate.Sessions), num("standing", len(sv.sessions)), num("out", sv.pendingSetups()), zap.Float64("load", estimate.Load), zap.Bool("aside", estimate.Ejected))
 		}
 	}
 }
@@ -316,26 +319,26 @@
 	ev := wire.Event{Kind: wire.ServerList, FullList: e.Endpoints.Reset}
 	listed := map[*server]bool{}
 	n.moduleEvents = append(n.moduleEvents, ev)
-	at := len(n.moduleEvents) - 1
-	for _, i := range e.Endpoints.Instances {
+	eventIndex := len(n.moduleEvents) - 1
+	for _, instance := range e.Endpoints.Instances {
 		var sv *server
-		if known := n.serversByID[i.ID]; known != nil {
+		if known := n.serversByID[instance.ID]; known != nil {
 			sv = known
-		} else if i.State == "removed" {
+		} else if instance.State == "removed" {
 			continue
 		} else {
-			sv = &server{id: i.ID, addr: i.Addr}
-			sv.number = feed.AssignID(i.ID, func(x choice.ServerID) bool { return n.serversByNumber[x] != nil })
+			sv = &server{id: instance.ID, addr: instance.Addr}
+			sv.number = feed.AssignID(instance.ID, func(x choice.ServerID) bool { return n.serversByNumber[x] != nil })
 		}
-		entry, err := n.config.Names.ToListing(sv.number, i)
+		entry, err := n.config.Names.ToListing(sv.number, instance)
 		if err != nil {
 			n.log.Warn("an entry of the list is passed over", str("why", err.Error()))
 			continue
 		}
 		entry = n.trials.alterListing(entry)
-		restarted := sv.setListedStart(i.StartedAtMs)
+		restarted := sv.setListedStart(instance.StartedAtMs)
 		if restarted {
-			sv.startedAt = n.effectiveStart(i.StartedAtMs)
+			sv.startedAt = n.effectiveStart(instance.StartedAtMs)
 		}
 		entry.StartedAt = sv.startedAt
 		if n.serversByNumber[sv.number] == nil {
@@ -344,14 +347,14 @@
 			n.serversByID[sv.id] = sv
 		}
 		listed[sv] = true
-		if i.Addr != "" && entry.State != choice.Gone {
-			sv.addr = i.Addr
+		if instance.Addr != "" && entry.State != choice.Gone {
+			sv.addr = instance.Addr
 		}
 		if restarted {
-			n.endSessionsBeforeRestart(sv, n.now-n.secondsSinceStart(i.StartedAtMs))
+			n.endSessionsBeforeRestart(sv, n.now-n.secondsSinceStart(instance.StartedAtMs))
 		}
-		n.moduleEvents[at].Servers = append(n.moduleEvents[at].Servers, entry)
-		n.log.Debug("server listed", str("server", i.ID), str("state", i.State), num("cell", i.Cell))
+		n.moduleEvents[eventIndex].Servers = append(n.moduleEvents[eventIndex].Servers, entry)
+		n.log.Debug("server listed", str("server", instance.ID), str("state", instance.State), num("cell", instance.Cell))
 		n.setServerState(sv, entry.State)
 	}
 	if e.Endpoints.Reset {
@@ -382,11 +385,11 @@
 	if state == choice.Ready {
 		return
 	}
-	for _, l := range sv.conns {
-		if l.up {
+	for _, sc := range sv.conns {
+		if sc.up {
 			continue
 		}
-		for _, s := range slices.Clone(l.setups) {
+		for _, s := range slices.Clone(sc.setups) {
 			n.setupEnded(s, choice.Unsent, noReport)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,8 +19,8 @@
 
 func TestServedAndReleased(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	m := x.msg
 	if m.URL != "rtsp://media/t1" || m.Session() != testID(1) || m.Header.Get("Subject") != "paid" || string(m.Body) != requestBody || m.Header.Get("X-Facts") != "" {
@@ -34,7 +34,7 @@
 	}
 	x.conn.sendf("RTSP/1.0 100 Trying\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(1))
 	x.conn.answer(m, 200, answerBody)
-	if a := v.expect("200"); string(a.Body) != answerBody || a.Session() != testID(1) || a.CSeq() != 1 {
+	if a := cl.expect("200"); string(a.Body) != answerBody || a.Session() != testID(1) || a.CSeq() != 1 {
 		t.Errorf("answered %+v %q", a.Header, a.Body)
 	}
 	f.inspect(func(n *Node) {
@@ -44,14 +44,14 @@
 	})
 	x.conn.tearDown(testID(1), 16)
 	x.conn.tearDown(testID(1), 16) // a repeated release
-	if r := v.expect(rtsp.TearDown); r.Header.Get("Reason") != "cause=16" || r.Session() != testID(1) {
+	if r := cl.expect(rtsp.TearDown); r.Header.Get("Reason") != "cause=16" || r.Session() != testID(1) {
 		t.Errorf("released with %+v", r.Header)
 	}
-	v.setup(testID(2), "free", "")
+	cl.setup(testID(2), "free", "")
 	x, _ = f.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200") // and no second release before it
-	v.tearDown(testID(2), 0)
+	cl.expect("200") // and no second release before it
+	cl.tearDown(testID(2), 0)
 	y, _ := f.expectAt(rtsp.TearDown, s1)
 	if parseCause(y.msg) != causeMoved {
 		t.Errorf("ended with %+v", y.msg.Header)
@@ -109,8 +109,8 @@
 				s = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
 				return s[:]
 			})
-			v := f.connect()
-			v.setup(testID(1), c.class, "")
+			cl := f.connect()
+			cl.setup(testID(1), c.class, "")
 			x, h := f.expectAt(rtsp.Setup, s[0], s[1])
 			c.do(x, h)
 			if c.retried {
@@ -121,12 +121,12 @@
 				y, _ := f.expectAt(rtsp.Setup, other)
 				y.conn.answer(y.msg, 200, answerBody)
 			}
-			if a := v.expect(c.want); c.want == "200" && string(a.Body) != answerBody {
+			if a := cl.expect(c.want); c.want == "200" && string(a.Body) != answerBody {
 				t.Errorf("got a description that no server sent: %q", a.Body)
 			}
 			// The connection keeps working, and nothing else was sent for the first session.
-			v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
-			if a := v.expect("200"); a.Session() != testID(50) {
+			cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", testID(50))
+			if a := cl.expect("200"); a.Session() != testID(50) {
 				t.Errorf("got a second answer for session %s", a.Session())
 			}
 			f.waitFor("no request is open", func(n *Node) bool { return n.openRequests == 0 })
@@ -138,27 +138,27 @@
 func TestConnectionRefused(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	s1.kill()
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	v.expect("503")
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	cl.expect("503")
 }
 
 // An idle connection was reset: a SETUP that is assigned to it goes over a new connection, as no byte of it was sent.
 func TestSetupOverACutConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	x := f.serveNext(s1, v)
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	x := f.serveNext(s1, cl)
 	x.conn.Conn.(*net.TCPConn).SetLinger(0)
 	x.conn.Close()
 	f.waitFor("the reset is handled and a new connection is open", func(n *Node) bool {
 		c := n.servers[0].conns
 		return len(c) == 1 && c[0].up && len(n.servers[0].sessions) == 1
 	})
-	v.setup(testID(2), "paid", "")
-	y := f.serveNext(s1, v)
+	cl.setup(testID(2), "paid", "")
+	y := f.serveNext(s1, cl)
 	y.conn.tearDown(testID(1), 16) // an established session belongs to no connection
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) {
+	if r := cl.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 }
@@ -166,10 +166,10 @@
 func TestCancelledRequests(t *testing.T) {
 	t.Run("answered afterwards", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
-		v := f.connect()
-		v.setup(testID(1), "free", "")
+		cl := f.connect()
+		cl.setup(testID(1), "free", "")
 		x, _ := f.expectAt(rtsp.Setup, s1)
-		v.tearDown(testID(1), 0)
+		cl.tearDown(testID(1), 0)
 		y, _ := f.expectAt(rtsp.TearDown, s1)
 		if parseCause(y.msg) != 0 {
 			t.Error("a SETUP in flight must be cancelled, not released")
@@ -178,32 +178,32 @@
 		if z, _ := f.expectAt(rtsp.TearDown, s1); parseCause(z.msg) != causeMoved || z.msg.Session() != testID(1) {
 			t.Errorf("the late session is not released: %+v", z.msg.Header)
 		}
-		if m := v.expect("200"); m.CSeq() != 2 {
+		if m := cl.expect("200"); m.CSeq() != 2 {
 			t.Error("got an answer to a cancelled request")
 		}
 		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
 	})
 	t.Run("by closing", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
-		v := f.connect()
-		v.setup(testID(1), "free", "")
+		cl := f.connect()
+		cl.setup(testID(1), "free", "")
 		f.expectAt(rtsp.Setup, s1)
-		v.Close()
+		cl.Close()
 		f.expectAt(rtsp.TearDown, s1)
 		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
 	})
 	t.Run("hundreds at once", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
-		v := f.connect()
+		cl := f.connect()
 		for k := range 300 {
-			v.setup(testID(k), "free", "")
+			cl.setup(testID(k), "free", "")
 		}
 		for k := range 300 {
-			v.tearDown(testID(k), 0)
+			cl.tearDown(testID(k), 0)
 		}
 		f.waitFor("the requests are forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
-		w := f.connect()
-		w.setup(testID(1000), "free", "")
+		other := f.connect()
+		other.setup(testID(1000), "free", "")
 		for {
 			x := <-s1.received
 			if x.msg.Method == rtsp.Setup && x.msg.Session() == testID(1000) {
@@ -211,7 +211,7 @@
 				break
 			}
 		}
-		w.expect("200")
+		other.expect("200")
 	})
 }
 
@@ -242,19 +242,19 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f, s1 := newSingleServerHarness(t, 256)
-			v := f.connect()
-			v.sendf("%s", c.input)
-			v.expect(c.want)
+			cl := f.connect()
+			cl.sendf("%s", c.input)
+			cl.expect(c.want)
 			f.waitFor("the request is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
-			w := f.connect()
-			w.setup(testID(8), "free", "")
+			other := f.connect()
+			other.setup(testID(8), "free", "")
 			for x := range s1.received {
 				if x.msg.Session() == testID(8) {
 					x.conn.answer(x.msg, 200, answerBody)
 					break
 				}
 			}
-			w.expect("200")
+			other.expect("200")
 		})
 	}
 }
@@ -262,38 +262,38 @@
 // A request with the session id of another connection's open request is refused, and the open request continues.
 func TestSessionIDOpenOnAnotherConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v, w := f.connect(), f.connect()
-	v.setup(testID(1), "paid", "")
+	cl, other := f.connect(), f.connect()
+	cl.setup(testID(1), "paid", "")
 	x, _ := f.expectAt(rtsp.Setup, s1)
-	w.setup(testID(1), "paid", "")
-	w.expect("400")
+	other.setup(testID(1), "paid", "")
+	other.expect("400")
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200")
+	cl.expect("200")
 }
 
 // Hundreds of silent connections are evicted, and another client is served meanwhile.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
 	x, _ := f.expectAt(rtsp.Setup, s1)
 	for range 300 {
 		f.connect()
 	}
 	f.waitFor("the connections are within the limit", func(n *Node) bool {
 		open := 0
-		for _, v := range n.clients {
-			if !v.isClosing() {
+		for _, cl := range n.clients {
+			if !cl.isClosing() {
 				open++
 			}
 		}
 		return open <= share.MaxViewerConns(256, 0)
 	})
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200")
-	w := f.connect()
-	w.setup(testID(2), "free", "")
-	f.serveNext(s1, w)
+	cl.expect("200")
+	other := f.connect()
+	other.setup(testID(2), "free", "")
+	f.serveNext(s1, other)
 	f.waitFor("the silent connections are closed", func(n *Node) bool { return len(n.clients) == 2 })
 }
 
@@ -301,24 +301,24 @@
 func TestNewConnectionIsNotEvicted(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 64)
 	for range share.MaxViewerConns(64, 0) + 5 {
-		v := f.connect()
-		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-		v.expect("200")
+		cl := f.connect()
+		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+		cl.expect("200")
 	}
-	w := f.connect()
+	other := f.connect()
 	f.waitFor("the new connection is accepted", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
-	w.setup(testID(1), "free", "")
-	f.serveNext(s1, w)
+	other.setup(testID(1), "free", "")
+	f.serveNext(s1, other)
 }
 
 // Requests over a connection's limit are answered 503 at once: they had no effect.
 func TestRequestsOverTheLimit(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
+	cl := f.connect()
 	for k := range share.MaxPendingPerConn + 1 {
-		v.setup(testID(k), "free", "")
+		cl.setup(testID(k), "free", "")
 	}
-	if m := v.expect("503"); m.Session() != testID(share.MaxPendingPerConn) {
+	if m := cl.expect("503"); m.Session() != testID(share.MaxPendingPerConn) {
 		t.Errorf("refused %s", m.Session())
 	}
 	for range share.MaxPendingPerConn {
@@ -326,29 +326,29 @@
 		x.conn.answer(x.msg, 200, answerBody)
 	}
 	for range share.MaxPendingPerConn {
-		v.expect("200")
+		cl.expect("200")
 	}
 }
 
 func TestServerLost(t *testing.T) {
 	t.Run("process dies", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
-		v := f.connect()
-		v.setup(testID(1), "paid", "")
-		f.serveNext(s1, v)
+		cl := f.connect()
+		cl.setup(testID(1), "paid", "")
+		f.serveNext(s1, cl)
 		s1.kill()
-		if r := v.expect(rtsp.TearDown); parseCause(r) != causeLost {
+		if r := cl.expect(rtsp.TearDown); parseCause(r) != causeLost {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
 	t.Run("process is silent", func(t *testing.T) {
 		f, s1 := newSingleServerHarness(t, 256)
-		v := f.connect()
-		v.setup(testID(1), "paid", "")
-		f.serveNext(s1, v)
+		cl := f.connect()
+		cl.setup(testID(1), "paid", "")
+		f.serveNext(s1, cl)
 		s1.ignoreProbes.Store(true) // its connections stay open
 		// The client must be notified within 8 s.
-		if r := v.expectWithin(8*time.Second, rtsp.TearDown); parseCause(r) != causeLost {
+		if r := cl.expectWithin(8*time.Second, rtsp.TearDown); parseCause(r) != causeLost {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
@@ -356,10 +356,10 @@
 
 func TestHandedOver(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "paid", ";at:s-1")
-	v.setup(testID(1), "paid", ";at:s-1")
-	v.setup(testID(2), "paid", ";at:s-1")
+	cl := f.connect()
+	cl.setup(testID(1), "paid", ";at:s-1")
+	cl.setup(testID(1), "paid", ";at:s-1")
+	cl.setup(testID(2), "paid", ";at:s-1")
 	f.waitFor("both are established", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
 	f.waitFor("a connection is open on which releases can arrive", func(n *Node) bool {
 		return len(n.servers[0].conns) == 1 && n.servers[0].conns[0].up
@@ -367,11 +367,11 @@
 	p := s1.firstConn()
 	p.sendf("ANNOUNCE rtsp://media/t1 RTSP/1.0\r\nSession: %s\r\nX-Note: at_rung\r\nX-Reading: 3\r\nContent-Length: 0\r\n\r\n", testID(2))
 	p.tearDown(testID(1), 16)
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) { // and no answer to any of the three requests
+	if r := cl.expect(rtsp.TearDown); r.Session() != testID(1) { // and no answer to any of the three requests
 		t.Errorf("released %s", r.Session())
 	}
-	v.setup(testID(3), "paid", ";at:s-9") // a server that is not listed
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(3) {
+	cl.setup(testID(3), "paid", ";at:s-9") // a server that is not listed
+	if r := cl.expect(rtsp.TearDown); r.Session() != testID(3) {
 		t.Errorf("released %s", r.Session())
 	}
 	f.inspect(func(n *Node) { // the stored session is small
@@ -380,17 +380,17 @@
 		}
 		n.config.MemoryMB = 0
 	})
-	w := f.connect()
+	other := f.connect()
 	for k := range share.MaxHandedOver(0) + 5 { // sessions over the limit are released at once
-		w.setup(testID(100+k), "free", ";at:s-1")
+		other.setup(testID(100+k), "free", ";at:s-1")
 	}
-	w.expect(rtsp.TearDown)
+	other.expect(rtsp.TearDown)
 	f.waitFor("the sessions are within the limit", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
 	f.inspect(func(n *Node) { n.config.MemoryMB = 64 })
 	p.tearDown(testID(4), 41) // released before it is handed over
 	f.waitFor("the release is remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
-	v.setup(testID(4), "paid", ";at:s-1")
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(4) {
+	cl.setup(testID(4), "paid", ";at:s-1")
+	if r := cl.expect(rtsp.TearDown); r.Session() != testID(4) {
 		t.Errorf("released %s", r.Session())
 	}
 }
@@ -398,17 +398,17 @@
 // A release whose client's connection has closed is sent on another connection that has served a session.
 func TestReleasedOnAnotherConnection(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
-	v.setup(testID(1), "free", "")
-	x := f.serveNext(s1, v)
-	v.Close()
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
+	x := f.serveNext(s1, cl)
+	cl.Close()
 	f.waitFor("the client's connection is closed", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
 	x.conn.tearDown(testID(1), 16)
 	f.waitFor("the release is pending", func(n *Node) bool { return len(n.pendingReleases) == 1 })
-	w := f.connect()
-	w.setup(testID(2), "free", "")
-	f.serveNext(s1, w)
-	if r := w.expect(rtsp.TearDown); r.Session() != testID(1) {
+	other := f.connect()
+	other.setup(testID(2), "free", "")
+	f.serveNext(s1, other)
+	if r := other.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 }
@@ -442,11 +442,11 @@
 	}
 	fmt.Fprintf(c, "%s\n", listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	state("s-1:2 s-2:1 ")
-	v := f.connect()
-	v.setup(testID(1), "free", "")
+	cl := f.connect()
+	cl.setup(testID(1), "free", "")
 	x, _ := f.expectAt(rtsp.Setup, s2)
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200")
+	cl.expect("200")
 	fmt.Fprintf(c, "9\n") // index 9: the events before it are missing
 	if c = f.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a gap", c.after)
@@ -461,7 +461,7 @@
 		return len(n.servers) == 3 && n.servers[1].id == "s-2" && n.servers[2].id == "s-3" && len(n.servers[1].sessions) == 1
 	})
 	x.conn.Close()
-	if r := v.expect(rtsp.TearDown); r.Session() != testID(1) {
+	if r := cl.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
 	state("s-1:2 s-3:1 ")
@@ -470,14 +470,14 @@
 // A server starts to drain while a SETUP waits for its connection: the SETUP is never sent.
 func TestDrainBeforeTheSetupLeft(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
+	cl := f.connect()
 	f.inspect(func(n *Node) { // the connection is still being opened
 		n.servers[0].conns = []*serverConn{{server: n.servers[0], cancelDial: func() {}}}
 	})
-	v.setup(testID(1), "paid", "")
+	cl.setup(testID(1), "paid", "")
 	f.waitFor("the SETUP waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
 	fmt.Fprintf(f.acceptFollower(), "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	v.expect("503")
+	cl.expect("503")
 }
 
 func TestReload(t *testing.T) {
@@ -487,8 +487,8 @@
 	f.reloadConfig = func() (*start.Config, error) { failed <- true; return nil, errors.New("half a file") }
 	f.reloadSignals <- syscall.SIGHUP
 	<-failed
-	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
+	listener, follows := f.startCoordinator()
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
 	f.reloadSignals <- syscall.SIGHUP
 	select {
 	case c := <-follows:
@@ -505,11 +505,11 @@
 
 func TestTerminated(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
-	v := f.connect()
+	cl := f.connect()
 	ping := func(want string) {
 		t.Helper()
-		v.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
-		v.expect(want)
+		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
+		cl.expect(want)
 	}
 	ping("200")
 	f.terminationSignals <- syscall.SIGTERM
@@ -568,17 +568,17 @@
 	c := f.acceptFollower()
 	index := 1
 	for round := range 200 {
-		v := f.connect()
+		cl := f.connect()
 		for k := range 50 {
-			v.setup(testID(round*50+k), "free", "")
+			cl.setup(testID(round*50+k), "free", "")
 		}
 		for range 50 {
-			if m := v.next(); m.Status != 200 && m.Status != 503 {
+			if m := cl.next(); m.Status != 200 && m.Status != 503 {
 				t.Fatalf("round %d: %s", round, messageKind(m))
 			}
 		}
 		for k := range 50 {
-			v.tearDown(testID(round*50+k), 16)
+			cl.tearDown(testID(round*50+k), 16)
 		}
 		h := hosts[round%len(hosts)]
 		index += 2
@@ -593,7 +593,7 @@
 			}
 		})
 		f.waitFor("the round has ended", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
-		v.Close()
+		cl.Close()
 	}
 	f.waitFor("the tables are as at the start", func(n *Node) bool {
 		conns := 0
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -19,18 +19,18 @@
 	n.probeCount++
 	sv.probeID = probeSessionID(n.config.Choice.Seed, n.probeCount)
 	sv.probeTimer = n.after(limits.Defaults.ProbeTimeout, func() { n.endProbe(sv, choice.TimedOut, noReport) })
-	for _, l := range sv.conns {
-		if l.up && !l.isClosing() && (sv.probeConn == nil || len(l.setups) < len(sv.probeConn.setups)) {
-			sv.probeConn = l
+	for _, sc := range sv.conns {
+		if sc.up && !sc.isClosing() && (sv.probeConn == nil || len(sc.setups) < len(sv.probeConn.setups)) {
+			sv.probeConn = sc
 		}
 	}
 	if sv.probeConn != nil {
 		n.sendProbe(sv.probeConn)
 		return
 	}
-	for _, l := range sv.conns {
-		if !l.up {
-			sv.probeConn = l
+	for _, sc := range sv.conns {
+		if !sc.up {
+			sv.probeConn = sc
 		}
 	}
 	if sv.probeConn == nil {
@@ -43,32 +43,32 @@
 }
 
 // sendProbe sends the pending probe on a connection that has opened.
-func (n *Node) sendProbe(l *serverConn) {
-	if l.server.probeConn == l && l.server.probeID != "" {
-		l.send(probeMessage(l.server.probeID))
-		l.lastUsed = n.now
+func (n *Node) sendProbe(sc *serverConn) {
+	if sc.server.probeConn == sc && sc.server.probeID != "" {
+		sc.send(probeMessage(sc.server.probeID))
+		sc.lastUsed = n.now
 	}
 }
 
 // failProbe ends the probe that is assigned to a connection, if any, with an outcome.
-func (n *Node) failProbe(l *serverConn, o choice.Outcome) {
-	if l.server.probeConn == l && l.server.probeID != "" {
-		n.endProbe(l.server, o, noReport)
+func (n *Node) failProbe(sc *serverConn, outcome choice.Outcome) {
+	if sc.server.probeConn == sc && sc.server.probeID != "" {
+		n.endProbe(sc.server, outcome, noReport)
 	}
 }
 
 // endProbe ends a probe and passes its outcome to the module, also if the module did not ask for it.
-func (n *Node) endProbe(sv *server, o choice.Outcome, r choice.LoadReport) {
+func (n *Node) endProbe(sv *server, outcome choice.Outcome, report choice.LoadReport) {
 	if sv.probeID == "" {
 		return
 	}
-	l := sv.probeConn
+	sc := sv.probeConn
 	n.cancelTimeout(sv.probeTimer)
 	sv.probeID, sv.probeConn, sv.probeTimer = "", nil, nil
-	n.notifyModule(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: o, Report: r})
+	n.notifyModule(wire.Event{Kind: wire.ProbeEnded, Server: sv.number, Outcome: outcome, Report: report})
 	// A connection on which a probe timed out is retired, unless a SETUP on it may still be answered.
-	if o == choice.TimedOut && l != nil && len(l.setups) == 0 {
-		n.closeServerConn(l)
+	if outcome == choice.TimedOut && sc != nil && len(sc.setups) == 0 {
+		n.closeServerConn(sc)
 	}
 	n.removeServerIfGone(sv)
 }
@@ -77,18 +77,18 @@
 func (n *Node) checkServers() {
 	for _, sv := range slices.Clone(n.servers) {
 		up, opening := 0, false
-		for _, l := range slices.Clone(sv.conns) {
-			if l.up && len(l.setups) == 0 && sv.probeConn != l && share.Stale(n.now, l.lastUsed, n.config.IdleTimeout) {
-				n.closeServerConn(l)
+		for _, sc := range slices.Clone(sv.conns) {
+			if sc.up && len(sc.setups) == 0 && sv.probeConn != sc && share.Stale(n.now, sc.lastUsed, n.config.IdleTimeout) {
+				n.closeServerConn(sc)
 				continue
 			}
-			if l.up {
+			if sc.up {
 				up++
 			} else {
 				opening = true
 			}
 		}
-		sv.pendingMessages = slices.DeleteFunc(sv.pendingMessages, func(o pendingMessage) bool { return n.now >= o.expiresAt })
+		sv.pendingMessages = slices.DeleteFunc(sv.pendingMessages, func(pending pendingMessage) bool { return n.now >= pending.expiresAt })
 		if len(sv.sessions) == 0 && len(sv.pendingMessages) == 0 {
 			sv.liveness = liveness.Monitor{}
 			n.removeServerIfGone(sv)
@@ -116,9 +116,9 @@
 		n.trySendToServer(sv, teardownMessage(s.url, s.id, causeLost))
 		n.endSession(s, choice.Reset, causeLost, noReport)
 	}
-	for _, l := range slices.Clone(sv.conns) {
-		if len(l.setups) == 0 {
-			n.closeServerConn(l)
+	for _, sc := range slices.Clone(sv.conns) {
+		if len(sc.setups) == 0 {
+			n.closeServerConn(sc)
 		}
 	}
 	sv.liveness, sv.pendingMessages = liveness.Monitor{}, nil
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -44,49 +44,49 @@
 	cancelDial   context.CancelFunc
 }
 
-// pendingSetups is how many SETUPs are in flight at the server, or wait for their connections.
-func (sv *server) pendingSetups() (k int) {
-	for _, l := range sv.conns {
-		k += len(l.setups)
+// pendingSetups returns how many SETUPs are in flight at the server, or wait for their connections.
+func (sv *server) pendingSetups() (count int) {
+	for _, sc := range sv.conns {
+		count += len(sc.setups)
 	}
-	return k
+	return count
 }
 
 // sendSetup sends a SETUP on an open connection.
-func (n *Node) sendSetup(s *session, l *serverConn) {
-	wait := s.setupDeadline - n.now
-	if !n.guard.Send(n.now, s.id, wait, s.server.state == choice.Ready) {
+func (n *Node) sendSetup(s *session, sc *serverConn) {
+	timeout := s.setupDeadline - n.now
+	if !n.guard.Send(n.now, s.id, timeout, s.server.state == choice.Ready) {
 		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
-	s.setupStart, s.setupEnd = l.send(setupMessage(s, n.trials.alterDeadline(wait)))
-	s.history.add(n.now, stepSent, l.peer())
-	l.lastUsed = n.now
+	s.setupStart, s.setupEnd = sc.send(setupMessage(s, n.trials.alterDeadline(timeout)))
+	s.history.add(n.now, stepSent, sc.peer())
+	sc.lastUsed = n.now
 	n.duplicateSetup(s)
 }
 
-// handleServerMessage takes a server's message, which was read at the given time.
-func (n *Node) handleServerMessage(l *serverConn, m *rtsp.Message, readAt float64) {
-	n.traceReceived(l.conn, m)
-	sv := l.server
+// handleServerMessage handles a server's message, which was read at the given time.
+func (n *Node) handleServerMessage(sc *serverConn, m *rtsp.Message, readAt float64) {
+	n.traceReceived(sc.conn, m)
+	sv := sc.server
 	sv.liveness.Heard(n.now)
 	id := m.Session()
 	s := n.sessions[id]
 	if s != nil && s.server != sv {
 		s = nil
 	}
-	if l.closed {
-		n.handleClosingMessage(l, s, m)
+	if sc.closed {
+		n.handleClosingMessage(sc, s, m)
 		return
 	}
 	switch {
 	case m.Method == rtsp.TearDown:
-		l.send(responseMessage(m, rtsp.OK))
-		n.handleServerRelease(l, s, id, m)
+		sc.send(responseMessage(m, rtsp.OK))
+		n.handleServerRelease(sc, s, id, m)
 	case m.Method == rtsp.Announce && s != nil:
 		n.handleNote(sv, s, m)
 	case m.Method == rtsp.Options:
-		l.send(responseMessage(m, rtsp.OK))
+		sc.send(responseMessage(m, rtsp.OK))
 	case m.IsRequest() || m.Status < 200:
 	case sv.probeID != "" && id == sv.probeID:
 		if n.log.Core().Enabled(zap.DebugLevel) {
@@ -98,44 +98,45 @@
 		}
 		n.endProbe(sv, o, parseLoadReport(m))
 	case m.Header.Get("Cseq") == cseqTearDown || m.Header.Get("Cseq") == cseqOptions:
-	case s != nil && s.state == attempting && s.conn == l:
+	case s != nil && s.state == attempting && s.conn == sc:
 		n.handleSetupAnswer(s, m, readAt)
 	case s == nil:
-		n.handleLateAnswer(sv, l, m)
+		n.handleLateAnswer(sv, sc, m)
 	}
 }
 
-// handleClosingMessage takes a message on a connection that is being closed. No SETUP is in flight on it any more, but messages
+// handleClosingMessage handles a message on a connection that is being closed. No SETUP is in flight on it any more, but messages
 // about established sessions may arrive on any connection.
-func (n *Node) handleClosingMessage(l *serverConn, s *session, m *rtsp.Message) {
+func (n *Node) handleClosingMessage(sc *serverConn, s *session, m *rtsp.Message) {
 	switch {
 	case m.Method == rtsp.TearDown:
-		n.handleServerRelease(l, s, m.Session(), m)
+		n.handleServerRelease(sc, s, m.Session(), m)
 	case m.Method == rtsp.Announce && s != nil:
-		n.handleNote(l.server, s, m)
+		n.handleNote(sc.server, s, m)
 	case !m.IsRequest():
-		n.handleLateAnswer(l.server, l, m)
+		n.handleLateAnswer(sc.server, sc, m)
 	}
 }
 
-// handleLateAnswer releases a session at its server that a SETUP has set up after it was given up (abandonedSetups).
-func (n *Node) handleLateAnswer(sv *server, l *serverConn, m *rtsp.Message) {
+// handleLateAnswer handles the answer to a SETUP that was given up before (abandonedSetups): a session that it set up is
+// released at its server.
+func (n *Node) handleLateAnswer(sv *server, sc *serverConn, m *rtsp.Message) {
 	if m.Status == rtsp.OK && n.abandonedSetups[m.Session()] == sv {
 		delete(n.abandonedSetups, m.Session())
 		b := teardownMessage(mediaRoot, m.Session(), causeMoved)
-		if l.closed {
+		if sc.closed {
 			n.sendToServer(sv, b)
 		} else {
-			l.send(b)
+			sc.send(b)
 		}
 	}
 }
 
 // trySendToServer sends a message that belongs to no SETUP on any open connection; false if there is none.
 func (n *Node) trySendToServer(sv *server, b []byte) bool {
-	for _, l := range sv.conns {
-		if l.up && l.sendRetained(n.now, b) {
-			l.lastUsed = n.now
+	for _, sc := range sv.conns {
+		if sc.up && sc.sendRetained(n.now, b) {
+			sc.lastUsed = n.now
 			return true
 		}
 	}
@@ -149,21 +150,21 @@
 		return
 	}
 	sv.pendingMessages = append(sv.pendingMessages, pendingMessage{b, n.now + pendingSeconds})
-	if !slices.ContainsFunc(sv.conns, func(l *serverConn) bool { return !l.up }) {
+	if !slices.ContainsFunc(sv.conns, func(sc *serverConn) bool { return !sc.up }) {
 		n.dialServer(sv)
 	}
 }
 
-// handleSetupAnswer takes a server's final answer to a SETUP.
+// handleSetupAnswer handles a server's final answer to a SETUP.
 func (n *Node) handleSetupAnswer(s *session, m *rtsp.Message, readAt float64) {
 	s.history.add(readAt, stepServerAnswered, strconv.Itoa(m.Status))
 	switch {
 	case m.Status == rtsp.OK && len(m.Body) > 0:
 		n.establishSession(s, m)
 	case m.Status == rtsp.OK: // an answer without a description is malformed
-		l := s.conn
+		sc := s.conn
 		n.tearDownUnanswered(s)
-		n.closeServerConn(l)
+		n.closeServerConn(sc)
 	case m.Status == rtsp.NotEnoughBandwidth:
 		n.setupEnded(s, choice.Full, parseLoadReport(m))
 	case m.Status == rtsp.SessionNotFound:
@@ -175,18 +176,18 @@
 	}
 }
 
-// handleNote takes a server's note on an established session.
+// handleNote handles a server's note on an established session.
 func (n *Node) handleNote(sv *server, s *session, m *rtsp.Message) {
-	x, err := strconv.ParseFloat(m.Header.Get(headerReading), 64)
+	value, err := strconv.ParseFloat(m.Header.Get(headerReading), 64)
 	kind := noteKinds[m.Header.Get(headerNote)]
-	if err != nil || delivery.SanitizeReport(x, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
+	if err != nil || delivery.SanitizeReport(value, -1, false).Link < 0 || kind == wire.Ignored || s.state != established {
 		return
 	}
-	if kind == wire.RungInForce && int(x) >= len(n.config.Choice.Ladder) {
+	if kind == wire.RungInForce && int(value) >= len(n.config.Choice.Ladder) {
 		return
 	}
 	n.log.Debug("note received", str("server", sv.id), str("kind", m.Header.Get(headerNote)), str("figure", m.Header.Get(headerReading)))
-	n.notifyModule(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: x})
+	n.notifyModule(wire.Event{Kind: kind, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Value: value})
 }
 
 // removeServerIfGone retires the idle connections of a server that is gone from the list, once it has no sessions and no probe,
@@ -195,9 +196,9 @@
 	if sv.state != choice.Gone || len(sv.sessions) > 0 || sv.probeID != "" {
 		return
 	}
-	for _, l := range slices.Clone(sv.conns) {
-		if len(l.setups) == 0 && !(l.up && l.isClosing()) {
-			n.closeServerConn(l)
+	for _, sc := range slices.Clone(sv.conns) {
+		if len(sc.setups) == 0 && !(sc.up && sc.isClosing()) {
+			n.closeServerConn(sc)
 		}
 	}
 	if len(sv.conns) == 0 && n.serversByNumber[sv.number] == sv {
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -15,25 +15,25 @@
 
 // pickServerConn returns the connection for a SETUP, or nil if there is none.
 func (n *Node) pickServerConn(sv *server) *serverConn {
-	var links []*serverConn
+	var conns []*serverConn
 	var candidates []share.ServerConn
-	for _, l := range sv.conns {
-		if !l.closed && !(l.up && l.isClosing()) {
-			links = append(links, l)
-			candidates = append(candidates, share.ServerConn{Up: l.up, Pending: len(l.setups), LastUsed: l.lastUsed})
+	for _, sc := range sv.conns {
+		if !sc.closed && !(sc.up && sc.isClosing()) {
+			conns = append(conns, sc)
+			candidates = append(candidates, share.ServerConn{Up: sc.up, Pending: len(sc.setups), LastUsed: sc.lastUsed})
 		}
 	}
 	switch i := share.PickConn(candidates, n.maxConnsPerServer(), n.config.MaxSetupsPerConn); i {
 	case share.OpenNew:
-		l := n.dialServer(sv)
-		if l == nil && len(links) > 0 { // no descriptor is left: the connection with the fewest pending SETUPs
-			l = slices.MinFunc(links, func(a, b *serverConn) int { return len(a.setups) - len(b.setups) })
+		sc := n.dialServer(sv)
+		if sc == nil && len(conns) > 0 { // no descriptor is left: the connection with the fewest pending SETUPs
+			sc = slices.MinFunc(conns, func(a, b *serverConn) int { return len(a.setups) - len(b.setups) })
 		}
-		return l
+		return sc
 	case share.NoConn:
 		return nil
 	default:
-		return links[i]
+		return conns[i]
 	}
 }
 
@@ -62,18 +62,18 @@
 	if n.serverConnCount() < share.MaxServerConns(n.config.MaxDescriptors) {
 		return true
 	}
-	var links []*serverConn
+	var conns []*serverConn
 	var list []share.ServerConn
 	for _, sv := range n.servers {
-		for _, l := range sv.conns {
-			if l.up && sv.probeConn != l && (len(sv.sessions) == 0 || len(sv.conns) > 1) {
-				links, list = append(links, l), append(list, share.ServerConn{Up: true, Pending: len(l.setups), LastUsed: l.lastUsed})
+		for _, sc := range sv.conns {
+			if sc.up && sv.probeConn != sc && (len(sv.sessions) == 0 || len(sv.conns) > 1) {
+				conns, list = append(conns, sc), append(list, share.ServerConn{Up: true, Pending: len(sc.setups), LastUsed: sc.lastUsed})
 			}
 		}
 	}
 	if i := share.PickIdle(list); i >= 0 {
-		n.closeServerConn(links[i])
-		links[i].closeIfFlushed()
+		n.closeServerConn(conns[i])
+		conns[i].closeIfFlushed()
 		return true
 	}
 	return false
@@ -89,26 +89,26 @@
 		timeout = limits.Defaults.ConnectTimeout
 	}
 	ctx, stop := context.WithTimeout(n.ctx, time.Duration(timeout*float64(time.Second)))
-	l := &serverConn{server: sv, lastUsed: n.now, cancelDial: stop}
-	sv.conns = append(sv.conns, l)
+	sc := &serverConn{server: sv, lastUsed: n.now, cancelDial: stop}
+	sv.conns = append(sv.conns, sc)
 	n.enforceClientLimit()
 	n.wg.Add(1)
-	go n.readServer(ctx, l, sv.addr)
-	return l
+	go n.readServer(ctx, sc, sv.addr)
+	return sc
 }
 
 // readServer opens a connection and passes the server's messages to the loop until the connection ends.
-func (n *Node) readServer(ctx context.Context, l *serverConn, addr string) {
+func (n *Node) readServer(ctx context.Context, sc *serverConn, addr string) {
 	defer n.wg.Done()
 	nc, err := n.network.Dial(ctx, addr)
-	l.cancelDial()
+	sc.cancelDial()
 	if err != nil {
-		n.post(event{do: func() { n.dialFailed(l, err) }})
+		n.post(event{do: func() { n.dialFailed(sc, err) }})
 		return
 	}
 	defer context.AfterFunc(n.ctx, func() { nc.Close() })() // the loop may end before it is notified of this connection
 	c := newConn(nc, n.log)
-	if !n.post(event{do: func() { l.conn = c; n.serverConnOpened(l) }}) {
+	if !n.post(event{do: func() { sc.conn = c; n.serverConnOpened(sc) }}) {
 		c.close()
 		return
 	}
@@ -129,13 +129,13 @@
 				nc.SetReadDeadline(time.Time{})
 			}
 			at := n.clock()
-			if !n.post(event{do: func() { n.handleServerMessage(l, m, at) }}) {
+			if !n.post(event{do: func() { n.handleServerMessage(sc, m, at) }}) {
 				break
 			}
 		}
 	}
 	written := c.close()
-	n.post(event{do: func() { n.serverConnClosed(l, written, err) }})
+	n.post(event{do: func() { n.serverConnClosed(sc, written, err) }})
 }
 
 // errTrailingData ends a connection on which a message is followed by bytes that start no message.
@@ -148,22 +148,22 @@
 }
 
 // dialFailed handles a connection that could not be opened: no SETUP waiting for it ran.
-func (n *Node) dialFailed(l *serverConn, err error) {
-	sv := l.server
-	n.removeServerConn(l)
+func (n *Node) dialFailed(sc *serverConn, err error) {
+	sv := sc.server
+	n.removeServerConn(sc)
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	n.log.Debug("connecting to a server failed", str("server", sv.id), str("why", err.Error()))
 	if isLocalError(err) {
-		n.dialFailedLocally(l)
+		n.dialFailedLocally(sc)
 		return
 	}
-	n.failProbe(l, choice.NoConnection)
-	for _, s := range slices.Clone(l.setups) {
+	n.failProbe(sc, choice.NoConnection)
+	for _, s := range slices.Clone(sc.setups) {
 		n.setupEnded(s, choice.NoConnection, noReport)
 	}
 	// Nothing listens there, so the process is dead and its sessions are lost; unless another connection to it is up, as a
 	// server at its limit of connections refuses further ones.
-	if refused && !slices.ContainsFunc(sv.conns, func(l *serverConn) bool { return l.up && !l.isClosing() }) {
+	if refused && !slices.ContainsFunc(sv.conns, func(sc *serverConn) bool { return sc.up && !sc.isClosing() }) {
 		sv.pendingMessages = nil
 		if len(sv.sessions) > 0 {
 			n.serverLost(sv)
@@ -173,10 +173,10 @@
 
 // dialFailedLocally handles a connection that could not be opened for lack of a local resource. This says nothing
 // about the server: the waiting SETUPs are retried shortly, a few times within their deadlines.
-func (n *Node) dialFailedLocally(l *serverConn) {
+func (n *Node) dialFailedLocally(sc *serverConn) {
 	n.counts["no connection of the own machine"]++
-	n.failProbe(l, choice.Unsent)
-	for _, s := range slices.Clone(l.setups) {
+	n.failProbe(sc, choice.Unsent)
+	for _, s := range slices.Clone(sc.setups) {
 		n.detachSetup(s)
 		if s.localRetries++; s.localRetries > share.MaxLocalRetries {
 			n.setupEnded(s, choice.Unsent, noReport)
@@ -191,43 +191,43 @@
 }
 
 // serverConnOpened sends what waited for a connection.
-func (n *Node) serverConnOpened(l *serverConn) {
-	if l.closed {
-		l.closeGracefully()
+func (n *Node) serverConnOpened(sc *serverConn) {
+	if sc.closed {
+		sc.closeGracefully()
 		return
 	}
 	// An accepted connection is no sign of life: the system accepts it on behalf of a process that hangs.
-	l.up, l.lastUsed = true, n.now
-	if l.probePending {
-		l.probePending = false
-		n.sendProbe(l)
+	sc.up, sc.lastUsed = true, n.now
+	if sc.probePending {
+		sc.probePending = false
+		n.sendProbe(sc)
 	}
-	owed := l.server.pendingMessages
-	l.server.pendingMessages = nil
-	for _, o := range owed {
-		l.sendRetained(n.now, o.data)
+	pending := sc.server.pendingMessages
+	sc.server.pendingMessages = nil
+	for _, o := range pending {
+		sc.sendRetained(n.now, o.data)
 	}
-	for _, s := range slices.Clone(l.setups) {
-		n.sendSetup(s, l)
+	for _, s := range slices.Clone(sc.setups) {
+		n.sendSetup(s, sc)
 	}
 }
 
 // removeServerConn removes a connection from its server.
-func (n *Node) removeServerConn(l *serverConn) {
-	l.closed = true
-	l.server.conns = slices.DeleteFunc(l.server.conns, func(o *serverConn) bool { return o == l })
+func (n *Node) removeServerConn(sc *serverConn) {
+	sc.closed = true
+	sc.server.conns = slices.DeleteFunc(sc.server.conns, func(o *serverConn) bool { return o == sc })
 }
 
 // serverConnClosed handles the end of a connection on which the given number of bytes was written: a SETUP none of
 // whose bytes was written never ran and is sent again.
-func (n *Node) serverConnClosed(l *serverConn, written int64, err error) {
-	if l.closed {
+func (n *Node) serverConnClosed(sc *serverConn, written int64, err error) {
+	if sc.closed {
 		return
 	}
-	n.removeServerConn(l)
-	n.log.Debug("server connection closed", str("server", l.server.id), str("why", errText(err)), num("open", len(l.setups)))
-	n.failProbe(l, choice.Reset)
-	for _, s := range slices.Clone(l.setups) {
+	n.removeServerConn(sc)
+	n.log.Debug("server connection closed", str("server", sc.server.id), str("why", errText(err)), num("open", len(sc.setups)))
+	n.failProbe(sc, choice.Reset)
+	for _, s := range slices.Clone(sc.setups) {
 		if s.setupStart >= 0 && s.setupStart < written {
 			n.tearDownUnanswered(s)
 			n.setupEnded(s, choice.Reset, noReport)
@@ -242,27 +242,27 @@
 		}
 		n.dispatchSetup(s)
 	}
-	for _, b := range l.undelivered(n.now, written) {
-		n.sendToServer(l.server, b)
+	for _, b := range sc.undelivered(n.now, written) {
+		n.sendToServer(sc.server, b)
 	}
-	n.removeServerIfGone(l.server)
+	n.removeServerIfGone(sc.server)
 }
 
 // closeServerConn closes a connection that is no longer useful; the SETUPs pending on it end with it.
-func (n *Node) closeServerConn(l *serverConn) {
-	if l.closed {
+func (n *Node) closeServerConn(sc *serverConn) {
+	if sc.closed {
 		return
 	}
-	n.removeServerConn(l)
-	if l.up {
-		l.closeGracefully()
+	n.removeServerConn(sc)
+	if sc.up {
+		sc.closeGracefully()
 	} else {
-		l.cancelDial()
+		sc.cancelDial()
 	}
-	n.failProbe(l, choice.Reset)
-	for _, s := range slices.Clone(l.setups) {
+	n.failProbe(sc, choice.Reset)
+	for _, s := range slices.Clone(sc.setups) {
 		outcome := choice.Reset
-		if !l.up || s.setupStart < 0 {
+		if !sc.up || s.setupStart < 0 {
 			outcome = choice.Unsent
 		}
 		n.setupEnded(s, outcome, noReport)
--- a/internal/node/sessions.go
+++ b/internal/node/sessions.go
@@ -16,38 +16,38 @@
 
 // acceptRequest passes a new session to the module. Its deadline counts from the instant at which it was read, however long it
 // waited in the queue.
-func (n *Node) acceptRequest(v *client, a clientSetup, readAt float64) {
-	s := &session{clientSetup: a, client: v, rung: n.config.Choice.Groups[a.group].Floor, setupStart: -1}
-	s.request.SetupDeadline = readAt + max(a.patience-share.AnswerMargin, 0)
-	n.guard.RequestRead(n.now, s.id, n.config.Choice.Groups[a.group].Paid, readAt+a.patience)
+func (n *Node) acceptRequest(cl *client, setup clientSetup, readAt float64) {
+	s := &session{clientSetup: setup, client: cl, rung: n.config.Choice.Groups[setup.group].Floor, setupStart: -1}
+	s.request.SetupDeadline = readAt + max(setup.patience-share.AnswerMargin, 0)
+	n.guard.RequestRead(n.now, s.id, n.config.Choice.Groups[setup.group].Paid, readAt+setup.patience)
 	n.sessions[s.id] = s
-	v.sessions = append(v.sessions, s)
-	v.Pending++
+	cl.sessions = append(cl.sessions, s)
+	cl.Pending++
 	n.openRequests++
 	n.counts["asked"]++
 	n.reportFalseViolation(s.id)
-	s.history.add(readAt, stepRead, v.peer())
+	s.history.add(readAt, stepRead, cl.peer())
 	n.log.Debug("session requested", str("sess", s.id), str("class", s.class), num("home", s.request.StartCell), num("copies", s.request.CellCount), zap.Float64("patience", s.patience))
 	n.notifyModule(wire.Event{Kind: wire.Request, Request: s.request})
 }
 
 // acceptHandover takes over a session that is already established at a server. It is not answered.
-func (n *Node) acceptHandover(v *client, a clientSetup) {
-	if n.sessions[a.id] != nil {
+func (n *Node) acceptHandover(cl *client, setup clientSetup) {
+	if n.sessions[setup.id] != nil {
 		return
 	}
-	sv := n.serversByID[a.currentServer]
-	if sv == nil || n.unknownReleases[a.id] || len(n.sessions)-n.openRequests >= share.MaxHandedOver(n.config.MemoryMB) {
-		delete(n.unknownReleases, a.id)
-		v.send(teardownMessage(a.url, a.id, causeLost))
+	sv := n.serversByID[setup.currentServer]
+	if sv == nil || n.unknownReleases[setup.id] || len(n.sessions)-n.openRequests >= share.MaxHandedOver(n.config.MemoryMB) {
+		delete(n.unknownReleases, setup.id)
+		cl.send(teardownMessage(setup.url, setup.id, causeLost))
 		return
 	}
-	a.body = nil
-	s := &session{clientSetup: a, client: v, state: established, establishedAt: n.now, server: sv, rung: n.config.Choice.Groups[a.group].Floor}
+	setup.body = nil
+	s := &session{clientSetup: setup, client: cl, state: established, establishedAt: n.now, server: sv, rung: n.config.Choice.Groups[setup.group].Floor}
 	n.sessions[s.id] = s
-	v.sessions = append(v.sessions, s)
-	v.Established++
-	v.hasServed = true
+	cl.sessions = append(cl.sessions, s)
+	cl.Established++
+	cl.hasServed = true
 	s.server.sessions = append(s.server.sessions, s)
 	n.counts["handed"]++
 	n.notifyModule(wire.Event{Kind: wire.Handover, Request: s.request, Server: s.server.number})
@@ -59,15 +59,15 @@
 		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
-	l := n.pickServerConn(s.server)
-	if l == nil {
+	sc := n.pickServerConn(s.server)
+	if sc == nil {
 		n.setupEnded(s, choice.Unsent, noReport)
 		return
 	}
-	s.conn, s.setupStart = l, -1
-	l.setups = append(l.setups, s)
-	if l.up {
-		n.sendSetup(s, l)
+	s.conn, s.setupStart = sc, -1
+	sc.setups = append(sc.setups, s)
+	if sc.up {
+		n.sendSetup(s, sc)
 	}
 }
 
@@ -81,50 +81,50 @@
 }
 
 // setupEnded ends the SETUP of a session with an outcome, which the module learns.
-func (n *Node) setupEnded(s *session, o choice.Outcome, r choice.LoadReport) {
+func (n *Node) setupEnded(s *session, outcome choice.Outcome, report choice.LoadReport) {
 	sv := s.server
 	if s.earlyRelease != nil { // it was established, and its release arrived before its answer
-		o = choice.EndedUnanswered
+		outcome = choice.EndedUnanswered
 	}
-	n.guard.AttemptEnded(s.id, provesNoEffect(o))
-	s.history.add(n.now, stepOutcome, outcomeName(o))
-	s.history.unusual = s.history.unusual || o == choice.Reset || o == choice.EndedUnanswered
-	n.log.Debug("SETUP ended", str("sess", s.id), str("server", sv.id), num("outcome", int(o)))
-	n.counts[fmt.Sprintf("outcome %d", o)]++
+	n.guard.AttemptEnded(s.id, provesNoEffect(outcome))
+	s.history.add(n.now, stepOutcome, outcomeName(outcome))
+	s.history.unusual = s.history.unusual || outcome == choice.Reset || outcome == choice.EndedUnanswered
+	n.log.Debug("SETUP ended", str("sess", s.id), str("server", sv.id), num("outcome", int(outcome)))
+	n.counts[fmt.Sprintf("outcome %d", outcome)]++
 	n.detachSetup(s)
 	n.cancelTimeout(s.setupTimer)
 	s.state, s.server, s.setupTimer = pending, nil, nil
-	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Report: r})
+	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: outcome, Report: report})
 	n.removeServerIfGone(sv)
 }
 
 // recallSetup withdraws a SETUP of which no byte has been sent: from the send queue, or, if the writer already holds it and
 // its peer does not read, by closing the connection, whose reader reports that to the loop. False if a byte was sent.
 func (n *Node) recallSetup(s *session) bool {
-	l := s.conn
-	if l == nil || !l.up || s.setupStart < 0 {
+	sc := s.conn
+	if sc == nil || !sc.up || s.setupStart < 0 {
 		return true
 	}
-	if l.unqueue(s.setupStart, s.setupEnd) {
-		for _, o := range l.setups {
+	if sc.unqueue(s.setupStart, s.setupEnd) {
+		for _, o := range sc.setups {
 			if o.setupStart > s.setupStart {
 				o.setupStart, o.setupEnd = o.setupStart-(s.setupEnd-s.setupStart), o.setupEnd-(s.setupEnd-s.setupStart)
 			}
 		}
 		return true
 	}
-	return s.setupStart >= l.bytesWritten() && s.setupStart >= l.close()
+	return s.setupStart >= sc.bytesWritten() && s.setupStart >= sc.close()
 }
 
 // cancelSetup notifies a server that a SETUP is cancelled. If the server was silent and no other SETUP is in flight on the
 // connection, the connection is retired.
 func (n *Node) cancelSetup(s *session, silent bool) {
-	l := s.conn
-	l.send(teardownMessage(s.url, s.id, 0))
+	sc := s.conn
+	sc.send(teardownMessage(s.url, s.id, 0))
 	n.awaitLateAnswer(s)
-	if silent && len(l.setups) == 1 {
+	if silent && len(sc.setups) == 1 {
 		n.detachSetup(s)
-		n.closeServerConn(l)
+		n.closeServerConn(sc)
 	}
 }
 
@@ -185,14 +185,14 @@
 	s.setupTimer = nil
 	n.detachSetup(s)
 	n.guard.Dropped(s.id)
-	if v := s.client; v != nil {
-		v.sessions = slices.DeleteFunc(v.sessions, func(o *session) bool { return o == s })
+	if cl := s.client; cl != nil {
+		cl.sessions = slices.DeleteFunc(cl.sessions, func(o *session) bool { return o == s })
 		if s.state == established {
-			v.Established--
+			cl.Established--
 		} else {
-			v.Pending--
+			cl.Pending--
 		}
-		v.LastUsed = n.now
+		cl.LastUsed = n.now
 	}
 	if s.state != established {
 		n.openRequests--
@@ -202,7 +202,7 @@
 	delete(n.sessions, s.id)
 }
 
-// establishSession takes a server's 200 and passes its description on to the client.
+// establishSession handles a server's 200 and passes its description on to the client.
 func (n *Node) establishSession(s *session, m *rtsp.Message) {
 	n.detachSetup(s)
 	n.cancelTimeout(s.setupTimer)
@@ -211,44 +211,44 @@
 	s.server.sessions = append(s.server.sessions, s)
 	n.counts["served"]++
 	n.notifyModule(wire.Event{Kind: wire.Established, Request: choice.Request{ID: choice.SessID(s.id)}, Server: s.server.number})
-	v := s.client
-	v.Pending--
-	v.Established++
-	v.hasServed = true
+	cl := s.client
+	cl.Pending--
+	cl.Established++
+	cl.hasServed = true
 	if n.guard.Answer(n.now, s.id, invariant.Served) && !n.sabotages(SabotageAnswer, s.id) {
 		if n.sabotages(SabotageTwice, s.id) {
-			v.send(servedMessage(s.id, m.Body))
+			cl.send(servedMessage(s.id, m.Body))
 		}
-		_, s.answerEnd = v.sendNow(servedMessage(s.id, m.Body))
-		s.history.add(n.clock(), stepAnswered, answerDetail(v, s.answerEnd))
+		_, s.answerEnd = cl.sendNow(servedMessage(s.id, m.Body))
+		s.history.add(n.clock(), stepAnswered, answerDetail(cl, s.answerEnd))
 	}
 	s.body = nil
-	n.log.Debug("session served", str("sess", s.id), str("server", s.server.id), str("to", v.peer()), zap.Int64("ends", s.answerEnd))
-	if r := s.earlyRelease; r != nil {
-		n.endSession(s, r.outcome(), r.cause, r.report)
+	n.log.Debug("session served", str("sess", s.id), str("server", s.server.id), str("to", cl.peer()), zap.Int64("ends", s.answerEnd))
+	if release := s.earlyRelease; release != nil {
+		n.endSession(s, release.outcome(), release.cause, release.report)
 	}
 }
 
 // endSession ends an established session and sends its client the release.
-func (n *Node) endSession(s *session, o choice.Outcome, cause int, r choice.LoadReport) {
+func (n *Node) endSession(s *session, outcome choice.Outcome, cause int, report choice.LoadReport) {
 	sv := s.server
-	v := s.client
+	cl := s.client
 	if n.now-s.establishedAt < quickReleaseSeconds {
 		s.history.unusual = true
 	}
-	n.counts[fmt.Sprintf("ended %d", o)]++
+	n.counts[fmt.Sprintf("ended %d", outcome)]++
 	n.removeSession(s)
-	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: o, Final: true, Report: r})
+	n.notifyModule(wire.Event{Kind: wire.SetupEnded, Request: choice.Request{ID: choice.SessID(s.id)}, Server: sv.number, Outcome: outcome, Final: true, Report: report})
 	if cause != causeMoved && !n.sabotages(SabotageRelease, s.id) {
-		n.sendRelease(v, teardownMessage(s.url, s.id, cause))
+		n.sendRelease(cl, teardownMessage(s.url, s.id, cause))
 	}
 	n.removeServerIfGone(sv)
 }
 
 // sendRelease sends a release on the client's own connection, or else on the newest that has served a session. If there is none,
 // the release waits for one.
-func (n *Node) sendRelease(v *client, b []byte) {
-	if v != nil && !v.closed && v.sendRetained(n.now, b) {
+func (n *Node) sendRelease(cl *client, b []byte) {
+	if cl != nil && !cl.closed && cl.sendRetained(n.now, b) {
 		return
 	}
 	for i := len(n.clients) - 1; i >= 0; i-- {
@@ -296,11 +296,11 @@
 	return choice.Cancelled
 }
 
-// handleReleaseBeforeAnswer takes a release of a session whose SETUP has not been answered. The session has ended, so no SETUP
+// handleReleaseBeforeAnswer handles a release of a session whose SETUP has not been answered. The session has ended, so no SETUP
 // goes to another server. On the SETUP's own connection everything that the server wrote earlier has been read, so no answer is
 // in flight and the request is refused at once. A release on another connection may have overtaken the answer, which is then
 // awaited for share.OvertakenAnswerWait.
-func (n *Node) handleReleaseBeforeAnswer(l *serverConn, s *session, m *rtsp.Message) {
+func (n *Node) handleReleaseBeforeAnswer(sc *serverConn, s *session, m *rtsp.Message) {
 	if s.earlyRelease != nil {
 		return
 	}
@@ -309,7 +309,7 @@
 	n.counts["released before the answer"]++
 	n.cancelTimeout(s.setupTimer)
 	s.setupTimer = nil
-	if l == s.conn {
+	if sc == s.conn {
 		n.endUnanswered(s)
 		return
 	}
@@ -327,8 +327,8 @@
 	n.setupEnded(s, choice.EndedUnanswered, s.earlyRelease.report)
 }
 
-// handleServerRelease takes a server's release of a session. s is nil if the session is not known at that server.
-func (n *Node) handleServerRelease(l *serverConn, s *session, id string, m *rtsp.Message) {
+// handleServerRelease handles a server's release of a session. s is nil if the session is not known at that server.
+func (n *Node) handleServerRelease(sc *serverConn, s *session, id string, m *rtsp.Message) {
 	if s != nil {
 		s.history.add(n.now, stepServerReleased, strconv.Itoa(parseCause(m)))
 	}
@@ -339,15 +339,15 @@
 			n.after(rememberSeconds, func() { delete(n.unknownReleases, id) })
 		}
 	case s.state == attempting && (parseCause(m) == causeFinished || parseCause(m) == causeMoved):
-		n.handleReleaseBeforeAnswer(l, s, m)
+		n.handleReleaseBeforeAnswer(sc, s, m)
 	case s.state == attempting:
 		n.setupEnded(s, choice.Reset, parseLoadReport(m))
 	case s.state == established:
-		switch c := parseCause(m); c {
+		switch cause := parseCause(m); cause {
 		case causeFinished:
-			n.endSession(s, choice.Served, c, parseLoadReport(m))
+			n.endSession(s, choice.Served, cause, parseLoadReport(m))
 		case causeMoved:
-			n.endSession(s, choice.Cancelled, c, parseLoadReport(m))
+			n.endSession(s, choice.Cancelled, cause, parseLoadReport(m))
 		default:
 			n.endSession(s, choice.Reset, causeLost, parseLoadReport(m))
 		}
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -141,85 +141,85 @@
 	msg  *rtsp.Message
 }
 
-func (f *harness) startServer(name string) *fakeServer {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (h *harness) startServer(name string) *fakeServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	h := &fakeServer{Listener: l, name: name, received: make(chan receivedMessage, 4096)}
+	fs := &fakeServer{Listener: listener, name: name, received: make(chan receivedMessage, 4096)}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			p := newPeer(f.t, c, name)
-			h.mu.Lock()
-			h.conns = append(h.conns, p)
-			h.mu.Unlock()
+			p := newPeer(h.t, c, name)
+			fs.mu.Lock()
+			fs.conns = append(fs.conns, p)
+			fs.mu.Unlock()
 			go func() {
 				for m := range p.messages {
 					if m.Method == rtsp.Options {
-						if h.ignoreProbes.Load() {
+						if fs.ignoreProbes.Load() {
 							continue
 						}
 						p.sendf("RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: %s\r\nX-State: cpu:0.25;x1:0.5\r\nContent-Length: 0\r\n\r\n", m.Session())
 						continue
 					}
-					h.received <- receivedMessage{p, m}
+					fs.received <- receivedMessage{p, m}
 				}
 			}()
 		}
 	}()
-	f.t.Cleanup(h.kill)
-	return h
+	h.t.Cleanup(fs.kill)
+	return fs
 }
 
 // firstConn returns the first connection that the fake server accepted, once there is one: the node may see the connection open
 // before it is accepted.
-func (h *fakeServer) firstConn() (p *peer) {
+func (fs *fakeServer) firstConn() (p *peer) {
 	for end := time.Now().Add(testTimeout); p == nil && time.Now().Before(end); time.Sleep(100 * time.Microsecond) {
-		h.mu.Lock()
-		if len(h.conns) > 0 {
-			p = h.conns[0]
+		fs.mu.Lock()
+		if len(fs.conns) > 0 {
+			p = fs.conns[0]
 		}
-		h.mu.Unlock()
+		fs.mu.Unlock()
 	}
 	return p
 }
 
 // kill ends the fake server like a process that dies: its connections are reset and no further one is accepted.
-func (h *fakeServer) kill() {
-	h.Close()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, p := range h.conns {
+func (fs *fakeServer) kill() {
+	fs.Close()
+	fs.mu.Lock()
+	defer fs.mu.Unlock()
+	for _, p := range fs.conns {
 		p.Conn.(*net.TCPConn).SetLinger(0)
 		p.Close()
 	}
 }
 
 // expectAt returns the next request at any of some servers, which must have this method; responses are skipped.
-func (f *harness) expectAt(method string, servers ...*fakeServer) (receivedMessage, *fakeServer) {
-	f.t.Helper()
+func (h *harness) expectAt(method string, servers ...*fakeServer) (receivedMessage, *fakeServer) {
+	h.t.Helper()
 	end := time.After(testTimeout)
 	for {
-		for _, h := range servers {
+		for _, fs := range servers {
 			select {
-			case x := <-h.received:
+			case x := <-fs.received:
 				if !x.msg.IsRequest() {
 					continue
 				}
 				if x.msg.Method != method {
-					f.t.Fatalf("%s: got %s, want %s", h.name, x.msg.Method, method)
+					h.t.Fatalf("%s: got %s, want %s", fs.name, x.msg.Method, method)
 				}
-				return x, h
+				return x, fs
 			default:
 			}
 		}
 		select {
 		case <-end:
-			f.t.Fatalf("no %s arrived", method)
+			h.t.Fatalf("no %s arrived", method)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -321,24 +321,24 @@
 	f := &harness{t: t, reloadSignals: make(chan os.Signal, 1), terminationSignals: make(chan os.Signal, 3), exitCode: make(chan lifecycle.ExitCode, 1)}
 	f.coordinatorListener, f.followers = f.startCoordinator()
 	var entries []string
-	for _, h := range servers(f) {
-		entries = append(entries, listEntry(h.name, h.Addr().String(), "up"))
+	for _, fs := range servers(f) {
+		entries = append(entries, listEntry(fs.name, fs.Addr().String(), "up"))
 	}
 	text := f.config(sockets, 1, listEvent(1, true, entries...))
 	s, err := start.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.addr = l.Addr().String()
+	f.addr = listener.Addr().String()
 	if f.writeDelay > 0 {
-		l = slowListener{l, f.writeDelay}
+		listener = slowListener{listener, f.writeDelay}
 	}
 	if f.openClients != nil {
-		l = countingListener{l, f.openClients}
+		listener = countingListener{listener, f.openClients}
 	}
 	log := zap.New(zapcore.RegisterHooks(zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{}), zapcore.AddSync(io.Discard), zap.InfoLevel), f.checkLogEntry))
 	if os.Getenv("NODE_TEST_LOG") != "" {
@@ -346,7 +346,7 @@
 	}
 	serving := make(chan *Node, 1)
 	go func() {
-		code, err := Run(Options{Config: s, Listener: l, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { serving <- n },
+		code, err := Run(Options{Config: s, Listener: listener, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { serving <- n },
 			Network: f.network, ReloadConfig: func() (*start.Config, error) { return f.reloadConfig() }})
 		if err != nil {
 			t.Error(err)
@@ -359,32 +359,32 @@
 }
 
 // checkLogEntry is called for each line of the node's log. A line at level error, such as a violated invariant, fails the test.
-func (f *harness) checkLogEntry(e zapcore.Entry) error {
+func (h *harness) checkLogEntry(e zapcore.Entry) error {
 	if e.Level >= zapcore.ErrorLevel {
-		f.t.Errorf("the node logs: %s", e.Message)
+		h.t.Errorf("the node logs: %s", e.Message)
 	}
-	if f.onLog != nil {
-		f.onLog(e.Message)
+	if h.onLog != nil {
+		h.onLog(e.Message)
 	}
 	return nil
 }
 
-func (f *harness) config(sockets, index int, events string) string {
+func (h *harness) config(sockets, index int, events string) string {
 	return fmt.Sprintf(`{"coordinator":%q,"known":{"index":%d,"updates":[%s]},"limits":{"cores":1.0,"memory_mb":64,"sockets":%d},"listen":"127.0.0.1:0","name":"n0","seed":"6444882f5c620abb","settings":%s}`,
-		f.coordinatorListener.Addr().String(), index, events, sockets, fmt.Sprintf(settingsJSON, false))
+		h.coordinatorListener.Addr().String(), index, events, sockets, fmt.Sprintf(settingsJSON, false))
 }
 
 // startCoordinator starts a fake coordinator, which passes on the connections that ask to follow it.
-func (f *harness) startCoordinator() (net.Listener, chan *followerConn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (h *harness) startCoordinator() (net.Listener, chan *followerConn) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { l.Close() })
+	h.t.Cleanup(func() { listener.Close() })
 	ch := make(chan *followerConn, 64)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -396,72 +396,72 @@
 			ch <- p
 		}
 	}()
-	return l, ch
+	return listener, ch
 }
 
 // acceptFollower returns the next connection to the first coordinator.
-func (f *harness) acceptFollower() *followerConn {
-	f.t.Helper()
+func (h *harness) acceptFollower() *followerConn {
+	h.t.Helper()
 	select {
-	case p := <-f.followers:
-		f.t.Cleanup(func() { p.Close() })
+	case p := <-h.followers:
+		h.t.Cleanup(func() { p.Close() })
 		return p
 	case <-time.After(testTimeout):
-		f.t.Fatal("nobody follows the coordinator")
+		h.t.Fatal("nobody follows the coordinator")
 	}
 	return nil
 }
 
 // stop ends the node, unless it has ended, and waits for its exit.
-func (f *harness) stop() {
+func (h *harness) stop() {
 	select {
-	case code := <-f.exitCode:
-		f.exitCode <- code
+	case code := <-h.exitCode:
+		h.exitCode <- code
 		return
 	default:
 	}
-	f.node.post(event{do: func() { f.node.exiting = true }})
+	h.node.post(event{do: func() { h.node.exiting = true }})
 	select {
-	case code := <-f.exitCode:
-		f.exitCode <- code
+	case code := <-h.exitCode:
+		h.exitCode <- code
 	case <-time.After(testTimeout):
-		f.t.Error("the front node does not exit")
+		h.t.Error("the front node does not exit")
 	}
 }
 
 // connect opens a client connection to the node.
-func (f *harness) connect() *peer {
-	f.t.Helper()
-	c, err := net.Dial("tcp", f.addr)
+func (h *harness) connect() *peer {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { c.Close() })
-	return newPeer(f.t, c, "client")
+	h.t.Cleanup(func() { c.Close() })
+	return newPeer(h.t, c, "client")
 }
 
 // inspect runs a function within the node's loop.
-func (f *harness) inspect(fn func(n *Node)) {
+func (h *harness) inspect(fn func(n *Node)) {
 	done := make(chan struct{})
-	if f.node.post(event{do: func() { fn(f.node); close(done) }}) {
+	if h.node.post(event{do: func() { fn(h.node); close(done) }}) {
 		select {
 		case <-done:
-		case <-f.node.ctx.Done(): // the node has stopped
+		case <-h.node.ctx.Done(): // the node has stopped
 		}
 	}
 }
 
 // waitFor waits until a condition on the node's tables holds.
-func (f *harness) waitFor(description string, condition func(n *Node) bool) {
-	f.t.Helper()
+func (h *harness) waitFor(description string, condition func(n *Node) bool) {
+	h.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(2 * time.Millisecond) {
 		ok := false
-		f.inspect(func(n *Node) { ok = condition(n) })
+		h.inspect(func(n *Node) { ok = condition(n) })
 		if ok {
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Fatalf("condition not met: %s", description)
+			h.t.Fatalf("condition not met: %s", description)
 		}
 	}
 }
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -51,12 +51,12 @@
 				return []*fakeServer{s1}
 			})
 			failing.failuresLeft.Store(2)
-			v := f.connect()
-			v.setup(testID(1), "paid", "")
+			cl := f.connect()
+			cl.setup(testID(1), "paid", "")
 			if c.local {
-				f.serveNext(s1, v)
+				f.serveNext(s1, cl)
 			} else {
-				v.expect("503")
+				cl.expect("503")
 			}
 			ejected := false
 			f.inspect(func(n *Node) { ejected = n.front.ServerEstimates()[0].Ejected })
@@ -73,9 +73,9 @@
 	failing := &failingNetwork{errno: syscall.EADDRNOTAVAIL}
 	f := newHarness(t, 256, func(f *harness) []*fakeServer { f.network = failing; return []*fakeServer{f.startServer("s-1")} })
 	failing.failuresLeft.Store(1 << 20)
-	v := f.connect()
-	v.setup(testID(1), "paid", "")
-	v.expect("503")
+	cl := f.connect()
+	cl.setup(testID(1), "paid", "")
+	cl.expect("503")
 	f.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 }
 
@@ -111,10 +111,10 @@
 func TestShortDeadlines(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	for k, milliseconds := range []int{1, 5, 12, 13, 30, 50} {
-		v := f.connect()
-		v.sendf("%s", setupText(k, milliseconds))
+		cl := f.connect()
+		cl.sendf("%s", setupText(k, milliseconds))
 		sent := time.Now()
-		m := v.nextWithin(time.Duration(milliseconds)*time.Millisecond + 500*time.Millisecond)
+		m := cl.nextWithin(time.Duration(milliseconds)*time.Millisecond + 500*time.Millisecond)
 		if s := messageKind(m); s != "503" && s != "500" {
 			t.Errorf("%d ms: %s after %v", milliseconds, s, time.Since(sent))
 		}
@@ -179,15 +179,17 @@
 func TestOldCoordinatorIsHeardUntilTheNewOneSpeaks(t *testing.T) {
 	f, s1 := newSingleServerHarness(t, 256)
 	old := f.acceptFollower()
-	l, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: l.Addr().String()}, nil }
+	listener, follows := f.startCoordinator()
+	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
 	f.reloadSignals <- syscall.SIGHUP
 	c := <-follows
 	defer c.Close()
 	fmt.Fprintln(old, listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	f.waitFor("the drain is applied", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	fmt.Fprintln(c, "2")
-	f.waitFor("the old coordinator is no longer followed", func(n *Node) bool { return len(n.watches) == 1 && n.watches[0].addr == l.Addr().String() })
+	f.waitFor("the old coordinator is no longer followed", func(n *Node) bool {
+		return len(n.coordinators) == 1 && n.coordinators[0].addr == listener.Addr().String()
+	})
 	old.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("connection to the old coordinator: %v", err)
@@ -202,8 +204,8 @@
 	var addrs []string
 	var follows []chan *followerConn
 	for range 3 {
-		l, ch := f.startCoordinator()
-		addrs, follows = append(addrs, l.Addr().String()), append(follows, ch)
+		listener, ch := f.startCoordinator()
+		addrs, follows = append(addrs, listener.Addr().String()), append(follows, ch)
 	}
 	for k := range 10 {
 		read := make(chan bool, 1)
@@ -232,6 +234,6 @@
 		}
 	}()
 	f.waitFor("the last configuration is in force", func(n *Node) bool {
-		return n.servers[0].state == choice.Draining && len(n.watches) == 1 && n.watches[0].addr == addrs[last]
+		return n.servers[0].state == choice.Draining && len(n.coordinators) == 1 && n.coordinators[0].addr == addrs[last]
 	})
 }
--- a/internal/node/trials.go
+++ b/internal/node/trials.go
@@ -42,30 +42,30 @@
 func (t Trials) wallOffset() time.Duration { return t.WallOffset }
 
 // alterConfig applies a sabotage to the configuration, or to the start itself.
-func (t Trials) alterConfig(f *start.Config) {
+func (t Trials) alterConfig(config *start.Config) {
 	s := t.Sabotage
 	switch s {
 	case SabotageSlowStart:
-		f.Choice.WarmUp = 0
+		config.Choice.WarmUp = 0
 	case SabotageBudget:
-		f.Choice.RetryWindow = 0
+		config.Choice.RetryWindow = 0
 	case SabotageReady:
 		time.Sleep(sabotagedStartDelay)
 	case SabotageDescriptors:
-		for range f.MaxDescriptors + extraDescriptors {
+		for range config.MaxDescriptors + extraDescriptors {
 			if file, err := os.Open(os.DevNull); err == nil {
 				heldFiles = append(heldFiles, file)
 			}
 		}
 	}
-	for i := range f.Choice.Groups {
+	for i := range config.Choice.Groups {
 		switch s {
 		case SabotageFloor:
-			f.Choice.Groups[i].Floor, f.Choice.Groups[i].Top = 0, 0
+			config.Choice.Groups[i].Floor, config.Choice.Groups[i].Top = 0, 0
 		case SabotageSeats:
-			f.Choice.Groups[i].Seats = 0
+			config.Choice.Groups[i].Seats = 0
 		case SabotageRefusal:
-			f.Choice.Groups[i].Paid = false
+			config.Choice.Groups[i].Paid = false
 		}
 	}
 }
@@ -92,11 +92,11 @@
 }
 
 // alterListing applies a sabotage to an entry of the list.
-func (t Trials) alterListing(l choice.Listing) choice.Listing {
-	if t.Sabotage == SabotageDrain && l.State == choice.Draining {
-		l.State = choice.Ready
+func (t Trials) alterListing(entry choice.Listing) choice.Listing {
+	if t.Sabotage == SabotageDrain && entry.State == choice.Draining {
+		entry.State = choice.Ready
 	}
-	return l
+	return entry
 }
 
 // alterWait applies a sabotage to the timeout of a SETUP.
@@ -130,9 +130,9 @@
 	}
 	for _, sv := range n.servers {
 		if sv != s.server && sv.state == choice.Ready {
-			for _, l := range sv.conns {
-				if l.up {
-					l.send(setupMessage(s, s.setupDeadline-n.now))
+			for _, sc := range sv.conns {
+				if sc.up {
+					sc.send(setupMessage(s, s.setupDeadline-n.now))
 					return
 				}
 			}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,8 +7,8 @@
 	"rainhaven/internal/node/feed"
 )
 
-// coordinatorFollow is the state of following one coordinator.
-type coordinatorFollow struct {
+// followedCoordinator is the state of following one coordinator.
+type followedCoordinator struct {
 	addr      string
 	cancel    context.CancelFunc
 	responded bool // it has sent at least one line
@@ -20,21 +20,21 @@
 // followCoordinator follows a coordinator. The ones followed before are left only once it has responded: until then
 // nobody else may report that a server drains.
 func (n *Node) followCoordinator(addr string) {
-	if i := slices.IndexFunc(n.watches, func(w *coordinatorFollow) bool { return w.addr == addr }); i >= 0 { // configured again after another one
-		w := n.watches[i]
-		n.watches = append(slices.Delete(n.watches, i, i+1), w)
-		if w.responded {
-			n.coordinatorResponded(w)
+	if i := slices.IndexFunc(n.coordinators, func(known *followedCoordinator) bool { return known.addr == addr }); i >= 0 { // configured again after another one
+		followed := n.coordinators[i]
+		n.coordinators = append(slices.Delete(n.coordinators, i, i+1), followed)
+		if followed.responded {
+			n.coordinatorResponded(followed)
 		}
 		return
 	}
-	if len(n.watches) == maxCoordinators {
-		n.watches[0].cancel()
-		n.watches = slices.Delete(n.watches, 0, 1)
+	if len(n.coordinators) == maxCoordinators {
+		n.coordinators[0].cancel()
+		n.coordinators = slices.Delete(n.coordinators, 0, 1)
 	}
 	ctx, stop := context.WithCancel(n.ctx)
-	w := &coordinatorFollow{addr: addr, cancel: stop}
-	n.watches = append(n.watches, w)
+	followed := &followedCoordinator{addr: addr, cancel: stop}
+	n.coordinators = append(n.coordinators, followed)
 	lastIndex := n.lastIndex
 	reported := false
 	n.wg.Add(1)
@@ -42,7 +42,7 @@
 		defer n.wg.Done()
 		feed.Follow(ctx, addr, lastIndex, n.config.Choice.Seed, func() {
 			if !reported {
-				reported = n.post(event{do: func() { n.coordinatorResponded(w) }})
+				reported = n.post(event{do: func() { n.coordinatorResponded(followed) }})
 			}
 		}, func(e feed.Event) bool {
 			return n.post(event{do: func() {
@@ -59,11 +59,11 @@
 }
 
 // coordinatorResponded handles the first line from a coordinator: the ones before it are no longer followed.
-func (n *Node) coordinatorResponded(w *coordinatorFollow) {
-	w.responded = true
-	current := max(slices.Index(n.watches, w), 0)
-	for _, before := range n.watches[:current] {
+func (n *Node) coordinatorResponded(followed *followedCoordinator) {
+	followed.responded = true
+	current := max(slices.Index(n.coordinators, followed), 0)
+	for _, before := range n.coordinators[:current] {
 		before.cancel()
 	}
-	n.watches = slices.Delete(n.watches, 0, current)
+	n.coordinators = slices.Delete(n.coordinators, 0, current)
 }
