--- a/choice/api.go
+++ b/choice/api.go
@@ -34,7 +34,7 @@
 	ReportsInProbes
 )
 
-// ServiceGroup is one service group's terms.
+// ServiceGroup holds the settings of one service group.
 type ServiceGroup struct {
 	Utility        float64 // of a second at a rung of utility 1
 	Scale          float64 // its rates over those of the ladder
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -31,7 +31,7 @@
 	rngState uint64 // see random
 	seed     uint64
 
-	// Terms, from Config.
+	// From Config.
 	groups            []group
 	maxStreams        []float64 // by kind of server
 	cells             int
@@ -100,7 +100,7 @@
 // link is a server's link or a rack's uplink, as this front sees it. Rates are kB a second.
 type link struct {
 	kind               int        // 0 a server's link, 1 a rack's uplink
-	nominal            float64    // capacity by the terms
+	nominal            float64    // capacity from Config
 	capacity           float64    // nominal, or more where own sessions show it
 	sessions           []*session // SETUPs in flight and sessions there
 	demand             [2]float64 // smoothed top rates of own sessions: the other groups, the premium ones
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -498,7 +498,7 @@
 }
 
 // After Stop nothing is placed: requests that wait for a probe, and those whose SETUP fails, get the answer that their
-// group's terms prescribe.
+// group's settings prescribe.
 func TestStop(t *testing.T) {
 	for _, c := range []struct {
 		group   int
--- a/choice/decisionlog/decisionlog.go
+++ b/choice/decisionlog/decisionlog.go
@@ -10,7 +10,7 @@
 	"rainhaven/choice"
 )
 
-// Kind says which decision or outcome an Entry records.
+// Kind is the type of decision or outcome that an Entry records.
 type Kind int
 
 // The kinds of entry.
@@ -42,7 +42,7 @@
 const (
 	// At ten session setups a second this covers a minute or more, in about 1 MB.
 	capacity = 2048
-	// The chosen box is among the holders with the most room, so the others are not kept.
+	// The chosen box is among the holders with the most headroom, so the others are not kept.
 	maxHolders = 6
 )
 
--- a/choice/session/reload.go
+++ b/choice/session/reload.go
@@ -35,7 +35,8 @@
 			resubmitted++
 		}
 	}
-	// Placing a request anew counts it as taken again, so its first count is removed: the retry budget must not grow.
+	// Placing a request anew counts it for the retry budget again, so an earlier count is removed for each: the budget must
+	// not grow.
 	saved.FirstSetups = saved.FirstSetups[:max(len(saved.FirstSetups)-resubmitted, 0)]
 	t.limits = cfg.Limits
 	t.newModule(cfg.Choice)
--- a/choice/state.go
+++ b/choice/state.go
@@ -153,7 +153,7 @@
 	s.holder = nil
 }
 
-// Snapshot is the state that a front keeps under new terms and across restarts. Instants are of the clock of SetTime.
+// Snapshot is the state that a front keeps across reloads and restarts. Instants are of the clock of SetTime.
 // It is stored and exchanged as JSON, so the tags must stay as they are.
 type Snapshot struct {
 	FirstSetups    []float64        `json:"Taken"`   // instants of first SETUPs within the retry window
@@ -181,7 +181,7 @@
 
 // LinkSnapshot is what was learned of one link. Rates are kB a second.
 type LinkSnapshot struct {
-	NominalCapacity float64 `json:"Told"`   // by the terms
+	NominalCapacity float64 `json:"Told"`   // from Config
 	Capacity        float64 `json:"Size"`   // as own sessions show it
 	OtherDemand     float64 `json:"Rest"`   // rates of other fronts' sessions at the last reading
 	ReadAt          float64 `json:"Read"`   // when; 0 is never
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -21,7 +21,7 @@
 
 func (c controlService) Status() any {
 	f := c.d.facts()
-	t := c.d.terms
+	t := c.d.config
 	return map[string]any{"front": t.Name, "process": os.Getpid(), "state": f.State, "seconds": time.Since(c.d.startedAt).Seconds(), "sessions": f.Sessions,
 		"boxes": f.Boxes, "boxes that may get sessions": f.Usable, "health": health.Evaluate(f)}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 	ctx       context.Context // done when the process is to exit
 	cancel    context.CancelFunc
 
-	terms      settings.Config
+	config     settings.Config
 	front      *front.Front
 	folder     *state.Folder
 	viewerCert *keys.KeyPair // for viewers over TLS; nil if TLS is off
@@ -102,7 +102,7 @@
 		d.machine.Started()
 	}
 	if o.Parent != nil {
-		go func() { // not waited for: a pending read can't be canceled
+		go func() { // not waited for: a pending read can't be cancelled
 			io.Copy(io.Discard, o.Parent)
 			d.post(func() { d.machine.Terminate("the parent process has exited") })
 		}()
@@ -163,10 +163,10 @@
 // the learned state from the running process instead of opening them.
 func (d *daemon) start() (lifecycle.ExitCode, error) {
 	var err error
-	if d.terms, err = d.LoadTerms(); err != nil {
+	if d.config, err = d.LoadTerms(); err != nil {
 		return lifecycle.ExitFailed, err
 	}
-	t := &d.terms
+	t := &d.config
 	d.applyLogLevel(t)
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -341,11 +341,11 @@
 	if !found {
 		return nil, nil
 	}
-	f := t.Choice
-	m, notes := restore.FromSnapshot(now(), saved, restore.Config{RetryWindow: f.RetryWindow, BaseRetries: f.BaseRetries, RetriesPerSession: f.RetriesPerSession, WarmUp: f.WarmUp})
-	d.Log.Info("stored state", zap.Float64("seconds old", now()-saved.SavedAt), zap.Bool("clean", saved.CleanExit), zap.Int("boxes", len(m.Servers)),
-		zap.Strings("what", notes))
-	return &m, nil
+	config := t.Choice
+	snapshot, messages := restore.FromSnapshot(now(), saved, restore.Config{RetryWindow: config.RetryWindow, BaseRetries: config.BaseRetries, RetriesPerSession: config.RetriesPerSession, WarmUp: config.WarmUp})
+	d.Log.Info("stored state", zap.Float64("seconds old", now()-saved.SavedAt), zap.Bool("clean", saved.CleanExit), zap.Int("boxes", len(snapshot.Servers)),
+		zap.Strings("what", messages))
+	return &snapshot, nil
 }
 
 // saveInterval is the interval between saves of state. Changes since the last save are covered by choice/restore, which
--- a/internal/front/boxes.go
+++ b/internal/front/boxes.go
@@ -38,7 +38,7 @@
 	attempt    int
 	boxSession string // session id at the box
 	rung       int    // requested last
-	canceled   bool
+	cancelled  bool
 	closed     bool
 }
 
@@ -58,7 +58,7 @@
 	f.wg.Add(1)
 	go func() {
 		defer f.wg.Done()
-		ctx, cancel := context.WithTimeout(ctx, time.Duration(f.terms().Limits.ConnectTimeout*1e9))
+		ctx, cancel := context.WithTimeout(ctx, time.Duration(f.config().Limits.ConnectTimeout*1e9))
 		defer cancel()
 		raw, err := f.dial(ctx, address)
 		f.post(func() {
@@ -140,7 +140,7 @@
 // send sends a request and calls onAnswer with its answer, or with nil if the connection ends first.
 func (c *boxConn) send(m *rtsp.Message, onAnswer func(*rtsp.Message)) {
 	c.cseq++
-	m.WithHeader("CSeq", strconv.Itoa(c.cseq)).WithHeader("User-Agent", "rainhaven/"+c.f.terms().Name)
+	m.WithHeader("CSeq", strconv.Itoa(c.cseq)).WithHeader("User-Agent", "rainhaven/"+c.f.config().Name)
 	c.pending[c.cseq] = onAnswer
 	if err := c.out.PushMessage(m.Append(nil)); err != nil {
 		c.close()
@@ -196,7 +196,7 @@
 	c.closed = true
 	delete(f.boxConns, c.id)
 	f.pool.Closed(c.box, c.id)
-	if c.canceled {
+	if c.cancelled {
 		f.lateAnswers--
 	}
 	pending := c.pending
@@ -261,7 +261,7 @@
 	sess.attempt, sess.cancelDial = attempt, cancel
 	f.connect(ctx, box, func(c *boxConn) {
 		cancel()
-		if sess.attempt != attempt || f.sessions[id] != sess { // canceled in the meantime
+		if sess.attempt != attempt || f.sessions[id] != sess { // cancelled in the meantime
 			if c != nil {
 				c.release()
 			}
@@ -293,7 +293,7 @@
 	case m == nil:
 		f.metrics.setups.WithLabelValues("broken").Inc()
 		return // handleBoxClosed reports the failure
-	case c.canceled:
+	case c.cancelled:
 		if m.Status/100 == 2 && m.Session() != "" {
 			f.tearDownOrphan(c.box, c.url(sess, -1), m.Session())
 		}
@@ -327,7 +327,7 @@
 	}
 	f.metrics.setups.WithLabelValues("withdrawn").Inc()
 	delete(f.connOf, id)
-	c.session, c.canceled = nil, true
+	c.session, c.cancelled = nil, true
 	c.stream.Store(nil)
 	if f.lateAnswers++; f.lateAnswers > limits.MaxLateAnswers {
 		c.close()
@@ -336,7 +336,7 @@
 	c.out.Finish()
 }
 
-// tearDownOrphan tears down a session that a box set up after its SETUP was canceled. It tries once, over another
+// tearDownOrphan tears down a session that a box set up after its SETUP was cancelled. It tries once, over another
 // connection.
 func (f *Front) tearDownOrphan(box choice.ServerID, url, name string) {
 	f.connect(f.ctx, box, func(c *boxConn) {
@@ -448,7 +448,7 @@
 			finish(0, choice.NoConnection, noReport)
 			return
 		}
-		timer := time.AfterFunc(time.Duration(f.terms().Limits.ProbeTimeout*1e9), func() {
+		timer := time.AfterFunc(time.Duration(f.config().Limits.ProbeTimeout*1e9), func() {
 			f.post(func() {
 				finish(0, choice.TimedOut, noReport)
 				c.close()
@@ -487,7 +487,7 @@
 	if sess == nil {
 		return
 	}
-	name := f.terms().Groups[sess.group].Name
+	name := f.config().Groups[sess.group].Name
 	f.metrics.answers.WithLabelValues(name, answer.String()).Inc()
 	f.metrics.answerSeconds.WithLabelValues(name).Observe(f.now() - sess.requestedAt)
 	setup := sess.firstSetup
--- a/internal/front/describe.go
+++ b/internal/front/describe.go
@@ -27,8 +27,8 @@
 func (v *viewer) handleDescribe(pr *pendingRequest) {
 	f := v.f
 	p, err := rtsp.ParseURL(pr.req.URL)
-	title, known := f.terms().Titles[p.Title]
-	if err != nil || f.terms().GroupIndex(p.Group) < 0 || !known {
+	title, known := f.config().Titles[p.Title]
+	if err != nil || f.config().GroupIndex(p.Group) < 0 || !known {
 		v.respondStatus(pr, rtsp.NotFound)
 		return
 	}
@@ -71,7 +71,7 @@
 
 // fetchDescription requests a description from a holder, with a timeout of describe.FetchTimeout.
 func (f *Front) fetchDescription(title string, box choice.ServerID) {
-	t := f.terms().Titles[title]
+	t := f.config().Titles[title]
 	finished := false
 	finish := func(body []byte, outcome string) {
 		if finished {
@@ -95,7 +95,7 @@
 				}
 			})
 		})
-		url := rtsp.Resource{Host: c.address, Group: f.terms().Groups[0].Name, Title: title, Track: -1}.URL()
+		url := rtsp.Resource{Host: c.address, Group: f.config().Groups[0].Name, Title: title, Track: -1}.URL()
 		c.send(rtsp.NewRequest(rtsp.Describe, url).WithHeader("Accept", "application/sdp"), func(m *rtsp.Message) {
 			timer.Stop()
 			if m == nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -12,7 +12,7 @@
 //	no connection to the box                      SetupEnded(NoConnection): it never ran
 //	box removed from the list before SETUP left   SetupEnded(Unsent)
 //	connection breaks while SETUP is pending      SetupEnded(Reset): it may have run
-//	SETUP times out                               SetupEnded(TimedOut), and the SETUP is canceled
+//	SETUP times out                               SetupEnded(TimedOut), and the SETUP is cancelled
 //	connection breaks in an established session   SetupEnded(Reset, final)
 //	TEARDOWN answered                             SetupEnded(Served, final)
 //	new box list                                  UpdateServers
@@ -100,9 +100,9 @@
 	boxConns         map[pool.ConnID]*boxConn        // removed when the connection closes
 	descriptions     *describe.Cache
 	pendingDescribes map[string][]pendingDescribe // unanswered DESCRIBE requests by title; removed when answered
-	lateAnswers      int                          // canceled SETUPs whose answer is still awaited
+	lateAnswers      int                          // cancelled SETUPs whose answer is still awaited
 	lastConnID       uint64
-	deferred         []func()        // callbacks queued by actions; run by settle
+	deferred         []func()        // callbacks queued by actions; run by reconcile
 	finalSnapshot    choice.Snapshot // set when the loop ends
 	onDrained        func()          // called once, when the last session has ended after Drain
 }
@@ -111,7 +111,7 @@
 const maxQueuedEvents = 1024
 
 // New creates a front. It fails if its metrics can't be registered or the system's random source can't be read.
-func New(terms settings.Config, o Options) (*Front, error) {
+func New(config settings.Config, o Options) (*Front, error) {
 	f := &Front{log: o.Log, dial: o.Dial, startedAt: time.Now(), events: make(chan func(), maxQueuedEvents),
 		done: make(chan struct{}), quit: make(chan struct{}), addresses: map[choice.ServerID]string{},
 		viewers: map[*viewer]struct{}{}, sessions: map[choice.SessID]*frontSession{}, boxConns: map[pool.ConnID]*boxConn{},
@@ -119,7 +119,7 @@
 	if f.log == nil {
 		f.log = zap.NewNop()
 	}
-	f.log = f.log.With(zap.String("front", terms.Name))
+	f.log = f.log.With(zap.String("front", config.Name))
 	if f.dial == nil {
 		var d net.Dialer
 		f.dial = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
@@ -130,29 +130,29 @@
 	if f.metrics, err = newMetrics(o.Registry); err != nil {
 		return nil, err
 	}
-	if terms.Choice.Seed == 0 {
+	if config.Choice.Seed == 0 {
 		var b [8]byte
 		if _, err := rand.Read(b[:]); err != nil {
 			return nil, err
 		}
-		terms.Choice.Seed = binary.LittleEndian.Uint64(b[:])
+		config.Choice.Seed = binary.LittleEndian.Uint64(b[:])
 	}
 	f.authKey = make([]byte, 32)
 	if _, err := rand.Read(f.authKey); err != nil {
 		return nil, err
 	}
-	f.authenticator, f.usersDigest = auth.New(terms.Realm, terms.Users, f.authKey), digestUsers(&terms, f.authKey)
-	terms.Users = nil // not kept in memory: the authenticator has its own copy
-	f.current.Store(&terms)
+	f.authenticator, f.usersDigest = auth.New(config.Realm, config.Users, f.authKey), digestUsers(&config, f.authKey)
+	config.Users = nil // not kept in memory: the authenticator has its own copy
+	f.current.Store(&config)
 	var actions session.Actions = frontActions{f}
 	if o.WrapActions != nil {
 		actions = o.WrapActions(actions)
 	}
-	f.table = session.New(f.now(), terms.Choice, f.sessionLimits(), actions)
-	f.meter = delivery.New(terms.Choice.NoteInterval)
-	f.descriptions, f.pendingDescribes = describe.New(terms.Choice.Cells), map[string][]pendingDescribe{}
-	f.pool = pool.New(terms.Limits.MaxBoxConnections)
-	f.updateBoxes(true, terms.Boxes)
+	f.table = session.New(f.now(), config.Choice, f.sessionLimits(), actions)
+	f.meter = delivery.New(config.Choice.NoteInterval)
+	f.descriptions, f.pendingDescribes = describe.New(config.Choice.Cells), map[string][]pendingDescribe{}
+	f.pool = pool.New(config.Limits.MaxBoxConnections)
+	f.updateBoxes(true, config.Boxes)
 	if o.Snapshot != nil {
 		f.table.Restore(*o.Snapshot)
 	}
@@ -164,10 +164,10 @@
 	return f, nil
 }
 
-func (f *Front) terms() *settings.Config { return f.current.Load() }
+func (f *Front) config() *settings.Config { return f.current.Load() }
 
 func (f *Front) sessionLimits() session.Limits {
-	t := f.terms()
+	t := f.config()
 	b := session.Limits{MaxSessions: t.Limits.MaxSessions, ViewerIdleTimeout: t.Limits.ViewerIdleTimeout, KeepAliveInterval: t.Limits.KeepAliveInterval}
 	for _, g := range t.Groups {
 		b.SetupTimeout = append(b.SetupTimeout, g.SetupTimeout)
@@ -202,7 +202,7 @@
 	}
 }
 
-// maxBatch bounds the number of further events that the loop handles before it calls settle.
+// maxBatch bounds the number of further events that the loop handles before it calls reconcile.
 const maxBatch = 64
 
 // tickInterval is the interval at which delivery is measured and expired idle connections are closed.
@@ -239,7 +239,7 @@
 		case <-f.quit:
 			f.table.SetTime(f.now())
 			f.table.EndSessions()
-			f.settle()
+			f.reconcile()
 			f.finalSnapshot = f.table.Snapshot()
 			f.closeConns()
 			return
@@ -247,7 +247,7 @@
 		if next := f.table.NextWakeup(); next > 0 && next <= f.now() {
 			f.table.RunTimers()
 		}
-		f.settle()
+		f.reconcile()
 		if f.onDrained != nil && f.table.Len() == 0 {
 			f.onDrained()
 			f.onDrained = nil
@@ -263,8 +263,8 @@
 	}
 }
 
-// settle runs the table's actions and the callbacks they queue until none is left.
-func (f *Front) settle() {
+// reconcile runs the table's actions and the callbacks they queue until none is left.
+func (f *Front) reconcile() {
 	start := time.Now()
 	f.table.Reconcile()
 	for len(f.deferred) > 0 {
@@ -279,7 +279,7 @@
 }
 
 // measureDelivery samples the media progress of playing sessions, reports short boxes and closes expired idle
-// connections. Sessions limited by a slow viewer are left out, as they say nothing about their box.
+// connections. Sessions limited by a slow viewer are left out, as their progress shows nothing about the box.
 func (f *Front) measureDelivery() {
 	now := f.now()
 	for id, c := range f.connOf {
@@ -380,7 +380,7 @@
 			continue
 		}
 		pause = 5 * time.Millisecond
-		if n := f.openConns.Add(1); f.terms().Limits.MaxConnections > 0 && n > int64(f.terms().Limits.MaxConnections) {
+		if n := f.openConns.Add(1); f.config().Limits.MaxConnections > 0 && n > int64(f.config().Limits.MaxConnections) {
 			f.openConns.Add(-1)
 			f.metrics.rejectedConns.Inc()
 			c.Close()
@@ -409,13 +409,13 @@
 // redirectViewers sends each viewer with a session a REDIRECT to another front (RFC 2326, section 10.10). Viewers that
 // don't support the method continue until the drain ends.
 func (f *Front) redirectViewers() {
-	if f.terms().Redirect == "" {
+	if f.config().Redirect == "" {
 		return
 	}
 	for v := range f.viewers {
 		for _, id := range slices.Sorted(maps.Keys(v.sessions)) {
 			sess := v.sessions[id]
-			target := rtsp.Resource{Host: f.terms().Redirect, Group: sess.place.Group, Title: sess.place.Title, Track: -1, Query: sess.place.Query}
+			target := rtsp.Resource{Host: f.config().Redirect, Group: sess.place.Group, Title: sess.place.Title, Track: -1, Query: sess.place.Query}
 			v.lastCSeq++
 			req := rtsp.NewRequest(rtsp.Redirect, v.presentationURL(sess)).WithHeader("CSeq", strconv.Itoa(v.lastCSeq)).WithHeader("Session", string(id)).WithHeader("Location", target.URL())
 			v.out.PushMessage(req.Append(nil))
@@ -444,19 +444,19 @@
 		}
 		clear(f.sessions)
 		clear(f.viewers)
-		f.table = session.New(f.now(), f.terms().Choice, session.Limits{SetupTimeout: make([]float64, len(f.terms().Groups))}, discardActions{})
+		f.table = session.New(f.now(), f.config().Choice, session.Limits{SetupTimeout: make([]float64, len(f.config().Groups))}, discardActions{})
 	})
 	f.Close()
 }
 
-// closeConns closes the remaining connections once their queued messages are written. Connections of canceled SETUPs are
+// closeConns closes the remaining connections once their queued messages are written. Connections of cancelled SETUPs are
 // closed at once.
 func (f *Front) closeConns() {
 	for v := range f.viewers {
 		v.finish()
 	}
 	for _, b := range f.boxConns {
-		if b.canceled {
+		if b.cancelled {
 			b.close()
 		} else {
 			b.out.Finish()
@@ -506,7 +506,7 @@
 // HealthFacts collects the facts that choice/health evaluates. LoopResponsive is false if the loop doesn't answer within
 // the given time.
 func (f *Front) HealthFacts(within time.Duration) (h health.Facts) {
-	t := f.terms()
+	t := f.config()
 	h.MaxSessions, h.StateAge = t.Limits.MaxSessions, -1
 	result := make(chan health.Facts, 1)
 	timer := time.NewTimer(within)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -33,7 +33,7 @@
 	t       testing.TB
 	boxes   []*box.Box
 	site    *box.Site
-	terms   settings.Config
+	config  settings.Config
 	addr    string
 	witness *witness.Witness
 	reg     *prometheus.Registry
@@ -49,7 +49,7 @@
 		"exam": {SetupTimeout: 2, Paid: true}}, Grace: 0.5, AnswerBy: 0.04, Spare: 20, Share: 0.1, Window: 10})
 	b.site = &box.Site{Ladder: []float64{250, 500, 1000, 2000}, Scale: map[string]float64{"clips": 1}, Places: 100,
 		Length: func(string) float64 { return 0 }, ReportEvery: 0.1, NoteEvery: 1, FPS: 50, Thin: 0.02, Keep: 2, Now: b.now, Witness: b.witness}
-	b.terms = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
+	b.config = settings.Config{Name: "front-0", Choice: choice.Config{Seed: 3, Fronts: 1, Groups: []choice.ServiceGroup{
 		{Utility: 2, Scale: 1, StartTarget: 0.5, Floor: 1, Top: 3}, {Utility: 1, Scale: 1, StartTarget: 0.5, Top: 3, Paid: true}},
 		Ladder: b.site.Ladder, Cells: boxes, Racks: 1, FleetLinkCapacity: 20000 * float64(boxes), MeanUplinkCapacity: 20000 * float64(boxes),
 		MaxStreams: []float64{100}, NoteLag: 0.2, NoteInterval: 1, MaxSetups: 3, MaxRetryAfter: 1, Reporting: choice.ReportsInAnswers,
@@ -59,7 +59,7 @@
 		Limits: limits.Bounds{MaxConnections: 1000, MaxSessions: 1000, MaxBoxConnections: 200, QueueBytes: 1 << 18, ViewerIdleTimeout: 60,
 			KeepAliveInterval: 20, ConnectTimeout: 0.25, ProbeTimeout: 0.25, WriteStall: 5}}
 	if adjust != nil {
-		adjust(&b.terms, b.site)
+		adjust(&b.config, b.site)
 	}
 	var err error
 	rack := box.NewRack(20000 * float64(boxes))
@@ -70,17 +70,17 @@
 		}
 		t.Cleanup(x.Close)
 		b.boxes = append(b.boxes, x)
-		b.terms.Boxes = append(b.terms.Boxes, settings.Box{Address: x.Address,
+		b.config.Boxes = append(b.config.Boxes, settings.Box{Address: x.Address,
 			Listing: choice.Listing{ID: choice.ServerID(i + 1), Cell: i, State: choice.Ready, Weight: 1}})
 	}
 	o := front.Options{Registry: b.reg}
-	if b.terms.BoxTLS.RootsFile != "" {
-		if b.roots, err = keys.OpenRoots(b.terms.BoxTLS.RootsFile, zap.NewNop()); err != nil {
+	if b.config.BoxTLS.RootsFile != "" {
+		if b.roots, err = keys.OpenRoots(b.config.BoxTLS.RootsFile, zap.NewNop()); err != nil {
 			t.Fatal(err)
 		}
-		o.Dial = b.roots.Dialer(b.terms.BoxTLS.ServerName)
+		o.Dial = b.roots.Dialer(b.config.BoxTLS.ServerName)
 	}
-	f, err := front.New(b.terms, o)
+	f, err := front.New(b.config, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 }
 
 func (b *harness) setupTimeout(group string) float64 {
-	return b.terms.Groups[b.terms.GroupIndex(group)].SetupTimeout
+	return b.config.Groups[b.config.GroupIndex(group)].SetupTimeout
 }
 
 // checkRules waits until all sessions have ended, at the front and at the boxes, and checks the witness's verdict.
@@ -231,7 +231,7 @@
 		t.Fatalf("%+v %v", seen, err)
 	}
 	for _, x := range b.boxes {
-		x.Unhang() // both boxes now answer the canceled SETUPs
+		x.Unhang() // both boxes now answer the cancelled SETUPs
 	}
 	b.checkRules()
 	b.eventually("two orphaned sessions are torn down", func() bool { return metric(b, "rainhaven_orphans_total", "torn down") == 2 })
@@ -352,7 +352,7 @@
 		}
 	}
 	b.witness.Told("front-0", holder+1, false, b.now())
-	b.UpdateBoxes(true, b.terms.Boxes[1-holder:2-holder])
+	b.UpdateBoxes(true, b.config.Boxes[1-holder:2-holder])
 	for range 10 {
 		if seen, err := player.Watch(context.Background(), b.request("clips")); err != nil {
 			t.Fatal(seen, err)
@@ -403,7 +403,7 @@
 }
 
 func TestKilledBoxEndsSession(t *testing.T) {
-	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Limits.KeepAliveInterval = 0 })
+	b := newHarness(t, 1, func(config *settings.Config, _ *box.Site) { config.Limits.KeepAliveInterval = 0 })
 	w := b.request("clips")
 	w.Watch = 0
 	playing := make(chan struct{})
@@ -469,7 +469,7 @@
 	forged := list[0]
 	forged.ID, forged.BoxSession = "forged", "no such session"
 	requestSent := make(chan struct{}) // delays the connection to the box until the viewer has sent its PLAY
-	next, err := front.New(b.terms, front.Options{Handover: append(list, forged), Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	next, err := front.New(b.config, front.Options{Handover: append(list, forged), Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		<-requestSent
 		return net.Dial("tcp", address)
 	}})
@@ -516,7 +516,7 @@
 // A draining front redirects its viewers to another front, and the drain ends as soon as they have left.
 func TestDrainSendsViewersElsewhere(t *testing.T) {
 	other := newHarness(t, 1, nil)
-	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) { terms.Redirect = other.addr })
+	b := newHarness(t, 1, func(config *settings.Config, _ *box.Site) { config.Redirect = other.addr })
 	playing, done := make(chan struct{}), make(chan player.Seen, 1)
 	w := b.request("clips")
 	w.Watch = 0
--- a/internal/front/handover.go
+++ b/internal/front/handover.go
@@ -41,7 +41,7 @@
 			if !sess.playing || c.boxSession == "" {
 				continue
 			}
-			h := HandoverSession{ID: id, Group: f.terms().Groups[sess.group].Name, Title: sess.place.Title, Query: sess.place.Query, BestRung: sess.bestRung,
+			h := HandoverSession{ID: id, Group: f.config().Groups[sess.group].Name, Title: sess.place.Title, Query: sess.place.Query, BestRung: sess.bestRung,
 				Rung: c.rung, Box: c.box, BoxSession: c.boxSession}
 			for _, t := range sess.tracks {
 				h.Tracks = append(h.Tracks, HandoverTrack{t.number, t.rtpChannel, t.rtcpChannel, t.boxChannel})
@@ -62,8 +62,8 @@
 
 // adopt takes over a session before the loop starts. A GET_PARAMETER checks that the box still knows it; else it ends.
 func (f *Front) adopt(h HandoverSession) {
-	g := f.terms().GroupIndex(h.Group)
-	title, known := f.terms().Titles[h.Title]
+	g := f.config().GroupIndex(h.Group)
+	title, known := f.config().Titles[h.Title]
 	if g < 0 || !known || len(h.Tracks) == 0 || f.sessions[h.ID] != nil {
 		return
 	}
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -21,7 +21,7 @@
 // ListSessions returns up to limit sessions, ordered by id.
 func (f *Front) ListSessions(limit int) (list []SessionInfo) {
 	f.call(func() {
-		t := f.terms()
+		t := f.config()
 		for _, id := range slices.Sorted(maps.Keys(f.sessions)) {
 			if len(list) >= limit {
 				return
--- a/internal/front/migrate_test.go
+++ b/internal/front/migrate_test.go
@@ -50,14 +50,14 @@
 	if err := os.WriteFile(out, m.Script, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	terms, err := settings.ReadConfig(out)
+	config, err := settings.ReadConfig(out)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := newHarness(t, 3, func(x *settings.Config, site *box.Site) {
 		site.NoteEvery = 0
 		bounds := x.Limits
-		*x = terms
+		*x = config
 		x.Boxes, x.Limits = nil, bounds // newHarness sets its own
 	})
 	b.boxes[0].Hang()
--- a/internal/front/protocol_test.go
+++ b/internal/front/protocol_test.go
@@ -270,8 +270,8 @@
 }
 
 func TestOnlyUsersEnter(t *testing.T) {
-	b := newHarness(t, 1, func(terms *settings.Config, _ *box.Site) {
-		terms.Realm, terms.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
+	b := newHarness(t, 1, func(config *settings.Config, _ *box.Site) {
+		config.Realm, config.Users = "r", []auth.User{{Name: "lena", Password: "pw"}}
 	})
 	for _, alg := range []string{"SHA-256", "MD5"} {
 		w := b.request("clips")
--- a/internal/front/reload.go
+++ b/internal/front/reload.go
@@ -29,7 +29,7 @@
 }
 
 func (f *Front) reload(t settings.Config) reload.Plan {
-	old := f.terms()
+	old := f.config()
 	change := reload.Change{Sections: changedSections(old, &t)}
 	change.Sections = append(change.Sections, f.changedUserSections(&t)...)
 	for _, g := range old.Groups {
--- a/internal/front/reload_test.go
+++ b/internal/front/reload_test.go
@@ -15,7 +15,7 @@
 // Reloads settings under load: every request is answered, playing sessions continue without a gap under the new limits,
 // SETUPs pending at boxes are answered, and a change that needs a restart is rejected as a whole.
 func TestReloadUnderLoad(t *testing.T) {
-	b := newHarness(t, 3, func(terms *settings.Config, _ *box.Site) { terms.Choice.Probes = true })
+	b := newHarness(t, 3, func(config *settings.Config, _ *box.Site) { config.Choice.Probes = true })
 	ends := make(chan player.Seen, 40)
 	playing := make(chan struct{}, 40)
 	for i := range 20 {
@@ -50,18 +50,18 @@
 		}()
 	}
 	b.eventually("all requests are accepted", func() bool { return b.Sessions() == 26 })
-	terms := b.terms
-	terms.Choice.Groups = slices.Clone(terms.Choice.Groups)
-	terms.Choice.Groups[0].Top = 1 // sessions above it are moved down
-	slices.Reverse(terms.Choice.Groups)
-	terms.Groups = slices.Clone(terms.Groups)
-	slices.Reverse(terms.Groups)
-	terms.Limits.MaxSessions = 500
-	plan, err := b.Reload(terms)
+	config := b.config
+	config.Choice.Groups = slices.Clone(config.Choice.Groups)
+	config.Choice.Groups[0].Top = 1 // sessions above it are moved down
+	slices.Reverse(config.Choice.Groups)
+	config.Groups = slices.Clone(config.Groups)
+	slices.Reverse(config.Groups)
+	config.Limits.MaxSessions = 500
+	plan, err := b.Reload(config)
 	if err != nil || !plan.Has(reload.RebuildChoice) || !plan.Has(reload.UpdateLimits) || !slices.Equal(plan.NewGroupIndex, []int{1, 0}) {
 		t.Fatalf("%+v %v", plan, err)
 	}
-	rejected := terms
+	rejected := config
 	rejected.Listen, rejected.Limits.MaxSessions = "127.0.0.1:1", 1
 	if plan, err := b.Reload(rejected); err != nil || len(plan.Rejections) != 1 {
 		t.Errorf("change of the listen address: %+v %v", plan, err)
@@ -92,10 +92,10 @@
 // Changes of boxes and titles don't rebuild the choice module, and a closed front returns ErrClosed.
 func TestReloadBoxesAndTitles(t *testing.T) {
 	b := newHarness(t, 2, nil)
-	terms := b.terms
-	terms.Boxes = slices.Clone(terms.Boxes[:1])
-	terms.Titles = map[string]settings.Title{"vents": {CellCount: 2}, "fans": {CellCount: 2}}
-	plan, err := b.Reload(terms)
+	config := b.config
+	config.Boxes = slices.Clone(config.Boxes[:1])
+	config.Titles = map[string]settings.Title{"vents": {CellCount: 2}, "fans": {CellCount: 2}}
+	plan, err := b.Reload(config)
 	if err != nil || plan.Actions != reload.UpdateBoxes|reload.ReadOnUse {
 		t.Fatalf("%+v %v", plan, err)
 	}
@@ -112,7 +112,7 @@
 	}
 	b.checkRules()
 	b.Close()
-	if _, err := b.Reload(b.terms); err != front.ErrClosed {
+	if _, err := b.Reload(b.config); err != front.ErrClosed {
 		t.Errorf("reload of a closed front: %v", err)
 	}
 }
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -150,8 +150,8 @@
 		current.Store(&c)
 	}
 	setCertificate(cert1, key1)
-	b := newHarness(t, 1, func(terms *settings.Config, site *box.Site) {
-		terms.BoxTLS, terms.Choice.Probes = settings.TLSTrust{RootsFile: file}, true
+	b := newHarness(t, 1, func(config *settings.Config, site *box.Site) {
+		config.BoxTLS, config.Choice.Probes = settings.TLSTrust{RootsFile: file}, true
 		site.TLS = &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return current.Load(), nil }}
 	})
 	playing, done := make(chan struct{}), make(chan error, 1)
--- a/internal/front/viewer.go
+++ b/internal/front/viewer.go
@@ -65,7 +65,7 @@
 	earlyOps    []earlyOp     // requests received while adopting
 	playAnswer  *rtsp.Message // the box's answer to the last PLAY
 
-	attempt    int                // number of the last SETUP; 0 after it is canceled
+	attempt    int                // number of the last SETUP; 0 after it is cancelled
 	cancelDial context.CancelFunc // cancels connecting to the box
 }
 
@@ -78,12 +78,12 @@
 
 // startViewer starts the goroutines of a viewer connection.
 func (f *Front) startViewer(c net.Conn) {
-	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Limits{}), out: relay.NewQueue(f.terms().Limits.QueueBytes),
+	v := &viewer{f: f, conn: rtsp.NewConn(c, rtsp.Limits{}), out: relay.NewQueue(f.config().Limits.QueueBytes),
 		inFlight: make(chan struct{}, limits.MaxPipelined), sessions: map[choice.SessID]*frontSession{}}
 	f.wg.Add(2)
 	go func() {
 		defer f.wg.Done()
-		err := v.out.Run(c, time.Duration(f.terms().Limits.WriteStall*1e9))
+		err := v.out.Run(c, time.Duration(f.config().Limits.WriteStall*1e9))
 		if err == nil {
 			// Close only the sending side first: a full close with unread input resets the connection, and the viewer may
 			// lose the last response.
@@ -130,7 +130,7 @@
 
 // read handles requests and RTCP frames until the connection ends.
 func (v *viewer) read() error {
-	idle := time.Duration((v.f.terms().Limits.ViewerIdleTimeout + 5) * 1e9)
+	idle := time.Duration((v.f.config().Limits.ViewerIdleTimeout + 5) * 1e9)
 	var windowStart time.Time
 	frames := 0
 	for {
@@ -387,8 +387,8 @@
 func (v *viewer) handleSetup(pr *pendingRequest) {
 	f, m := v.f, pr.req
 	place, err := rtsp.ParseURL(m.URL)
-	group := f.terms().GroupIndex(place.Group)
-	title, known := f.terms().Titles[place.Title]
+	group := f.config().GroupIndex(place.Group)
+	title, known := f.config().Titles[place.Title]
 	if err != nil || group < 0 || !known {
 		v.respondStatus(pr, rtsp.NotFound)
 		return
@@ -433,8 +433,8 @@
 	if !(bandwidth >= 0) || math.IsInf(bandwidth, 0) {
 		bandwidth = 0
 	}
-	sess.bestRung = session.BestRung(f.terms().Groups[group].Rates, bandwidth)
-	f.metrics.sessionRequests.WithLabelValues(f.terms().Groups[group].Name).Inc()
+	sess.bestRung = session.BestRung(f.config().Groups[group].Rates, bandwidth)
+	f.metrics.sessionRequests.WithLabelValues(f.config().Groups[group].Name).Inc()
 	f.table.Open(sess.id, session.Request{Group: group, Title: place.Title, StartCell: title.StartCell, CellCount: title.CellCount,
 		BestRung: sess.bestRung, Length: title.Length})
 }
@@ -548,5 +548,5 @@
 }
 
 func (f *Front) sessionHeader(sess *frontSession) string {
-	return rtsp.FormatSession(string(sess.id), time.Duration(f.terms().Limits.ViewerIdleTimeout*1e9))
+	return rtsp.FormatSession(string(sess.id), time.Duration(f.config().Limits.ViewerIdleTimeout*1e9))
 }
--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -15,13 +15,13 @@
 	const sockets, many = 64, 120
 	most := int64(share.MaxViewerConns(sockets, 0) + share.AcceptSlack)
 	var open atomic.Int64
-	f := newHarness(t, sockets, func(f *harness) []*fakeServer {
-		f.openClients = &open
+	h := newHarness(t, sockets, func(h *harness) []*fakeServer {
+		h.openClients = &open
 		return nil
 	})
-	f.inspect(func(*Node) {
+	h.inspect(func(*Node) {
 		for range many {
-			c, err := net.Dial("tcp", f.addr)
+			c, err := net.Dial("tcp", h.addr)
 			if err != nil {
 				t.Error(err)
 				return
@@ -33,7 +33,7 @@
 			t.Errorf("%d connections are open, the limit is %d", n, most)
 		}
 	})
-	cl := f.connect()
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
 	cl.expect("503") // there are no servers
 }
--- a/internal/node/close.go
+++ b/internal/node/close.go
@@ -1,6 +1,6 @@
 package node
 
-// closeReason says why the node closes a connection of a client. Its values are keys of the counts logged at the exit.
+// closeReason is why the node closes a client's connection. Its values are keys of the counts logged at the exit.
 type closeReason string
 
 const (
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -104,22 +104,22 @@
 // Requests that are open at the second signal to end are answered before their connections close: paid ones that may
 // have run fail, the others get a busy reply. Before shutDown answered them, both connections were just closed.
 func TestEndAnswersWhatIsOpen(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl, other := f.connect(), f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl, other := h.connect(), h.connect()
 	cl.setup(testID(1), "paid", "")
-	f.expectAt(rtsp.Setup, s1)
-	f.inspect(func(n *Node) { // the next SETUP waits for a connection
+	h.expectAt(rtsp.Setup, s1)
+	h.inspect(func(n *Node) { // the next SETUP waits for a connection
 		sv := n.servers[0]
 		sv.conns = append(sv.conns, &serverConn{server: sv, cancelDial: func() {}})
 	})
 	other.setup(testID(2), "paid", "")
-	f.waitFor("both requests are open", func(n *Node) bool { return n.openRequests == 2 })
-	f.sendTerminate()
-	f.terminationSignals <- syscall.SIGTERM
+	h.waitFor("both requests are open", func(n *Node) bool { return n.openRequests == 2 })
+	h.sendTerminate()
+	h.terminationSignals <- syscall.SIGTERM
 	cl.expect("500")
 	other.expect("503")
-	code := <-f.exitCode
-	f.exitCode <- code
+	code := <-h.exitCode
+	h.exitCode <- code
 	if code != lifecycle.ExitClean { // the platform counts other codes as crashes
 		t.Errorf("exit %d", code)
 	}
@@ -129,27 +129,27 @@
 func TestRequestReadAsTheLoopEnds(t *testing.T) {
 	var s1 *fakeServer
 	var other *peer
-	f := newHarness(t, 256, func(f *harness) []*fakeServer {
-		s1 = f.startServer("s-1")
-		f.onLog = func(what string) {
+	h := newHarness(t, 256, func(h *harness) []*fakeServer {
+		s1 = h.startServer("s-1")
+		h.onLog = func(what string) {
 			if what != "exit" {
 				return
 			}
-			had := len(f.node.events)
+			had := len(h.node.events)
 			other.setup(testID(2), "free", "")
-			for end := time.Now().Add(testTimeout); len(f.node.events) == had && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); len(h.node.events) == had && time.Now().Before(end); {
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
 		return []*fakeServer{s1}
 	})
-	cl := f.connect()
-	other = f.connect()
+	cl := h.connect()
+	other = h.connect()
 	cl.setup(testID(1), "paid", "")
-	f.expectAt(rtsp.Setup, s1)
-	f.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
-	f.sendTerminate()
-	f.terminationSignals <- syscall.SIGTERM // with no event of the test itself in the queue
+	h.expectAt(rtsp.Setup, s1)
+	h.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
+	h.sendTerminate()
+	h.terminationSignals <- syscall.SIGTERM // with no event of the test itself in the queue
 	other.expect("503")
 	cl.expect("500")
 }
@@ -174,21 +174,21 @@
 
 // A release written to a client's connection that is just closing is sent over another one. It was lost.
 func TestReleaseCrossesAClose(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	c, err := net.Dial("tcp", f.addr)
+	h, s1 := newSingleServerHarness(t, 256)
+	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.Write([]byte(setupText(1, 1500)))
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
-	f.waitFor("the session is established", func(n *Node) bool { s := n.sessions[testID(1)]; return s != nil && s.state == established })
-	other := f.connect()
+	h.waitFor("the session is established", func(n *Node) bool { s := n.sessions[testID(1)]; return s != nil && s.state == established })
+	other := h.connect()
 	other.setup(testID(2), "free", "")
-	f.serveNext(s1, other)
-	f.batch(func() { x.conn.tearDown(testID(1), 16) }) // its client, which reads nothing, closes next
-	f.waitFor("the session is released", func(n *Node) bool { return n.sessions[testID(1)] == nil })
+	h.serveNext(s1, other)
+	h.batch(func() { x.conn.tearDown(testID(1), 16) }) // its client, which reads nothing, closes next
+	h.waitFor("the session is released", func(n *Node) bool { return n.sessions[testID(1)] == nil })
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	if r := other.expect(rtsp.TearDown); r.Session() != testID(1) {
@@ -199,52 +199,52 @@
 // A session that was handed over is released by its client before a connection to its server was opened: the server is
 // notified all the same. It was not, and the session played on.
 func TestReleaseBeforeAConnection(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
-	f.batch(func() { cl.setup(testID(1), "free", ";at:s-1") }, func() { cl.tearDown(testID(1), 0) })
-	if x, _ := f.expectAt(rtsp.TearDown, s1); x.msg.Session() != testID(1) || parseCause(x.msg) != causeMoved {
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
+	h.batch(func() { cl.setup(testID(1), "free", ";at:s-1") }, func() { cl.tearDown(testID(1), 0) })
+	if x, _ := h.expectAt(rtsp.TearDown, s1); x.msg.Session() != testID(1) || parseCause(x.msg) != causeMoved {
 		t.Errorf("released %+v", x.msg.Header)
 	}
 	cl.expect("200")
-	f.waitFor("nothing is owed", func(n *Node) bool { return len(n.servers[0].pendingMessages) == 0 && len(n.sessions) == 0 })
+	h.waitFor("nothing is owed", func(n *Node) bool { return len(n.servers[0].pendingMessages) == 0 && len(n.sessions) == 0 })
 }
 
 // A drain is reported after a SETUP was queued, and the connection breaks before a byte of it was written: it is not
 // sent again. It was sent to the draining server over a new connection, however long after.
 func TestDrainBeforeTheSetupIsSentAnew(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	feed := f.acceptFollower()
-	sc := f.addStalledServerConn()
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	feed := h.acceptFollower()
+	sc := h.addStalledServerConn()
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
-	f.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == 1 })
+	h.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == 1 })
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("the drain is handled", func(n *Node) bool { return n.servers[0].state == choice.Draining })
-	f.breakServerConn(sc)
+	h.waitFor("the drain is handled", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	h.breakServerConn(sc)
 	cl.expect("503")
-	f.wantNoSetup(s1)
+	h.wantNoSetup(s1)
 }
 
 // A server ends each connection before a byte of the SETUP was written: the SETUP is sent over one new connection, not
 // over any number of them.
 func TestSetupIsSentAnewOnce(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	stalled := []*serverConn{f.addStalledServerConn(), f.addStalledServerConn(), f.addStalledServerConn()}
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	stalled := []*serverConn{h.addStalledServerConn(), h.addStalledServerConn(), h.addStalledServerConn()}
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
 	for range 2 {
 		var sc *serverConn
-		f.waitFor("the SETUP is queued", func(n *Node) bool {
+		h.waitFor("the SETUP is queued", func(n *Node) bool {
 			i := slices.IndexFunc(stalled, func(sc *serverConn) bool { return len(sc.setups) == 1 && !sc.closed })
 			if i >= 0 {
 				sc = stalled[i]
 			}
 			return i >= 0
 		})
-		f.breakServerConn(sc)
+		h.breakServerConn(sc)
 	}
 	cl.expect("503") // the SETUP never ran
-	f.wantNoSetup(s1)
+	h.wantNoSetup(s1)
 }
 
 // A client leaves at the instant at which its SETUP is refused, just before or after: there is no second SETUP.
@@ -252,43 +252,43 @@
 	for name, leave := range map[string]func(v *peer){"closes": func(v *peer) { v.Close() }, "cancels": func(v *peer) { v.tearDown(testID(1), 0) }} {
 		for _, order := range []string{"refused first", "gone first"} {
 			t.Run(name+", "+order, func(t *testing.T) {
-				var hosts [2]*fakeServer
-				f := newHarness(t, 256, func(f *harness) []*fakeServer {
-					hosts = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
-					return hosts[:]
+				var servers [2]*fakeServer
+				h := newHarness(t, 256, func(h *harness) []*fakeServer {
+					servers = [2]*fakeServer{h.startServer("s-1"), h.startServer("s-2")}
+					return servers[:]
 				})
-				cl := f.connect()
+				cl := h.connect()
 				cl.setup(testID(1), "free", "")
-				x, h := f.expectAt(rtsp.Setup, hosts[:]...)
+				x, fs := h.expectAt(rtsp.Setup, servers[:]...)
 				steps := []func(){func() { x.conn.answer(x.msg, 453, "") }, func() { leave(cl) }}
 				if order == "gone first" {
 					slices.Reverse(steps)
 				}
-				f.batch(steps...)
-				f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
-				other := f.connect() // the next SETUP at the other server must be of this client
+				h.batch(steps...)
+				h.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+				other := h.connect() // the next SETUP at the other server must be of this client
 				other.setup(testID(2), "free", "")
-				y, at := f.nextSetup(hosts[:]...)
+				y, at := h.nextSetup(servers[:]...)
 				if y.msg.Session() != testID(2) {
 					t.Errorf("%s received %s after its client had left", at.name, y.msg.Session())
 				}
 				y.conn.answer(y.msg, 200, answerBody)
 				other.expect("200")
-				f.wantNoSetup(h)
+				h.wantNoSetup(fs)
 			})
 		}
 	}
 }
 
-// nextSetup returns the next SETUP at any of the hosts and skips other messages.
-func (h *harness) nextSetup(hosts ...*fakeServer) (receivedMessage, *fakeServer) {
+// nextSetup returns the next SETUP at any of the servers and skips other messages.
+func (h *harness) nextSetup(servers ...*fakeServer) (receivedMessage, *fakeServer) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		for _, h := range hosts {
+		for _, fs := range servers {
 			select {
-			case x := <-h.received:
+			case x := <-fs.received:
 				if x.msg.Method == rtsp.Setup {
-					return x, h
+					return x, fs
 				}
 			default:
 			}
@@ -300,27 +300,27 @@
 
 // A connection is opened after the SETUP that waited for it was given up: the next SETUP is sent on it, not that one.
 func TestConnectionComesUpTooLate(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
+	h, s1 := newSingleServerHarness(t, 256)
 	var sc *serverConn
-	f.inspect(func(n *Node) {
+	h.inspect(func(n *Node) {
 		sc = &serverConn{server: n.servers[0], cancelDial: func() {}}
 		n.servers[0].conns = []*serverConn{sc}
 	})
-	cl := f.connect()
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
-	f.waitFor("the SETUP waits for the connection", func(*Node) bool { return len(sc.setups) == 1 })
+	h.waitFor("the SETUP waits for the connection", func(*Node) bool { return len(sc.setups) == 1 })
 	cl.Close()
-	f.waitFor("the SETUP is given up", func(n *Node) bool { return n.openRequests == 0 && len(sc.setups) == 0 })
+	h.waitFor("the SETUP is given up", func(n *Node) bool { return n.openRequests == 0 && len(sc.setups) == 0 })
 	nc, err := net.Dial("tcp", s1.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	f.inspect(func(n *Node) { sc.conn = newConn(nc, zap.NewNop()); n.serverConnOpened(sc) })
+	h.inspect(func(n *Node) { sc.conn = newConn(nc, zap.NewNop()); n.serverConnOpened(sc) })
 	t.Cleanup(func() { sc.close() })
-	other := f.connect()
+	other := h.connect()
 	other.setup(testID(2), "free", "")
-	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
+	if x, _ := h.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
 		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
 }
@@ -328,31 +328,31 @@
 // Two SETUPs wait for a server that reads nothing, one held by the writer and one queued behind it, when their clients
 // leave: neither is sent, although the server reads again. They were sent as soon as it did.
 func TestClientGoneBeforeTheSetupLeft(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 3) // allows one connection to the server
+	h, s1 := newSingleServerHarness(t, 3) // allows one connection to the server
 	a, b := net.Pipe()
 	defer b.Close()
-	sc := f.addServerConn(a)
+	sc := h.addServerConn(a)
 	var v [3]*peer
 	for k := range v {
-		v[k] = f.connect()
+		v[k] = h.connect()
 		v[k].setup(testID(k), "free", "")
-		f.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == k+1 })
+		h.waitFor("the SETUP is queued", func(*Node) bool { return len(sc.setups) == k+1 })
 	}
-	f.waitFor("the first is being written", func(*Node) bool { sc.mu.Lock(); defer sc.mu.Unlock(); return sc.queuedTotal > int64(len(sc.buffer)) })
+	h.waitFor("the first is being written", func(*Node) bool { sc.mu.Lock(); defer sc.mu.Unlock(); return sc.queuedTotal > int64(len(sc.buffer)) })
 	v[1].Close()
-	f.waitFor("the SETUP is given up", func(*Node) bool { return len(sc.setups) == 2 })
-	f.inspect(func(*Node) {
+	h.waitFor("the SETUP is given up", func(*Node) bool { return len(sc.setups) == 2 })
+	h.inspect(func(*Node) {
 		if x, y := sc.setups[0], sc.setups[1]; x.setupEnd != y.setupStart {
 			t.Errorf("one SETUP ends at %d, the next begins at %d", x.setupEnd, y.setupStart)
 		}
 	})
 	v[0].Close()
-	f.waitFor("the connection is closed", func(n *Node) bool { return sc.isClosing() && n.openRequests == 1 })
+	h.waitFor("the connection is closed", func(n *Node) bool { return sc.isClosing() && n.openRequests == 1 })
 	if k, err := b.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes were written", k)
 	}
-	f.breakServerConn(sc) // as its reader reports
-	if x, _ := f.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
+	h.breakServerConn(sc) // as its reader reports
+	if x, _ := h.expectAt(rtsp.Setup, s1); x.msg.Session() != testID(2) {
 		t.Errorf("received a SETUP for %s", x.msg.Session())
 	}
 }
@@ -362,17 +362,17 @@
 func TestAnswerCrosses(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("TEARDOWN, answer first %v", answerFirst), func(t *testing.T) {
-			f, s1 := newSingleServerHarness(t, 256)
-			cl := f.connect()
+			h, s1 := newSingleServerHarness(t, 256)
+			cl := h.connect()
 			cl.setup(testID(1), "paid", "")
-			x, _ := f.expectAt(rtsp.Setup, s1)
+			x, _ := h.expectAt(rtsp.Setup, s1)
 			steps := []func(){func() { x.conn.answer(x.msg, 200, answerBody) }, func() { cl.tearDown(testID(1), 0) }}
 			if !answerFirst {
 				slices.Reverse(steps)
 			}
-			f.batch(steps...)
+			h.batch(steps...)
 			for {
-				if y, _ := f.expectAt(rtsp.TearDown, s1); parseCause(y.msg) == causeMoved {
+				if y, _ := h.expectAt(rtsp.TearDown, s1); parseCause(y.msg) == causeMoved {
 					break
 				}
 			}
@@ -383,19 +383,19 @@
 			if seen > 1 || seen == 1 && !answerFirst {
 				t.Errorf("%d answers", seen)
 			}
-			f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.abandonedSetups) == 0 })
+			h.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.abandonedSetups) == 0 })
 		})
 		t.Run(fmt.Sprintf("time-out, answer first %v", answerFirst), func(t *testing.T) {
-			f, s1 := newSingleServerHarness(t, 256)
-			cl := f.connect()
+			h, s1 := newSingleServerHarness(t, 256)
+			cl := h.connect()
 			cl.setup(testID(1), "paid", "")
-			x, _ := f.expectAt(rtsp.Setup, s1)
+			x, _ := h.expectAt(rtsp.Setup, s1)
 			timeOut := func() {
-				s := f.node.sessions[testID(1)] // the loop is blocked
-				f.node.events <- event{do: func() {
+				s := h.node.sessions[testID(1)] // the loop is blocked
+				h.node.events <- event{do: func() {
 					if s.state == attempting {
-						f.node.cancelTimeout(s.setupTimer)
-						f.node.setupTimedOut(s)
+						h.node.cancelTimeout(s.setupTimer)
+						h.node.setupTimedOut(s)
 					}
 				}}
 			}
@@ -405,11 +405,11 @@
 				slices.Reverse(steps)
 				want = "500"
 			}
-			f.batch(steps...)
+			h.batch(steps...)
 			cl.expect(want)
 			if !answerFirst {
 				for {
-					if y, _ := f.expectAt(rtsp.TearDown, s1); parseCause(y.msg) == causeMoved {
+					if y, _ := h.expectAt(rtsp.TearDown, s1); parseCause(y.msg) == causeMoved {
 						break
 					}
 				}
@@ -424,13 +424,13 @@
 
 // A server at its limit of connections refuses one more: its sessions go on. They were released as lost.
 func TestRefusedBesideALiveConnection(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
-	x := f.serveNext(s1, cl)
+	x := h.serveNext(s1, cl)
 	s1.Listener.Close()
 	cl.setup(testID(2), "paid", "")
-	y, _ := f.expectAt(rtsp.Setup, s1) // over the one open connection
+	y, _ := h.expectAt(rtsp.Setup, s1) // over the one open connection
 	cl.setup(testID(3), "paid", "")
 	if m := cl.expect("503"); m.Session() != testID(3) {
 		t.Errorf("%s was refused", m.Session())
@@ -446,92 +446,92 @@
 // A server's process is restarted under its id and address, and answers probes: its earlier sessions are released as
 // soon as the list reports the start. They were kept for ever.
 func TestServerStartedAnew(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	feed := f.acceptFollower()
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	feed := h.acceptFollower()
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	f.serveNext(s1, cl)
+	h.serveNext(s1, cl)
 	anew := strings.Replace(listEntry("s-1", s1.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().UnixMilli()+1), 1)
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, anew))
 	if r := cl.expect(rtsp.TearDown); parseCause(r) != causeLost || r.Session() != testID(1) {
 		t.Errorf("released %+v", r.Header)
 	}
-	f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].sessions) == 0 })
+	h.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.servers[0].sessions) == 0 })
 }
 
 // A message that never ends follows an open request: that request is answered. Its connection was just closed.
 func TestHalfAMessageBesideAnOpenRequest(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.sendf("%s", setupText(1, 4000)) // longer than the time limit of a message
-	f.expectAt(rtsp.Setup, s1)
+	h.expectAt(rtsp.Setup, s1)
 	cl.sendf("%s", setupText(2, 4000)[:50])
 	if m := cl.expect("500"); m.Session() != testID(1) {
 		t.Errorf("%s was answered", m.Session())
 	}
 	cl.expect("408")
-	f.expectAt(rtsp.TearDown, s1)
+	h.expectAt(rtsp.TearDown, s1)
 }
 
 // The server's answer meets a broken connection of its client, before the loop is notified of the break: nobody plays
 // the session, and the server is notified. It played on for nobody.
 func TestAnswerCrossesAClose(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x, _ := f.expectAt(rtsp.Setup, s1)
-	f.batch(func() { x.conn.answer(x.msg, 200, answerBody) }, func() { f.node.clients[0].closeOnceFlushed() })
-	if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
+	x, _ := h.expectAt(rtsp.Setup, s1)
+	h.batch(func() { x.conn.answer(x.msg, 200, answerBody) }, func() { h.node.clients[0].closeOnceFlushed() })
+	if y, _ := h.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
 		t.Errorf("released %s", y.msg.Session())
 	}
-	f.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
+	h.waitFor("the session is removed", func(n *Node) bool { return len(n.sessions) == 0 && len(n.clients) == 0 })
 }
 
 // Requests arrive in pieces: byte by byte, two in one segment, and a part before a close.
 func TestRequestsInPieces(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
+	h, s1 := newSingleServerHarness(t, 256)
 	text := func(k int) string { return setupText(k, 1500) }
-	cl := f.connect()
+	cl := h.connect()
 	cl.Conn.(*net.TCPConn).SetNoDelay(true)
 	for _, b := range []byte(text(1)) {
 		cl.Write([]byte{b})
 	}
-	f.serveNext(s1, cl)
+	h.serveNext(s1, cl)
 	for k, at := range []int{20, strings.Index(text(1), "Subject") + 3, strings.Index(text(1), requestBody) + 5} {
 		one := text(10 + k)
 		cl.sendf("%s", one[:at])
-		f.inspect(func(*Node) {})
+		h.inspect(func(*Node) {})
 		cl.sendf("%s", one[at:])
-		f.serveNext(s1, cl)
+		h.serveNext(s1, cl)
 	}
 	cl.sendf("%s", text(2)+text(3))
 	for range 2 {
-		x, _ := f.expectAt(rtsp.Setup, s1)
+		x, _ := h.expectAt(rtsp.Setup, s1)
 		x.conn.answer(x.msg, 200, answerBody)
 	}
 	cl.expect("200")
 	cl.expect("200")
 	cl.sendf("%s", text(4)[:50])
 	cl.Close()
-	f.waitFor("the client is removed", func(n *Node) bool { return len(n.clients) == 0 && n.openRequests == 0 && n.sessions[testID(4)] == nil })
+	h.waitFor("the client is removed", func(n *Node) bool { return len(n.clients) == 0 && n.openRequests == 0 && n.sessions[testID(4)] == nil })
 }
 
 // SIGHUP with an unchanged coordinator keeps its connection. It was opened again, which the platform charges for at
 // hundreds of nodes.
 func TestReloadOfTheSameCoordinator(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	feed := f.acceptFollower()
+	h, s1 := newSingleServerHarness(t, 256)
+	feed := h.acceptFollower()
 	read := make(chan bool, 1)
-	f.reloadConfig = func() (*start.Config, error) {
+	h.reloadConfig = func() (*start.Config, error) {
 		read <- true
-		return &start.Config{Coordinator: f.coordinatorListener.Addr().String()}, nil
+		return &start.Config{Coordinator: h.coordinatorListener.Addr().String()}, nil
 	}
-	f.reloadSignals <- syscall.SIGHUP
+	h.reloadSignals <- syscall.SIGHUP
 	<-read
-	f.inspect(func(*Node) {})
+	h.inspect(func(*Node) {})
 	fmt.Fprintf(feed, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("the coordinator is still followed", func(n *Node) bool { return n.servers[0].state == choice.Draining })
-	if len(f.followers) > 0 {
+	h.waitFor("the coordinator is still followed", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	if len(h.followers) > 0 {
 		t.Error("a new connection to the coordinator was opened")
 	}
 }
@@ -539,15 +539,15 @@
 // The old coordinator's last event is still queued when the new one is followed, which sends it as well and one more:
 // each is handled once, in order.
 func TestReloadCrossesTheOldCoordinatorsLastEvent(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	feed := f.acceptFollower()
-	listener, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
+	h, s1 := newSingleServerHarness(t, 256)
+	feed := h.acceptFollower()
+	listener, follows := h.startCoordinator()
+	h.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
 	up, drains := listEvent(2, false, listEntry("s-1", s1.Addr().String(), "up")), listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining"))
-	f.batch(
+	h.batch(
 		func() { fmt.Fprintf(feed, "%s\n", up) },
 		func() {
-			lifecycleActions{f.node}.Reload() // the last event handled is 1
+			lifecycleActions{h.node}.Reload() // the last event handled is 1
 			c := <-follows
 			if c.after != 1 {
 				t.Errorf("follows from event %d", c.after)
@@ -555,7 +555,7 @@
 			t.Cleanup(func() { c.Close() })
 			fmt.Fprintf(c, "%s\n%s\n", up, drains)
 		})
-	f.waitFor("all events are handled", func(n *Node) bool { return n.lastIndex == 3 && n.servers[0].state == choice.Draining })
+	h.waitFor("all events are handled", func(n *Node) bool { return n.lastIndex == 3 && n.servers[0].state == choice.Draining })
 }
 
 // Many servers and hundreds of silent clients share few descriptors while discovery is down: a tenth of the
@@ -563,48 +563,48 @@
 // soon as it is back.
 func TestDescriptorsInReserve(t *testing.T) {
 	const sockets = 64
-	f := newHarness(t, sockets, func(f *harness) (all []*fakeServer) {
+	h := newHarness(t, sockets, func(h *harness) (all []*fakeServer) {
 		for k := range 60 {
-			all = append(all, f.startServer(fmt.Sprintf("s-%02d", k)))
+			all = append(all, h.startServer(fmt.Sprintf("s-%02d", k)))
 		}
 		return all
 	})
-	f.acceptFollower().Close()
+	h.acceptFollower().Close()
 	for range 100 { // after a probe they do not count as silent
-		cl := f.connect()
+		cl := h.connect()
 		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	}
 	for k := range 60 {
-		f.inspect(func(n *Node) { n.dialServer(n.servers[k]) })
-		f.waitFor("the connection is open, or was closed to make room", func(n *Node) bool {
+		h.inspect(func(n *Node) { n.dialServer(n.servers[k]) })
+		h.waitFor("the connection is open, or was closed to make room", func(n *Node) bool {
 			return !slices.ContainsFunc(n.servers[k].conns, func(sc *serverConn) bool { return !sc.up })
 		})
 	}
-	f.waitFor("a tenth of the descriptors is free", func(n *Node) bool {
+	h.waitFor("a tenth of the descriptors is free", func(n *Node) bool {
 		if n.serverConnCount() > share.MaxServerConns(sockets) {
 			t.Errorf("%d connections to servers", n.serverConnCount())
 		}
 		return len(n.clients)+n.serverConnCount() <= sockets*90/100 && len(n.servers[59].conns) == 1
 	})
-	f.acceptFollower()
+	h.acceptFollower()
 }
 
 // Two nodes run one after the other at one address, and a third beside them, each with its own settings: none uses
 // another's.
 func TestNodesShareNothing(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	f.serveNext(s1, cl)
-	f.stop() // its client's connection stays open
-	text := strings.NewReplacer(`"free"`, `"gratis"`, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, f.addr), `"class_floor":[0,1]`, `"class_floor":[2,1]`).
-		Replace(f.config(256, 1, listEvent(1, true, listEntry("s-1", s1.Addr().String(), "up"))))
+	h.serveNext(s1, cl)
+	h.stop() // its client's connection stays open
+	text := strings.NewReplacer(`"free"`, `"gratis"`, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, h.addr), `"class_floor":[0,1]`, `"class_floor":[2,1]`).
+		Replace(h.config(256, 1, listEvent(1, true, listEntry("s-1", s1.Addr().String(), "up"))))
 	s, err := start.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	other, s2 := newSingleServerHarness(t, 256)
-	next := &harness{t: t, addr: f.addr, exitCode: make(chan lifecycle.ExitCode, 1)}
+	next := &harness{t: t, addr: h.addr, exitCode: make(chan lifecycle.ExitCode, 1)}
 	got := make(chan *Node, 1)
 	go func() {
 		code, err := Run(Options{Config: s, Log: zap.NewNop(), onServing: func(n *Node) { got <- n }})
--- a/internal/node/ending_test.go
+++ b/internal/node/ending_test.go
@@ -38,19 +38,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var s1, s2 *fakeServer
-			f := newHarness(t, 256, func(f *harness) []*fakeServer {
-				s1, s2 = f.startServer("s-1"), f.startServer("s-2")
+			h := newHarness(t, 256, func(h *harness) []*fakeServer {
+				s1, s2 = h.startServer("s-1"), h.startServer("s-2")
 				return []*fakeServer{s1, s2}
 			})
-			cl := f.connect()
+			cl := h.connect()
 			cl.setup(testID(1), c.class, "")
-			x, h := f.expectAt(rtsp.Setup, s1, s2)
+			x, fs := h.expectAt(rtsp.Setup, s1, s2)
 			conn := x.conn
 			if c.elsewhere {
 				cl.setup(testID(2), "paid", "")
 				for conn == x.conn { // a second SETUP at the same server gets a connection of its own
-					y, g := f.expectAt(rtsp.Setup, s1, s2)
-					if g != h {
+					y, g := h.expectAt(rtsp.Setup, s1, s2)
+					if g != fs {
 						y.conn.answer(y.msg, 453, "")
 						continue
 					}
@@ -67,7 +67,7 @@
 				}
 			}
 			time.Sleep(c.answer + refusedWithin)
-			f.inspect(func(n *Node) {
+			h.inspect(func(n *Node) {
 				if n.sessions[testID(1)] != nil {
 					t.Error("the session is still known")
 				}
@@ -88,19 +88,19 @@
 // An idle connection is closed while its reader already holds a request: the request is answered, whichever of the two the loop
 // handles first.
 func TestRequestReadAsItsConnectionIsClosed(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	cl.expect("200")
-	f.batch(
+	h.batch(
 		func() { cl.setup(testID(1), "free", "") },
 		func() {
-			f.node.clients[0].LastUsed = -100
-			f.node.closeIdleClients()
-			f.node.events <- event{do: func() {}}
+			h.node.clients[0].LastUsed = -100
+			h.node.closeIdleClients()
+			h.node.events <- event{do: func() {}}
 		},
 	)
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
 	cl.expect("200")
 }
@@ -110,25 +110,25 @@
 func TestExitHearsEveryReader(t *testing.T) {
 	var clients []*peer
 	read := map[string]bool{}
-	f := newHarness(t, 256, func(f *harness) []*fakeServer {
-		f.onLog = func(message string) {
+	h := newHarness(t, 256, func(h *harness) []*fakeServer {
+		h.onLog = func(message string) {
 			if message != "exit" && message != "node stopped" {
 				return
 			}
-			v, queued := clients[len(read)], len(f.node.events)
+			v, queued := clients[len(read)], len(h.node.events)
 			v.setup(testID(len(read)), "free", "")
-			for end := time.Now().Add(100 * time.Millisecond); len(f.node.events) == queued && time.Now().Before(end); {
+			for end := time.Now().Add(100 * time.Millisecond); len(h.node.events) == queued && time.Now().Before(end); {
 				time.Sleep(100 * time.Microsecond)
 			}
-			read[message] = len(f.node.events) > queued
+			read[message] = len(h.node.events) > queued
 		}
-		return []*fakeServer{f.startServer("s-1")}
+		return []*fakeServer{h.startServer("s-1")}
 	})
-	clients = []*peer{f.connect(), f.connect()}
-	f.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
-	f.sendTerminate()
-	f.terminationSignals <- syscall.SIGTERM
-	f.exitCode <- <-f.exitCode
+	clients = []*peer{h.connect(), h.connect()}
+	h.waitFor("both connections are known", func(n *Node) bool { return len(n.clients) == 2 })
+	h.sendTerminate()
+	h.terminationSignals <- syscall.SIGTERM
+	h.exitCode <- <-h.exitCode
 	if !read["exit"] { // otherwise the test proves nothing
 		t.Error("the request at the exit was not read")
 	}
@@ -142,19 +142,19 @@
 // A server's release arrives on a connection that the node is closing because a SETUP on it timed out: the session has ended, and
 // its client is notified.
 func TestReleaseOnAConnectionThatIsClosed(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x := f.serveNext(s1, cl)
+	x := h.serveNext(s1, cl)
 	cl.setup(testID(2), "free", "")
-	y, _ := f.expectAt(rtsp.Setup, s1)
+	y, _ := h.expectAt(rtsp.Setup, s1)
 	if y.conn != x.conn {
 		t.Fatal("the second SETUP arrived on another connection")
 	}
 	var first *serverConn
-	f.inspect(func(n *Node) { first = n.serversByID["s-1"].conns[0] })
+	h.inspect(func(n *Node) { first = n.serversByID["s-1"].conns[0] })
 	cl.expect("503") // after its timeout
-	f.waitFor("the connection is being closed", func(*Node) bool { return first.closed })
+	h.waitFor("the connection is being closed", func(*Node) bool { return first.closed })
 	x.conn.tearDown(testID(1), causeFinished)
 	if m := cl.expectWithin(200*time.Millisecond, rtsp.TearDown); m.Session() != testID(1) {
 		t.Errorf("released %s", m.Session())
@@ -166,20 +166,20 @@
 func TestHalfCloseBehindARequest(t *testing.T) {
 	for _, class := range []string{"free", "paid"} {
 		t.Run(class, func(t *testing.T) {
-			f, s1 := newSingleServerHarness(t, 256)
-			cl := f.connect()
+			h, s1 := newSingleServerHarness(t, 256)
+			cl := h.connect()
 			cl.setup(testID(1), class, "")
-			x, _ := f.expectAt(rtsp.Setup, s1)
+			x, _ := h.expectAt(rtsp.Setup, s1)
 			cl.Conn.(*net.TCPConn).CloseWrite()
 			if m := cl.expectWithin(100*time.Millisecond, "500"); m.Session() != testID(1) {
 				t.Errorf("answered %s", m.Session())
 			}
 			cl.expect("closed")
-			if y, _ := f.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
+			if y, _ := h.expectAt(rtsp.TearDown, s1); y.msg.Session() != testID(1) {
 				t.Errorf("cancelled %s", y.msg.Session())
 			}
 			x.conn.answer(x.msg, 200, answerBody)
-			f.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+			h.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 		})
 	}
 }
@@ -187,14 +187,14 @@
 // A connection is reset while a SETUP is in flight on it. The server may have set the session up, so the node releases it there,
 // over a new connection if there is none.
 func TestResetAttemptIsWithdrawn(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	x.conn.Conn.(*net.TCPConn).SetLinger(0)
 	x.conn.Close()
 	cl.expect("503")
-	y, _ := f.expectAt(rtsp.TearDown, s1)
+	y, _ := h.expectAt(rtsp.TearDown, s1)
 	if y.msg.Session() != testID(1) || y.conn == x.conn {
 		t.Errorf("released %s, on the same connection: %v", y.msg.Session(), y.conn == x.conn)
 	}
@@ -203,19 +203,19 @@
 // A request is read and answered while its idle connection is being closed, and the answer is not written yet when the reader has
 // stopped: it is sent before the close.
 func TestAnswerNotWrittenAsItsConnectionIsClosed(t *testing.T) {
-	f := newHarness(t, 256, func(f *harness) []*fakeServer {
-		f.writeDelay = 50 * time.Millisecond
+	h := newHarness(t, 256, func(h *harness) []*fakeServer {
+		h.writeDelay = 50 * time.Millisecond
 		return nil
 	})
-	cl := f.connect()
+	cl := h.connect()
 	cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 	cl.expect("200")
-	f.batch(
+	h.batch(
 		func() { cl.setup(testID(1), "free", "") },
 		func() {
-			f.node.clients[0].LastUsed = -100
-			f.node.closeIdleClients()
-			f.node.events <- event{do: func() {}}
+			h.node.clients[0].LastUsed = -100
+			h.node.closeIdleClients()
+			h.node.events <- event{do: func() {}}
 		},
 	)
 	cl.expect("503") // no server holds the title; whether the connection closes depends on whether the two events share a batch
--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -30,7 +30,7 @@
 }
 
 // localErrors are the errors of socket(2), bind(2) and connect(2) that concern only the local machine: no descriptor,
-// port, memory or route is available, or its use is not permitted. Nothing was sent, and they say nothing about the
+// port, memory or route is available, or its use is not permitted. Nothing was sent, and they show nothing about the
 // peer.
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,10 +18,10 @@
 )
 
 func TestServedAndReleased(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	m := x.msg
 	if m.URL != "rtsp://media/t1" || m.Session() != testID(1) || m.Header.Get("Subject") != "paid" || string(m.Body) != requestBody || m.Header.Get("X-Facts") != "" {
 		t.Errorf("forwarded as %+v %q", m.Header, m.Body)
@@ -37,7 +37,7 @@
 	if a := cl.expect("200"); string(a.Body) != answerBody || a.Session() != testID(1) || a.CSeq() != 1 {
 		t.Errorf("answered %+v %q", a.Header, a.Body)
 	}
-	f.inspect(func(n *Node) {
+	h.inspect(func(n *Node) {
 		if s := n.sessions[testID(1)]; s == nil || s.state != established || n.openRequests != 0 || len(n.servers[0].sessions) != 1 {
 			t.Error("the session is not established")
 		}
@@ -48,15 +48,15 @@
 		t.Errorf("released with %+v", r.Header)
 	}
 	cl.setup(testID(2), "free", "")
-	x, _ = f.expectAt(rtsp.Setup, s1)
+	x, _ = h.expectAt(rtsp.Setup, s1)
 	x.conn.answer(x.msg, 200, answerBody)
 	cl.expect("200") // and no second release before it
 	cl.tearDown(testID(2), 0)
-	y, _ := f.expectAt(rtsp.TearDown, s1)
+	y, _ := h.expectAt(rtsp.TearDown, s1)
 	if parseCause(y.msg) != causeMoved {
 		t.Errorf("ended with %+v", y.msg.Header)
 	}
-	f.waitFor("the session is forgotten", func(n *Node) bool {
+	h.waitFor("the session is forgotten", func(n *Node) bool {
 		return len(n.sessions) == 0 && n.openRequests == 0 && len(n.servers[0].sessions) == 0
 	})
 }
@@ -66,7 +66,7 @@
 	for name, c := range map[string]struct {
 		class, want string
 		retried     bool // a second server gets a SETUP, and serves
-		do          func(x receivedMessage, h *fakeServer)
+		do          func(x receivedMessage, fs *fakeServer)
 	}{
 		"full":                  {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 453, "") }},
 		"not found":             {"paid", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.answer(x.msg, 454, "") }},
@@ -78,7 +78,7 @@
 		"released first":        {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.tearDown(x.msg.Session(), 41) }},
 		"closed":                {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
 		"paid, closed":          {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.Close() }},
-		"dies":                  {"paid", "500", false, func(_ receivedMessage, h *fakeServer) { h.kill() }},
+		"dies":                  {"paid", "500", false, func(_ receivedMessage, fs *fakeServer) { fs.kill() }},
 		"silent":                {"free", "200", true, func(receivedMessage, *fakeServer) {}},
 		"garbage":               {"free", "200", true, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("\x00\xffgarbage\r\n\r\n") }},
 		"paid, garbage":         {"paid", "500", false, func(x receivedMessage, _ *fakeServer) { x.conn.sendf("RTSP/1.0 2x0 OK\r\n\r\n") }},
@@ -105,20 +105,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s [2]*fakeServer
-			f := newHarness(t, 256, func(f *harness) []*fakeServer {
-				s = [2]*fakeServer{f.startServer("s-1"), f.startServer("s-2")}
+			h := newHarness(t, 256, func(h *harness) []*fakeServer {
+				s = [2]*fakeServer{h.startServer("s-1"), h.startServer("s-2")}
 				return s[:]
 			})
-			cl := f.connect()
+			cl := h.connect()
 			cl.setup(testID(1), c.class, "")
-			x, h := f.expectAt(rtsp.Setup, s[0], s[1])
-			c.do(x, h)
+			x, fs := h.expectAt(rtsp.Setup, s[0], s[1])
+			c.do(x, fs)
 			if c.retried {
 				other := s[0]
-				if h == other {
+				if fs == other {
 					other = s[1]
 				}
-				y, _ := f.expectAt(rtsp.Setup, other)
+				y, _ := h.expectAt(rtsp.Setup, other)
 				y.conn.answer(y.msg, 200, answerBody)
 			}
 			if a := cl.expect(c.want); c.want == "200" && string(a.Body) != answerBody {
@@ -129,34 +129,34 @@
 			if a := cl.expect("200"); a.Session() != testID(50) {
 				t.Errorf("got a second answer for session %s", a.Session())
 			}
-			f.waitFor("no request is open", func(n *Node) bool { return n.openRequests == 0 })
+			h.waitFor("no request is open", func(n *Node) bool { return n.openRequests == 0 })
 		})
 	}
 }
 
 // A refused connection proves that the SETUP had no effect: even a paid request is answered 503 (safe to repeat).
 func TestConnectionRefused(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
+	h, s1 := newSingleServerHarness(t, 256)
 	s1.kill()
-	cl := f.connect()
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
 	cl.expect("503")
 }
 
 // An idle connection was reset: a SETUP that is assigned to it goes over a new connection, as no byte of it was sent.
 func TestSetupOverACutConnection(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
-	x := f.serveNext(s1, cl)
+	x := h.serveNext(s1, cl)
 	x.conn.Conn.(*net.TCPConn).SetLinger(0)
 	x.conn.Close()
-	f.waitFor("the reset is handled and a new connection is open", func(n *Node) bool {
+	h.waitFor("the reset is handled and a new connection is open", func(n *Node) bool {
 		c := n.servers[0].conns
 		return len(c) == 1 && c[0].up && len(n.servers[0].sessions) == 1
 	})
 	cl.setup(testID(2), "paid", "")
-	y := f.serveNext(s1, cl)
+	y := h.serveNext(s1, cl)
 	y.conn.tearDown(testID(1), 16) // an established session belongs to no connection
 	if r := cl.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
@@ -165,44 +165,44 @@
 
 func TestCancelledRequests(t *testing.T) {
 	t.Run("answered afterwards", func(t *testing.T) {
-		f, s1 := newSingleServerHarness(t, 256)
-		cl := f.connect()
+		h, s1 := newSingleServerHarness(t, 256)
+		cl := h.connect()
 		cl.setup(testID(1), "free", "")
-		x, _ := f.expectAt(rtsp.Setup, s1)
+		x, _ := h.expectAt(rtsp.Setup, s1)
 		cl.tearDown(testID(1), 0)
-		y, _ := f.expectAt(rtsp.TearDown, s1)
+		y, _ := h.expectAt(rtsp.TearDown, s1)
 		if parseCause(y.msg) != 0 {
 			t.Error("a SETUP in flight must be cancelled, not released")
 		}
 		x.conn.answer(x.msg, 200, answerBody)
-		if z, _ := f.expectAt(rtsp.TearDown, s1); parseCause(z.msg) != causeMoved || z.msg.Session() != testID(1) {
+		if z, _ := h.expectAt(rtsp.TearDown, s1); parseCause(z.msg) != causeMoved || z.msg.Session() != testID(1) {
 			t.Errorf("the late session is not released: %+v", z.msg.Header)
 		}
 		if m := cl.expect("200"); m.CSeq() != 2 {
 			t.Error("got an answer to a cancelled request")
 		}
-		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
+		h.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && len(n.abandonedSetups) == 0 && n.openRequests == 0 })
 	})
 	t.Run("by closing", func(t *testing.T) {
-		f, s1 := newSingleServerHarness(t, 256)
-		cl := f.connect()
+		h, s1 := newSingleServerHarness(t, 256)
+		cl := h.connect()
 		cl.setup(testID(1), "free", "")
-		f.expectAt(rtsp.Setup, s1)
+		h.expectAt(rtsp.Setup, s1)
 		cl.Close()
-		f.expectAt(rtsp.TearDown, s1)
-		f.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
+		h.expectAt(rtsp.TearDown, s1)
+		h.waitFor("the requests are forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 && len(n.clients) == 0 })
 	})
 	t.Run("hundreds at once", func(t *testing.T) {
-		f, s1 := newSingleServerHarness(t, 256)
-		cl := f.connect()
+		h, s1 := newSingleServerHarness(t, 256)
+		cl := h.connect()
 		for k := range 300 {
 			cl.setup(testID(k), "free", "")
 		}
 		for k := range 300 {
 			cl.tearDown(testID(k), 0)
 		}
-		f.waitFor("the requests are forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
-		other := f.connect()
+		h.waitFor("the requests are forgotten", func(n *Node) bool { return n.counts["asked"] > 0 && len(n.sessions) == 0 && n.openRequests == 0 })
+		other := h.connect()
 		other.setup(testID(1000), "free", "")
 		for {
 			x := <-s1.received
@@ -241,12 +241,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s1 := newSingleServerHarness(t, 256)
-			cl := f.connect()
+			h, s1 := newSingleServerHarness(t, 256)
+			cl := h.connect()
 			cl.sendf("%s", c.input)
 			cl.expect(c.want)
-			f.waitFor("the request is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
-			other := f.connect()
+			h.waitFor("the request is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+			other := h.connect()
 			other.setup(testID(8), "free", "")
 			for x := range s1.received {
 				if x.msg.Session() == testID(8) {
@@ -261,10 +261,10 @@
 
 // A request with the session id of another connection's open request is refused, and the open request continues.
 func TestSessionIDOpenOnAnotherConnection(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl, other := f.connect(), f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl, other := h.connect(), h.connect()
 	cl.setup(testID(1), "paid", "")
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	other.setup(testID(1), "paid", "")
 	other.expect("400")
 	x.conn.answer(x.msg, 200, answerBody)
@@ -273,14 +273,14 @@
 
 // Hundreds of silent connections are evicted, and another client is served meanwhile.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x, _ := f.expectAt(rtsp.Setup, s1)
+	x, _ := h.expectAt(rtsp.Setup, s1)
 	for range 300 {
-		f.connect()
+		h.connect()
 	}
-	f.waitFor("the connections are within the limit", func(n *Node) bool {
+	h.waitFor("the connections are within the limit", func(n *Node) bool {
 		open := 0
 		for _, cl := range n.clients {
 			if !cl.isClosing() {
@@ -291,30 +291,30 @@
 	})
 	x.conn.answer(x.msg, 200, answerBody)
 	cl.expect("200")
-	other := f.connect()
+	other := h.connect()
 	other.setup(testID(2), "free", "")
-	f.serveNext(s1, other)
-	f.waitFor("the silent connections are closed", func(n *Node) bool { return len(n.clients) == 2 })
+	h.serveNext(s1, other)
+	h.waitFor("the silent connections are closed", func(n *Node) bool { return len(n.clients) == 2 })
 }
 
 // Connections that only send OPTIONS and hold every slot are evicted in favour of a new one, which has sent nothing yet.
 func TestNewConnectionIsNotEvicted(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 64)
+	h, s1 := newSingleServerHarness(t, 64)
 	for range share.MaxViewerConns(64, 0) + 5 {
-		cl := f.connect()
+		cl := h.connect()
 		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 		cl.expect("200")
 	}
-	other := f.connect()
-	f.waitFor("the new connection is accepted", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
+	other := h.connect()
+	h.waitFor("the new connection is accepted", func(n *Node) bool { return n.counts["viewers"] == share.MaxViewerConns(64, 0)+6 })
 	other.setup(testID(1), "free", "")
-	f.serveNext(s1, other)
+	h.serveNext(s1, other)
 }
 
 // Requests over a connection's limit are answered 503 at once: they had no effect.
 func TestRequestsOverTheLimit(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	for k := range share.MaxPendingPerConn + 1 {
 		cl.setup(testID(k), "free", "")
 	}
@@ -322,7 +322,7 @@
 		t.Errorf("refused %s", m.Session())
 	}
 	for range share.MaxPendingPerConn {
-		x, _ := f.expectAt(rtsp.Setup, s1)
+		x, _ := h.expectAt(rtsp.Setup, s1)
 		x.conn.answer(x.msg, 200, answerBody)
 	}
 	for range share.MaxPendingPerConn {
@@ -332,20 +332,20 @@
 
 func TestServerLost(t *testing.T) {
 	t.Run("process dies", func(t *testing.T) {
-		f, s1 := newSingleServerHarness(t, 256)
-		cl := f.connect()
+		h, s1 := newSingleServerHarness(t, 256)
+		cl := h.connect()
 		cl.setup(testID(1), "paid", "")
-		f.serveNext(s1, cl)
+		h.serveNext(s1, cl)
 		s1.kill()
 		if r := cl.expect(rtsp.TearDown); parseCause(r) != causeLost {
 			t.Errorf("released with %+v", r.Header)
 		}
 	})
 	t.Run("process is silent", func(t *testing.T) {
-		f, s1 := newSingleServerHarness(t, 256)
-		cl := f.connect()
+		h, s1 := newSingleServerHarness(t, 256)
+		cl := h.connect()
 		cl.setup(testID(1), "paid", "")
-		f.serveNext(s1, cl)
+		h.serveNext(s1, cl)
 		s1.ignoreProbes.Store(true) // its connections stay open
 		// The client must be notified within 8 s.
 		if r := cl.expectWithin(8*time.Second, rtsp.TearDown); parseCause(r) != causeLost {
@@ -355,13 +355,13 @@
 }
 
 func TestHandedOver(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "paid", ";at:s-1")
 	cl.setup(testID(1), "paid", ";at:s-1")
 	cl.setup(testID(2), "paid", ";at:s-1")
-	f.waitFor("both are established", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
-	f.waitFor("a connection is open on which releases can arrive", func(n *Node) bool {
+	h.waitFor("both are established", func(n *Node) bool { return len(n.sessions) == 2 && len(n.servers[0].sessions) == 2 })
+	h.waitFor("a connection is open on which releases can arrive", func(n *Node) bool {
 		return len(n.servers[0].conns) == 1 && n.servers[0].conns[0].up
 	})
 	p := s1.firstConn()
@@ -374,21 +374,21 @@
 	if r := cl.expect(rtsp.TearDown); r.Session() != testID(3) {
 		t.Errorf("released %s", r.Session())
 	}
-	f.inspect(func(n *Node) { // the stored session is small
+	h.inspect(func(n *Node) { // the stored session is small
 		if s := n.sessions[testID(2)]; s == nil || s.body != nil {
 			t.Error("a handed-over session keeps its description")
 		}
 		n.config.MemoryMB = 0
 	})
-	other := f.connect()
+	other := h.connect()
 	for k := range share.MaxHandedOver(0) + 5 { // sessions over the limit are released at once
 		other.setup(testID(100+k), "free", ";at:s-1")
 	}
 	other.expect(rtsp.TearDown)
-	f.waitFor("the sessions are within the limit", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
-	f.inspect(func(n *Node) { n.config.MemoryMB = 64 })
+	h.waitFor("the sessions are within the limit", func(n *Node) bool { return len(n.sessions) == share.MaxHandedOver(0) })
+	h.inspect(func(n *Node) { n.config.MemoryMB = 64 })
 	p.tearDown(testID(4), 41) // released before it is handed over
-	f.waitFor("the release is remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
+	h.waitFor("the release is remembered", func(n *Node) bool { return n.unknownReleases[testID(4)] })
 	cl.setup(testID(4), "paid", ";at:s-1")
 	if r := cl.expect(rtsp.TearDown); r.Session() != testID(4) {
 		t.Errorf("released %s", r.Session())
@@ -397,17 +397,17 @@
 
 // A release whose client's connection has closed is sent on another connection that has served a session.
 func TestReleasedOnAnotherConnection(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x := f.serveNext(s1, cl)
+	x := h.serveNext(s1, cl)
 	cl.Close()
-	f.waitFor("the client's connection is closed", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
+	h.waitFor("the client's connection is closed", func(n *Node) bool { return len(n.clients) == 0 && len(n.sessions) == 1 })
 	x.conn.tearDown(testID(1), 16)
-	f.waitFor("the release is pending", func(n *Node) bool { return len(n.pendingReleases) == 1 })
-	other := f.connect()
+	h.waitFor("the release is pending", func(n *Node) bool { return len(n.pendingReleases) == 1 })
+	other := h.connect()
 	other.setup(testID(2), "free", "")
-	f.serveNext(s1, other)
+	h.serveNext(s1, other)
 	if r := other.expect(rtsp.TearDown); r.Session() != testID(1) {
 		t.Errorf("released %s", r.Session())
 	}
@@ -415,17 +415,17 @@
 
 func TestCoordinator(t *testing.T) {
 	var s1, s2 *fakeServer
-	f := newHarness(t, 256, func(f *harness) []*fakeServer {
-		s1, s2 = f.startServer("s-1"), f.startServer("s-2")
+	h := newHarness(t, 256, func(h *harness) []*fakeServer {
+		s1, s2 = h.startServer("s-1"), h.startServer("s-2")
 		return []*fakeServer{s1}
 	})
-	c := f.acceptFollower()
+	c := h.acceptFollower()
 	if c.after != 1 {
 		t.Fatalf("follows %d", c.after)
 	}
 	state := func(want string) {
 		t.Helper()
-		f.waitFor(want, func(n *Node) bool {
+		h.waitFor(want, func(n *Node) bool {
 			got := ""
 			for _, sv := range n.servers {
 				got += fmt.Sprintf("%s:%d ", sv.id, sv.state)
@@ -437,27 +437,27 @@
 	state("s-1:1 s-2:1 ")
 	fmt.Fprintf(c, "%s", listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining"))[:40]) // half an event
 	c.Close()
-	if c = f.acceptFollower(); c.after != 2 {
+	if c = h.acceptFollower(); c.after != 2 {
 		t.Fatalf("follows %d after half an event", c.after)
 	}
 	fmt.Fprintf(c, "%s\n", listEvent(3, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	state("s-1:2 s-2:1 ")
-	cl := f.connect()
+	cl := h.connect()
 	cl.setup(testID(1), "free", "")
-	x, _ := f.expectAt(rtsp.Setup, s2)
+	x, _ := h.expectAt(rtsp.Setup, s2)
 	x.conn.answer(x.msg, 200, answerBody)
 	cl.expect("200")
 	fmt.Fprintf(c, "9\n") // index 9: the events before it are missing
-	if c = f.acceptFollower(); c.after != 3 {
+	if c = h.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a gap", c.after)
 	}
 	// The connection stays open and silent.
-	if c = f.acceptFollower(); c.after != 3 {
+	if c = h.acceptFollower(); c.after != 3 {
 		t.Fatalf("follows %d after a silence", c.after)
 	}
 	// s-2 is removed while it has a session, and its address now belongs to s-3.
 	fmt.Fprintf(c, "%s\n%s\n", listEvent(4, false, listEntry("s-2", "", "removed")), listEvent(5, false, listEntry("s-3", s2.Addr().String(), "up")))
-	f.waitFor("s-2 is kept until its session ends", func(n *Node) bool {
+	h.waitFor("s-2 is kept until its session ends", func(n *Node) bool {
 		return len(n.servers) == 3 && n.servers[1].id == "s-2" && n.servers[2].id == "s-3" && len(n.servers[1].sessions) == 1
 	})
 	x.conn.Close()
@@ -469,34 +469,34 @@
 
 // A server starts to drain while a SETUP waits for its connection: the SETUP is never sent.
 func TestDrainBeforeTheSetupLeft(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
-	f.inspect(func(n *Node) { // the connection is still being opened
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
+	h.inspect(func(n *Node) { // the connection is still being opened
 		n.servers[0].conns = []*serverConn{{server: n.servers[0], cancelDial: func() {}}}
 	})
 	cl.setup(testID(1), "paid", "")
-	f.waitFor("the SETUP waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
-	fmt.Fprintf(f.acceptFollower(), "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
+	h.waitFor("the SETUP waits", func(n *Node) bool { return n.openRequests == 1 && len(n.servers[0].conns) == 1 })
+	fmt.Fprintf(h.acceptFollower(), "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
 	cl.expect("503")
 }
 
 func TestReload(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	f.acceptFollower()
+	h, s1 := newSingleServerHarness(t, 256)
+	h.acceptFollower()
 	failed := make(chan bool, 1)
-	f.reloadConfig = func() (*start.Config, error) { failed <- true; return nil, errors.New("half a file") }
-	f.reloadSignals <- syscall.SIGHUP
+	h.reloadConfig = func() (*start.Config, error) { failed <- true; return nil, errors.New("half a file") }
+	h.reloadSignals <- syscall.SIGHUP
 	<-failed
-	listener, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
-	f.reloadSignals <- syscall.SIGHUP
+	listener, follows := h.startCoordinator()
+	h.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
+	h.reloadSignals <- syscall.SIGHUP
 	select {
 	case c := <-follows:
 		if c.after != 1 {
 			t.Errorf("follows %d", c.after)
 		}
 		fmt.Fprintf(c, "%s\n", listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-		f.waitFor("the new coordinator's event is applied", func(n *Node) bool { return n.servers[0].state == 2 })
+		h.waitFor("the new coordinator's event is applied", func(n *Node) bool { return n.servers[0].state == 2 })
 		c.Close()
 	case <-time.After(testTimeout):
 		t.Fatal("the new coordinator is not followed")
@@ -504,33 +504,33 @@
 }
 
 func TestTerminated(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	cl := f.connect()
+	h, s1 := newSingleServerHarness(t, 256)
+	cl := h.connect()
 	ping := func(want string) {
 		t.Helper()
 		cl.sendf("OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")
 		cl.expect(want)
 	}
 	ping("200")
-	f.terminationSignals <- syscall.SIGTERM
+	h.terminationSignals <- syscall.SIGTERM
 	drainStart := 0.0
-	f.waitFor("the node drains", func(n *Node) bool { drainStart = n.now; return !n.ready })
+	h.waitFor("the node drains", func(n *Node) bool { drainStart = n.now; return !n.ready })
 	ping("503")
-	w := f.connect() // connections and requests are still accepted
+	w := h.connect() // connections and requests are still accepted
 	w.setup(testID(1), "free", "")
-	f.serveNext(s1, w)
+	h.serveNext(s1, w)
 	// The node stays while it has a session, but exits before SIGKILL, which follows 0.7 s after the longest setup timeout.
-	f.inspect(func(n *Node) {
+	h.inspect(func(n *Node) {
 		if d := n.lifecycle.NextWakeup() - drainStart; d < 1.2 || d > n.config.SetupTimeout+0.7 {
 			t.Errorf("exit %v s after SIGTERM", d)
 		}
 	})
 	select {
-	case code := <-f.exitCode:
+	case code := <-h.exitCode:
 		if code != lifecycle.ExitClean {
 			t.Errorf("exit %d", code)
 		}
-		f.exitCode <- code
+		h.exitCode <- code
 	case <-time.After(testTimeout):
 		t.Fatal("the node does not exit")
 	}
@@ -542,20 +542,20 @@
 	if testing.Short() {
 		t.Skip()
 	}
-	var hosts []*fakeServer
-	f := newHarness(t, 256, func(f *harness) []*fakeServer {
+	var servers []*fakeServer
+	h := newHarness(t, 256, func(h *harness) []*fakeServer {
 		for k := range 4 {
-			hosts = append(hosts, f.startServer(fmt.Sprintf("s-%d", k)))
+			servers = append(servers, h.startServer(fmt.Sprintf("s-%d", k)))
 		}
-		return hosts
+		return servers
 	})
 	stop := make(chan struct{})
 	defer close(stop)
-	for _, h := range hosts {
+	for _, fs := range servers {
 		go func() {
 			for {
 				select {
-				case x := <-h.received:
+				case x := <-fs.received:
 					if x.msg.Method == rtsp.Setup {
 						x.conn.answer(x.msg, 200, answerBody)
 					}
@@ -565,10 +565,10 @@
 			}
 		}()
 	}
-	c := f.acceptFollower()
+	c := h.acceptFollower()
 	index := 1
 	for round := range 200 {
-		cl := f.connect()
+		cl := h.connect()
 		for k := range 50 {
 			cl.setup(testID(round*50+k), "free", "")
 		}
@@ -580,22 +580,22 @@
 		for k := range 50 {
 			cl.tearDown(testID(round*50+k), 16)
 		}
-		h := hosts[round%len(hosts)]
+		fs := servers[round%len(servers)]
 		index += 2
-		fmt.Fprintf(c, "%s\n%s\n", listEvent(index-1, false, listEntry(h.name, "", "removed")), listEvent(index, false, listEntry(fmt.Sprintf("s-%d", 100+round), h.Addr().String(), "up")))
-		h.name = fmt.Sprintf("s-%d", 100+round)
+		fmt.Fprintf(c, "%s\n%s\n", listEvent(index-1, false, listEntry(fs.name, "", "removed")), listEvent(index, false, listEntry(fmt.Sprintf("s-%d", 100+round), fs.Addr().String(), "up")))
+		fs.name = fmt.Sprintf("s-%d", 100+round)
 		// The module's count of sessions matches the node's.
-		f.inspect(func(n *Node) {
+		h.inspect(func(n *Node) {
 			for _, b := range n.front.ServerEstimates() {
 				if sv := n.serversByNumber[b.Server]; len(n.moduleEvents) == 0 && (sv == nil && b.Sessions > 0 || sv != nil && b.Sessions != len(sv.sessions)+sv.pendingSetups()) {
 					t.Errorf("round %d: the module counts %d sessions at %d", round, b.Sessions, b.Server)
 				}
 			}
 		})
-		f.waitFor("the round has ended", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
+		h.waitFor("the round has ended", func(n *Node) bool { return len(n.sessions) == 0 && n.lastIndex == int64(index) && len(n.servers) <= 6 })
 		cl.Close()
 	}
-	f.waitFor("the tables are as at the start", func(n *Node) bool {
+	h.waitFor("the tables are as at the start", func(n *Node) bool {
 		conns := 0
 		for _, sv := range n.servers {
 			conns += len(sv.conns)
@@ -648,8 +648,8 @@
 
 // The node exits even if a server connection was opened that the loop has not handled, and that stays open and silent.
 func TestExitWithUnreportedServerConnection(t *testing.T) {
-	f, _ := newSingleServerHarness(t, 256)
-	f.inspect(func(n *Node) {
+	h, _ := newSingleServerHarness(t, 256)
+	h.inspect(func(n *Node) {
 		n.dialServer(n.servers[0])
 		for len(n.events) == 0 { // the connection is open, and its event is never handled
 			time.Sleep(time.Millisecond)
@@ -657,8 +657,8 @@
 		n.exiting = true
 	})
 	select {
-	case code := <-f.exitCode:
-		f.exitCode <- code
+	case code := <-h.exitCode:
+		h.exitCode <- code
 	case <-time.After(testTimeout):
 		t.Fatal("the node does not exit")
 	}
--- a/internal/node/readcontrol_test.go
+++ b/internal/node/readcontrol_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A reader that was told to resume is asked to stop again before it has done so, as when the exit begins then.
+// A reader that is to resume is asked to stop again before it has done so, as when the exit begins then.
 func TestStopBeforeAReaderHasResumed(t *testing.T) {
 	a, b := net.Pipe()
 	defer a.Close()
--- a/internal/node/serverconn.go
+++ b/internal/node/serverconn.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// dialFailedLocally handles a connection that could not be opened for lack of a local resource. This says nothing
+// dialFailedLocally handles a connection that could not be opened for lack of a local resource. This shows nothing
 // about the server: the waiting SETUPs are retried shortly, a few times within their deadlines.
 func (n *Node) dialFailedLocally(sc *serverConn) {
 	n.counts["no connection of the own machine"]++
--- a/internal/node/standin_test.go
+++ b/internal/node/standin_test.go
@@ -317,14 +317,14 @@
 "rules":{"cold":12000000,"counted_over":5000000,"fall":1000000,"overload_factor":3.0,"repeat_ratio":0.5,"spare_attempts":50.0,"start_capacity":0.4,"stop_sending_within":250000}}`
 
 // newHarness starts a front node whose list has these servers; servers may also set up the harness.
-func newHarness(t testing.TB, sockets int, servers func(f *harness) []*fakeServer) *harness {
-	f := &harness{t: t, reloadSignals: make(chan os.Signal, 1), terminationSignals: make(chan os.Signal, 3), exitCode: make(chan lifecycle.ExitCode, 1)}
-	f.coordinatorListener, f.followers = f.startCoordinator()
+func newHarness(t testing.TB, sockets int, servers func(h *harness) []*fakeServer) *harness {
+	h := &harness{t: t, reloadSignals: make(chan os.Signal, 1), terminationSignals: make(chan os.Signal, 3), exitCode: make(chan lifecycle.ExitCode, 1)}
+	h.coordinatorListener, h.followers = h.startCoordinator()
 	var entries []string
-	for _, fs := range servers(f) {
+	for _, fs := range servers(h) {
 		entries = append(entries, listEntry(fs.name, fs.Addr().String(), "up"))
 	}
-	text := f.config(sockets, 1, listEvent(1, true, entries...))
+	text := h.config(sockets, 1, listEvent(1, true, entries...))
 	s, err := start.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -333,29 +333,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.addr = listener.Addr().String()
-	if f.writeDelay > 0 {
-		listener = slowListener{listener, f.writeDelay}
+	h.addr = listener.Addr().String()
+	if h.writeDelay > 0 {
+		listener = slowListener{listener, h.writeDelay}
 	}
-	if f.openClients != nil {
-		listener = countingListener{listener, f.openClients}
+	if h.openClients != nil {
+		listener = countingListener{listener, h.openClients}
 	}
-	log := zap.New(zapcore.RegisterHooks(zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{}), zapcore.AddSync(io.Discard), zap.InfoLevel), f.checkLogEntry))
+	log := zap.New(zapcore.RegisterHooks(zapcore.NewCore(zapcore.NewJSONEncoder(zapcore.EncoderConfig{}), zapcore.AddSync(io.Discard), zap.InfoLevel), h.checkLogEntry))
 	if os.Getenv("NODE_TEST_LOG") != "" {
-		log, _ = zap.NewDevelopment(zap.Hooks(f.checkLogEntry))
+		log, _ = zap.NewDevelopment(zap.Hooks(h.checkLogEntry))
 	}
 	serving := make(chan *Node, 1)
 	go func() {
-		code, err := Run(Options{Config: s, Listener: listener, Log: log, ReloadSignals: f.reloadSignals, TerminationSignals: f.terminationSignals, onServing: func(n *Node) { serving <- n },
-			Network: f.network, ReloadConfig: func() (*start.Config, error) { return f.reloadConfig() }})
+		code, err := Run(Options{Config: s, Listener: listener, Log: log, ReloadSignals: h.reloadSignals, TerminationSignals: h.terminationSignals, onServing: func(n *Node) { serving <- n },
+			Network: h.network, ReloadConfig: func() (*start.Config, error) { return h.reloadConfig() }})
 		if err != nil {
 			t.Error(err)
 		}
-		f.exitCode <- code
+		h.exitCode <- code
 	}()
-	f.node = <-serving
-	t.Cleanup(f.stop)
-	return f
+	h.node = <-serving
+	t.Cleanup(h.stop)
+	return h
 }
 
 // checkLogEntry is called for each line of the node's log. A line at level error, such as a violated invariant, fails the test.
@@ -470,16 +470,16 @@
 func testID(k int) string { return fmt.Sprintf("%016x", 0xab00000000000000+uint64(k)) }
 
 // newSingleServerHarness starts a harness with one server.
-func newSingleServerHarness(t testing.TB, sockets int) (f *harness, h *fakeServer) {
-	f = newHarness(t, sockets, func(f *harness) []*fakeServer { h = f.startServer("s-1"); return []*fakeServer{h} })
-	return f, h
+func newSingleServerHarness(t testing.TB, sockets int) (h *harness, fs *fakeServer) {
+	h = newHarness(t, sockets, func(h *harness) []*fakeServer { fs = h.startServer("s-1"); return []*fakeServer{fs} })
+	return h, fs
 }
 
 // serveNext has the server answer the next SETUP, and expects the answer at the client.
-func (f *harness) serveNext(h *fakeServer, v *peer) receivedMessage {
-	f.t.Helper()
-	x, _ := f.expectAt(rtsp.Setup, h)
+func (h *harness) serveNext(fs *fakeServer, cl *peer) receivedMessage {
+	h.t.Helper()
+	x, _ := h.expectAt(rtsp.Setup, fs)
 	x.conn.answer(x.msg, 200, answerBody)
-	v.expect("200")
+	cl.expect("200")
 	return x
 }
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -46,20 +46,20 @@
 		t.Run(c.errno.Error(), func(t *testing.T) {
 			failing := &failingNetwork{errno: c.errno}
 			var s1 *fakeServer
-			f := newHarness(t, 256, func(f *harness) []*fakeServer {
-				f.network, s1 = failing, f.startServer("s-1")
+			h := newHarness(t, 256, func(h *harness) []*fakeServer {
+				h.network, s1 = failing, h.startServer("s-1")
 				return []*fakeServer{s1}
 			})
 			failing.failuresLeft.Store(2)
-			cl := f.connect()
+			cl := h.connect()
 			cl.setup(testID(1), "paid", "")
 			if c.local {
-				f.serveNext(s1, cl)
+				h.serveNext(s1, cl)
 			} else {
 				cl.expect("503")
 			}
 			ejected := false
-			f.inspect(func(n *Node) { ejected = n.front.ServerEstimates()[0].Ejected })
+			h.inspect(func(n *Node) { ejected = n.front.ServerEstimates()[0].Ejected })
 			if ejected == c.local {
 				t.Errorf("ejected: %v", ejected)
 			}
@@ -71,12 +71,12 @@
 // effect.
 func TestNoLocalConnectionUntilDeadline(t *testing.T) {
 	failing := &failingNetwork{errno: syscall.EADDRNOTAVAIL}
-	f := newHarness(t, 256, func(f *harness) []*fakeServer { f.network = failing; return []*fakeServer{f.startServer("s-1")} })
+	h := newHarness(t, 256, func(h *harness) []*fakeServer { h.network = failing; return []*fakeServer{h.startServer("s-1")} })
 	failing.failuresLeft.Store(1 << 20)
-	cl := f.connect()
+	cl := h.connect()
 	cl.setup(testID(1), "paid", "")
 	cl.expect("503")
-	f.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
+	h.waitFor("the session is forgotten", func(n *Node) bool { return len(n.sessions) == 0 && n.openRequests == 0 })
 }
 
 // The clock by which the list gives a server's start may be off by an hour, either way: the server counts as cold from when the
@@ -84,21 +84,21 @@
 func TestStartToldByAClockThatIsOff(t *testing.T) {
 	for _, off := range []time.Duration{0, time.Second, -3 * time.Second, time.Hour, -time.Hour} {
 		t.Run(off.String(), func(t *testing.T) {
-			f, _ := newSingleServerHarness(t, 256)
-			coordinator := f.acceptFollower()
-			s2 := f.startServer("s-2")
+			h, _ := newSingleServerHarness(t, 256)
+			coordinator := h.acceptFollower()
+			s2 := h.startServer("s-2")
 			started := strings.Replace(listEntry("s-2", s2.Addr().String(), "up"), `"startedAtMs":0`, fmt.Sprintf(`"startedAtMs":%d`, time.Now().Add(off).UnixMilli()), 1)
 			fmt.Fprintln(coordinator, listEvent(2, false, started))
-			f.waitFor("the server is known", func(n *Node) bool { return n.serversByID["s-2"] != nil })
+			h.waitFor("the server is known", func(n *Node) bool { return n.serversByID["s-2"] != nil })
 			startedAt := 0.0
-			f.inspect(func(n *Node) {
+			h.inspect(func(n *Node) {
 				if startedAt = n.serversByID["s-2"].startedAt; startedAt > n.now || startedAt < n.now-5 {
 					t.Errorf("counts as started %.1f s ago", n.now-startedAt)
 				}
 			})
 			fmt.Fprintln(coordinator, listEvent(3, false, started))
-			f.waitFor("the entry is repeated", func(n *Node) bool { return n.lastIndex == 3 })
-			f.inspect(func(n *Node) {
+			h.waitFor("the entry is repeated", func(n *Node) bool { return n.lastIndex == 3 })
+			h.inspect(func(n *Node) {
 				if again := n.serversByID["s-2"].startedAt; again != startedAt {
 					t.Errorf("counts as started %.1f s later", again-startedAt)
 				}
@@ -109,9 +109,9 @@
 
 // Requests with very little time left are answered in time, and their servers get no longer deadline than that.
 func TestShortDeadlines(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
+	h, s1 := newSingleServerHarness(t, 256)
 	for k, milliseconds := range []int{1, 5, 12, 13, 30, 50} {
-		cl := f.connect()
+		cl := h.connect()
 		cl.sendf("%s", setupText(k, milliseconds))
 		sent := time.Now()
 		m := cl.nextWithin(time.Duration(milliseconds)*time.Millisecond + 500*time.Millisecond)
@@ -131,12 +131,12 @@
 
 // A process that starts while its predecessor still holds the address serves as soon as the predecessor has ended.
 func TestAddressFreedLate(t *testing.T) {
-	f, _ := newSingleServerHarness(t, 256)
+	h, _ := newSingleServerHarness(t, 256)
 	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := start.Parse([]byte(f.config(256, 0, "")))
+	s, err := start.Parse([]byte(h.config(256, 0, "")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,17 +177,17 @@
 // A new configuration names a coordinator that accepts connections but sends nothing yet: a drain that only the old coordinator
 // reports still takes effect. After the new one's first message the connection to the old one is closed.
 func TestOldCoordinatorIsHeardUntilTheNewOneSpeaks(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	old := f.acceptFollower()
-	listener, follows := f.startCoordinator()
-	f.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
-	f.reloadSignals <- syscall.SIGHUP
+	h, s1 := newSingleServerHarness(t, 256)
+	old := h.acceptFollower()
+	listener, follows := h.startCoordinator()
+	h.reloadConfig = func() (*start.Config, error) { return &start.Config{Coordinator: listener.Addr().String()}, nil }
+	h.reloadSignals <- syscall.SIGHUP
 	c := <-follows
 	defer c.Close()
 	fmt.Fprintln(old, listEvent(2, false, listEntry("s-1", s1.Addr().String(), "draining")))
-	f.waitFor("the drain is applied", func(n *Node) bool { return n.servers[0].state == choice.Draining })
+	h.waitFor("the drain is applied", func(n *Node) bool { return n.servers[0].state == choice.Draining })
 	fmt.Fprintln(c, "2")
-	f.waitFor("the old coordinator is no longer followed", func(n *Node) bool {
+	h.waitFor("the old coordinator is no longer followed", func(n *Node) bool {
 		return len(n.coordinators) == 1 && n.coordinators[0].addr == listener.Addr().String()
 	})
 	old.SetReadDeadline(time.Now().Add(testTimeout))
@@ -199,24 +199,24 @@
 // Ten reloads in a row, some with a broken configuration, some naming the previous coordinator: the last valid one takes effect,
 // and only its coordinator remains followed.
 func TestConfigurationsInARow(t *testing.T) {
-	f, s1 := newSingleServerHarness(t, 256)
-	f.acceptFollower()
+	h, s1 := newSingleServerHarness(t, 256)
+	h.acceptFollower()
 	var addrs []string
 	var follows []chan *followerConn
 	for range 3 {
-		listener, ch := f.startCoordinator()
+		listener, ch := h.startCoordinator()
 		addrs, follows = append(addrs, listener.Addr().String()), append(follows, ch)
 	}
 	for k := range 10 {
 		read := make(chan bool, 1)
-		f.reloadConfig = func() (*start.Config, error) {
+		h.reloadConfig = func() (*start.Config, error) {
 			defer func() { read <- true }()
 			if k%3 == 1 {
 				return nil, errors.New("half a file")
 			}
 			return &start.Config{Coordinator: addrs[k%len(addrs)]}, nil
 		}
-		f.reloadSignals <- syscall.SIGHUP
+		h.reloadSignals <- syscall.SIGHUP
 		<-read
 	}
 	last := 9 % len(addrs)
@@ -233,7 +233,7 @@
 			}
 		}
 	}()
-	f.waitFor("the last configuration is in force", func(n *Node) bool {
+	h.waitFor("the last configuration is in force", func(n *Node) bool {
 		return n.servers[0].state == choice.Draining && len(n.coordinators) == 1 && n.coordinators[0].addr == addrs[last]
 	})
 }
