--- a/choice/api.go
+++ b/choice/api.go
@@ -41,7 +41,7 @@
 	StartTarget    float64 // seconds within which an answer is wanted
 	Paid           bool    // a SETUP is paid for and must not be repeated
 	Floor, Top     int     // lowest and highest rung
-	AddedRateShare float64 // share of its rate that another viewer of a title adds at a server, where streams are shared; 0 is all of it
+	AddedRateShare float64 // share of its rate that one more viewer of a title adds at a server; 0 is all of it
 	Seats          int     // most sessions of one title that a front may hold; 0 is no limit
 }
 
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -163,8 +163,8 @@
 func New(now float64, config Config, actions Actions) *Front {
 	f := &Front{
 		actions: actions, now: now, rngState: config.Seed%0xfffffffe + 1, seed: config.Seed,
-		cells: max(config.Cells, 1), racks: max(config.Racks, 1), fronts: max(config.Fronts, 1), index: config.FrontIndex, zone: config.Zone,
-		maxStreams: config.MaxStreams, fleetLinkCapacity: config.FleetLinkCapacity,
+		cells: max(config.Cells, 1), racks: max(config.Racks, 1), fronts: max(config.Fronts, 1),
+		index: config.FrontIndex, zone: config.Zone, maxStreams: config.MaxStreams, fleetLinkCapacity: config.FleetLinkCapacity,
 		noteLag: config.NoteLag, noteInterval: config.NoteInterval,
 		maxSetups: max(config.MaxSetups, 1), maxRetryAfter: config.MaxRetryAfter,
 		baseRetries: config.BaseRetries, retriesPerSession: config.RetriesPerSession, retryWindow: config.RetryWindow,
@@ -208,7 +208,8 @@
 	// Drawback of the limit: where probes are dear, what is known of a link comes later.
 	f.probeFirst = config.Probes && config.ProbePrice < maxProbePrice
 	// The budget of the smallest kind of server, of which a quarter is kept for requests of more than the mean work.
-	budget := config.OverloadFactor * slices.Min(f.maxStreams) / max(config.WarmUp, 1e-3) * config.ColdShare * config.OverloadTime
+	budget := config.OverloadFactor * slices.Min(f.maxStreams) / max(config.WarmUp, 1e-3) * config.ColdShare *
+		config.OverloadTime
 	if budget > 0 {
 		// A window of the overload time touches one slot more than fit in it. Where that leaves no slot, half of
 		// each slot is unused.
@@ -435,8 +436,8 @@
 	return f.coldShare + (1-f.coldShare)*max(f.now-sv.startedAt, 0)/f.warmUpSeconds
 }
 
-// pressure is the demand on a link over its target, with added put on top of the demand of s's group: own is what the group's rungs
-// are scaled by, total decides whether new sessions get a busy reply.
+// pressure is the demand on a link over its target, with added put on top of the demand of s's group: own is what the
+// group's rungs are scaled by, total decides whether new sessions get a busy reply.
 func (f *Front) pressure(l *link, sv *server, s *session, added float64) (own, total float64) {
 	f.smoothDemand(l)
 	target := max(f.target(l, sv), 1)
@@ -449,7 +450,8 @@
 	demand[0] += others / f.rungFraction * (1 - premiumOfTop)
 	demand[1] += others / f.rungFraction * premiumOfTop
 	// A short-delivery note raises all demand to what shows the shortage, and less as time goes on without notes.
-	if minDemand := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/shortfallDecay); minDemand > demand[0]+demand[1] && demand[0]+demand[1] > 0 {
+	if minDemand := l.shortfallDemand * math.Exp((l.shortfallAt-f.now)/shortfallDecay); minDemand > demand[0]+demand[1] &&
+		demand[0]+demand[1] > 0 {
 		factor := minDemand / (demand[0] + demand[1])
 		demand[0], demand[1] = demand[0]*factor, demand[1]*factor
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -203,7 +203,8 @@
 		l.capacity = l.nominal * saved.Capacity / saved.NominalCapacity
 	}
 	l.otherDemand, l.readAt, l.ownDemandAtReading, l.reportedLoad, l.reportedAt, l.shortfallDemand, l.shortfallAt =
-		saved.OtherDemand, saved.ReadAt, saved.OwnDemand, saved.ReportedLoad, saved.ReportedAt, saved.ShortfallDemand, saved.ShortfallAt
+		saved.OtherDemand, saved.ReadAt, saved.OwnDemand, saved.ReportedLoad, saved.ReportedAt, saved.ShortfallDemand,
+		saved.ShortfallAt
 }
 
 // Snapshot returns what the front has learned.
@@ -220,8 +221,8 @@
 	return snapshot
 }
 
-// Restore loads a snapshot. It must be called after the first UpdateServers and before any session. Servers that are not listed are
-// skipped.
+// Restore loads a snapshot. It must be called after the first UpdateServers and before any session. Servers that are not
+// listed are skipped.
 func (f *Front) Restore(snapshot Snapshot) {
 	f.firstSetups, f.retries = slices.Clone(snapshot.FirstSetups), slices.Clone(snapshot.Retries)
 	f.meanLoad, f.meanLoadDemand, f.refilledAt = snapshot.MeanLoad, snapshot.MeanLoadDemand, cmp.Or(snapshot.RefilledAt, f.refilledAt)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -157,7 +157,7 @@
 		f.table.Restore(*o.Snapshot)
 	}
 	for _, h := range o.Handover {
-		f.adopt(h)
+		f.addHandedOver(h)
 	}
 	f.wg.Add(1)
 	go f.loop()
@@ -167,12 +167,12 @@
 func (f *Front) config() *settings.Config { return f.current.Load() }
 
 func (f *Front) sessionLimits() session.Limits {
-	t := f.config()
-	b := session.Limits{MaxSessions: t.Limits.MaxSessions, ViewerIdleTimeout: t.Limits.ViewerIdleTimeout, KeepAliveInterval: t.Limits.KeepAliveInterval}
-	for _, g := range t.Groups {
-		b.SetupTimeout = append(b.SetupTimeout, g.SetupTimeout)
+	config := f.config()
+	sessionLimits := session.Limits{MaxSessions: config.Limits.MaxSessions, ViewerIdleTimeout: config.Limits.ViewerIdleTimeout, KeepAliveInterval: config.Limits.KeepAliveInterval}
+	for _, g := range config.Groups {
+		sessionLimits.SetupTimeout = append(sessionLimits.SetupTimeout, g.SetupTimeout)
 	}
-	return b
+	return sessionLimits
 }
 
 // now returns the front's clock in seconds since 1970. It is read once at start and monotonic from then on, so that a
--- a/internal/front/handover.go
+++ b/internal/front/handover.go
@@ -60,8 +60,8 @@
 	return list
 }
 
-// adopt takes over a session before the loop starts. A GET_PARAMETER checks that the box still knows it; else it ends.
-func (f *Front) adopt(h HandoverSession) {
+// addHandedOver takes over a session before the loop starts. A GET_PARAMETER checks that the box still knows it; else it ends.
+func (f *Front) addHandedOver(h HandoverSession) {
 	g := f.config().GroupIndex(h.Group)
 	title, known := f.config().Titles[h.Title]
 	if g < 0 || !known || len(h.Tracks) == 0 || f.sessions[h.ID] != nil {
--- a/internal/front/list.go
+++ b/internal/front/list.go
@@ -21,13 +21,13 @@
 // ListSessions returns up to limit sessions, ordered by id.
 func (f *Front) ListSessions(limit int) (list []SessionInfo) {
 	f.call(func() {
-		t := f.config()
+		config := f.config()
 		for _, id := range slices.Sorted(maps.Keys(f.sessions)) {
 			if len(list) >= limit {
 				return
 			}
 			sess := f.sessions[id]
-			info := SessionInfo{ID: string(id), Group: t.Groups[sess.group].Name, Title: sess.place.Title, Playing: sess.playing, Seconds: f.now() - sess.requestedAt}
+			info := SessionInfo{ID: string(id), Group: config.Groups[sess.group].Name, Title: sess.place.Title, Playing: sess.playing, Seconds: f.now() - sess.requestedAt}
 			if c := f.connOf[id]; c != nil {
 				info.Box, info.Rung = uint32(c.box), c.rung
 			}
--- a/internal/front/reload.go
+++ b/internal/front/reload.go
@@ -16,26 +16,26 @@
 	"rainhaven/internal/settings"
 )
 
-// ErrClosed is that of a front that has ended.
+// ErrClosed is returned by Reload once the front has ended.
 var ErrClosed = errors.New("the front has ended")
 
 // Reload applies new settings without a restart, either all of them or none. The plan lists the changes and the reasons
 // for a rejection. Sessions continue.
-func (f *Front) Reload(t settings.Config) (plan reload.Plan, err error) {
-	if !f.call(func() { plan = f.reload(t) }) {
+func (f *Front) Reload(config settings.Config) (plan reload.Plan, err error) {
+	if !f.call(func() { plan = f.reload(config) }) {
 		return plan, ErrClosed
 	}
 	return plan, nil
 }
 
-func (f *Front) reload(t settings.Config) reload.Plan {
+func (f *Front) reload(config settings.Config) reload.Plan {
 	old := f.config()
-	change := reload.Change{Sections: changedSections(old, &t)}
-	change.Sections = append(change.Sections, f.changedUserSections(&t)...)
+	change := reload.Change{Sections: changedSections(old, &config)}
+	change.Sections = append(change.Sections, f.changedUserSections(&config)...)
 	for _, g := range old.Groups {
 		change.OldGroups = append(change.OldGroups, g.Name)
 	}
-	for _, g := range t.Groups {
+	for _, g := range config.Groups {
 		change.NewGroups = append(change.NewGroups, g.Name)
 	}
 	p := reload.NewPlan(change)
@@ -43,31 +43,31 @@
 		return p
 	}
 	if p.Has(reload.UpdateUsers) {
-		f.authenticator, f.usersDigest = auth.New(t.Realm, t.Users, f.authKey), digestUsers(&t, f.authKey)
+		f.authenticator, f.usersDigest = auth.New(config.Realm, config.Users, f.authKey), digestUsers(&config, f.authKey)
 	}
-	t.Users = nil // not kept in memory: the authenticator has its own copy
-	t.Choice.Seed = old.Choice.Seed
-	f.current.Store(&t)
+	config.Users = nil // not kept in memory: the authenticator has its own copy
+	config.Choice.Seed = old.Choice.Seed
+	f.current.Store(&config)
 	if p.Has(reload.UpdateLimits) {
-		f.pool.SetMaxPerBox(t.Limits.MaxBoxConnections)
+		f.pool.SetMaxPerBox(config.Limits.MaxBoxConnections)
 	}
 	if p.Has(reload.ResetReporting) {
-		f.meter = delivery.New(t.Choice.NoteInterval)
+		f.meter = delivery.New(config.Choice.NoteInterval)
 	}
-	f.descriptions.SetCells(t.Choice.Cells)
+	f.descriptions.SetCells(config.Choice.Cells)
 	switch {
 	case p.Has(reload.RebuildChoice):
 		for _, sess := range f.sessions {
 			sess.group = p.NewGroupIndex[sess.group]
 		}
-		list := f.storeBoxes(true, t.Boxes)
-		f.table.Reload(session.Config{Choice: t.Choice, Limits: f.sessionLimits(), NewGroupIndex: p.NewGroupIndex}, list, p.DiscardStale)
+		list := f.storeBoxes(true, config.Boxes)
+		f.table.Reload(session.Config{Choice: config.Choice, Limits: f.sessionLimits(), NewGroupIndex: p.NewGroupIndex}, list, p.DiscardStale)
 	default:
 		if p.Has(reload.UpdateLimits) {
 			f.table.SetLimits(f.sessionLimits())
 		}
 		if p.Has(reload.UpdateBoxes) {
-			f.updateBoxes(true, t.Boxes)
+			f.updateBoxes(true, config.Boxes)
 		}
 	}
 	f.metrics.reloads.Inc()
@@ -115,17 +115,17 @@
 }
 
 // digestUsers returns a keyed digest of the realm and users, so that changes are found without keeping passwords.
-func digestUsers(t *settings.Config, key []byte) string {
+func digestUsers(config *settings.Config, key []byte) string {
 	h := hmac.New(sha256.New, key)
-	fmt.Fprintf(h, "%q", t.Realm)
-	for _, u := range t.Users {
+	fmt.Fprintf(h, "%q", config.Realm)
+	for _, u := range config.Users {
 		fmt.Fprintf(h, "%q%q", u.Name, u.Password)
 	}
 	return string(h.Sum(nil))
 }
 
-func (f *Front) changedUserSections(t *settings.Config) []reload.Section {
-	if digestUsers(t, f.authKey) == f.usersDigest {
+func (f *Front) changedUserSections(config *settings.Config) []reload.Section {
+	if digestUsers(config, f.authKey) == f.usersDigest {
 		return nil
 	}
 	return []reload.Section{"front(realm) and user"}
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -15,7 +15,7 @@
 // Header names of the protocol, in the form in which package rtsp stores them, and its constants.
 const (
 	headerClass        = "Subject"    // name of the session's service group
-	headerPatience     = "X-Patience" // milliseconds until the client, or the node at a server, gives up
+	headerPatience     = "X-Patience" // milliseconds that the sender of a SETUP waits for the answer
 	headerFacts        = "X-Facts"    // name:value pairs about the session, separated by semicolons (parseSetup)
 	headerRung         = "X-Quality"  // rung to play at
 	headerState        = "X-State"    // a server's load report
