--- a/choice/session/session_test.go
+++ b/choice/session/session_test.go
@@ -10,8 +10,8 @@
 	"rainhaven/choice"
 )
 
-// testFigures returns a front with a paid group (0) that has a floor and seats, and a free one (1).
-func testFigures() (choice.Config, Limits) {
+// testConfig returns a front with a paid group (0) that has a floor and seats, and a free one (1).
+func testConfig() (choice.Config, Limits) {
 	return choice.Config{Seed: 5, Fronts: 1, Groups: []choice.ServiceGroup{
 			{Utility: 3, Scale: 1.4, StartTarget: 1, Paid: true, Floor: 1, Top: 3, Seats: 4},
 			{Utility: 1, Scale: 1, StartTarget: 1, Top: 3}},
@@ -59,13 +59,13 @@
 
 func newHarness(tb rapid.TB) *harness {
 	h := &harness{tb: tb, now: 100, viewers: map[choice.SessID]*viewer{}, boxState: map[choice.ServerID]choice.Lifecycle{}}
-	fig, limits := testFigures()
-	h.paidSeats = fig.Groups[0].Seats
-	h.table = New(h.now, fig, limits, h)
+	config, limits := testConfig()
+	h.paidSeats = config.Groups[0].Seats
+	h.table = New(h.now, config, limits, h)
 	for _, e := range fourBoxes() {
 		h.boxState[e.ID] = choice.Ready
 	}
-	h.apply(func() { h.table.UpdateDirectory(true, fourBoxes()) })
+	h.apply(func() { h.table.UpdateBoxes(true, fourBoxes()) })
 	return h
 }
 
@@ -73,7 +73,7 @@
 func (h *harness) apply(event func()) {
 	h.table.SetTime(h.now)
 	event()
-	h.table.Settle()
+	h.table.Reconcile()
 }
 
 func (h *harness) Setup(id choice.SessID, attempt int, box choice.ServerID, rung int) {
@@ -174,18 +174,18 @@
 	h.ids = append(h.ids, id)
 	v := &viewer{requestedAt: h.now, deadline: h.now + h.table.limits.SetupTimeout[group], paid: group == 0, title: title, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
 	h.viewers[id] = v
-	h.apply(func() { h.table.Open(id, Request{Group: group, Title: title, Span: 4, BestRung: 3}) })
+	h.apply(func() { h.table.Open(id, Request{Group: group, Title: title, CellCount: 4, BestRung: 3}) })
 	return id
 }
 
 // reload applies new settings. Each reload changes seats, a floor, the number of SETUPs and the setup timeouts.
 func (h *harness) reload() {
 	h.reloads++
-	fig, limits := testFigures()
+	config, limits := testConfig()
 	if h.reloads%2 == 1 {
-		fig.Groups[0].Seats, fig.Groups[1].Floor, fig.MaxSetups, limits.SetupTimeout = 3, 1, 2, []float64{2, 4}
+		config.Groups[0].Seats, config.Groups[1].Floor, config.MaxSetups, limits.SetupTimeout = 3, 1, 2, []float64{2, 4}
 	}
-	h.paidSeats = fig.Groups[0].Seats
+	h.paidSeats = config.Groups[0].Seats
 	var list []choice.Listing
 	for i := range 4 {
 		if s := h.boxState[choice.ServerID(10+i)]; s != choice.Gone {
@@ -193,10 +193,10 @@
 		}
 	}
 	h.apply(func() {
-		h.table.Reload(Config{fig, limits, []int{0, 1}}, list, func(m choice.Snapshot) choice.Snapshot { return m })
+		h.table.Reload(Config{config, limits, []int{0, 1}}, list, func(m choice.Snapshot) choice.Snapshot { return m })
 	})
 	for _, s := range h.table.sessions {
-		if floor := fig.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
+		if floor := config.Groups[s.group].Floor; s.phase >= ready && s.phase <= paused && s.wantRung < floor {
 			h.tb.Fatalf("%s: wanted rung %d is below the floor", s.id, s.wantRung)
 		}
 	}
@@ -237,10 +237,10 @@
 	})
 }
 
-// advance moves the clock forward, stopping at each instant that NextTimer returns.
+// advance moves the clock forward, stopping at each instant that NextWakeup returns.
 func (h *harness) advance(seconds float64) {
 	for end := h.now + seconds; ; {
-		n := h.table.NextTimer()
+		n := h.table.NextWakeup()
 		if n == 0 || n > end {
 			h.now = max(h.now, end)
 			return
@@ -391,7 +391,7 @@
 	first := h.viewers[id].attempts[1].box
 	h.boxState[first] = choice.Draining
 	h.apply(func() {
-		h.table.UpdateDirectory(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
+		h.table.UpdateBoxes(false, []choice.Listing{{ID: first, State: choice.Draining, Cell: int(first) - 10}})
 	})
 	v := h.viewers[id]
 	if v.attempts[1].inFlight || v.attempts[2] == nil || v.attempts[2].box == first {
@@ -406,7 +406,7 @@
 	h.advance(0.3)
 	h.answerSetup(playing, 1, 200, true)
 	h.apply(func() { h.table.SetupSent(waiting, 1) })
-	h.apply(h.table.EndAll)
+	h.apply(h.table.EndSessions)
 	if v := h.viewers[waiting]; len(v.answers) != 1 || v.answers[0] != Failed {
 		t.Fatalf("SETUP that may have run: answers %v", v.answers)
 	}
@@ -438,11 +438,11 @@
 // the seats.
 func TestReloadKeepsRuleCounters(t *testing.T) {
 	h := newHarness(t)
-	fig, limits := testFigures()
-	fig.BaseRetries, fig.RetriesPerSession, fig.Probes = 2, 0, false
+	config, limits := testConfig()
+	config.BaseRetries, config.RetriesPerSession, config.Probes = 2, 0, false
 	reload := func() {
 		h.apply(func() {
-			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
+			h.table.Reload(Config{config, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 	}
 	reload()
@@ -475,7 +475,7 @@
 	// A SETUP in flight keeps its seat; an answer that comes just before the reload is decided by the old settings.
 	h.now += 20
 	var ids []choice.SessID
-	for range fig.Groups[0].Seats {
+	for range config.Groups[0].Seats {
 		id := h.open(0, "exam")
 		h.apply(func() { h.table.SetupSent(id, 1) })
 		ids = append(ids, id)
@@ -496,7 +496,7 @@
 			h.table.SetupSent(id, 1)
 			a.inFlight, v.mayHaveRun = false, status == 500
 			h.table.BoxAnswered(id, 1, status, choice.LoadReport{Link: -1, Uplink: -1})
-			h.table.Reload(Config{fig, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
+			h.table.Reload(Config{config, limits, []int{0, 1}}, fourBoxes(), func(m choice.Snapshot) choice.Snapshot { return m })
 		})
 		if got := append(v.answers, 0); got[0] != want {
 			t.Errorf("status %d and a reload in one batch: answers %v after %d SETUPs", status, v.answers, len(v.attempts))
@@ -513,7 +513,7 @@
 	return list
 }
 
-// TestAnyOrder generates random orders of events from viewers, boxes, the clock and the directory. Each request must get
+// TestAnyOrder generates random orders of events from viewers, boxes, the clock and the list of boxes. Each request must get
 // exactly one answer in time, never have two SETUPs in flight, and leave nothing at a box or in the table; a paid SETUP
 // must not be repeated.
 func TestAnyOrder(t *testing.T) {
@@ -583,14 +583,14 @@
 				box := h.pendingProbes[0]
 				h.pendingProbes = h.pendingProbes[1:]
 				status := rapid.SampledFrom([]int{200, 0}).Draw(t, "status")
-				h.apply(func() { h.table.Probed(box, status, choice.TimedOut, choice.LoadReport{Link: 0.3, Uplink: -1}) })
+				h.apply(func() { h.table.ProbeEnded(box, status, choice.TimedOut, choice.LoadReport{Link: 0.3, Uplink: -1}) })
 			},
 			"list": func(t *rapid.T) {
 				box := choice.ServerID(rapid.IntRange(10, 13).Draw(t, "box"))
 				s := rapid.SampledFrom([]choice.Lifecycle{choice.Ready, choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
 				h.boxState[box] = s
 				h.apply(func() {
-					h.table.UpdateDirectory(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
+					h.table.UpdateBoxes(false, []choice.Listing{{ID: box, Cell: int(box) - 10, State: s, Weight: 1}})
 				})
 			},
 			"reload":    func(*rapid.T) { h.reload() },
@@ -615,7 +615,7 @@
 		h.now += 0.01
 		id := choice.SessID(fmt.Sprint(rand.Int63()))
 		h.viewers[id] = &viewer{deadline: h.now + 5, pending: map[int]bool{}, attempts: map[int]*boxAttempt{}}
-		h.apply(func() { h.table.Open(id, Request{Group: 1, Title: "a", Span: 4, BestRung: 3}) })
+		h.apply(func() { h.table.Open(id, Request{Group: 1, Title: "a", CellCount: 4, BestRung: 3}) })
 		h.apply(func() { h.table.RunTimers() })
 		h.apply(func() { h.table.ViewerGone(id) })
 		delete(h.viewers, id)
@@ -638,7 +638,7 @@
 	for id := choice.ServerID(10); id < 14; id++ {
 		h.boxState[id] = choice.Draining
 		h.apply(func() {
-			h.table.UpdateDirectory(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
+			h.table.UpdateBoxes(false, []choice.Listing{{ID: id, Cell: int(id) - 10, State: choice.Draining}})
 		})
 	}
 	busy := h.open(1, "vents")
@@ -672,22 +672,22 @@
 // newLargeTable returns a table with 1000 playing sessions on 300 boxes, its settings and its list of boxes.
 func newLargeTable(b *testing.B) (*harness, Config, []choice.Listing) {
 	h := newHarness(b)
-	fig, limits := testFigures()
-	fig.Cells, fig.Racks, fig.FleetLinkCapacity, fig.MeanUplinkCapacity, limits.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
+	config, limits := testConfig()
+	config.Cells, config.Racks, config.FleetLinkCapacity, config.MeanUplinkCapacity, limits.MaxSessions = 300, 20, 300*20000, 15*20000, 2000
 	var list []choice.Listing
-	for i := range fig.Cells {
+	for i := range config.Cells {
 		list = append(list, choice.Listing{ID: choice.ServerID(100 + i), Cell: i, State: choice.Ready, Weight: 1})
 		h.boxState[choice.ServerID(100+i)] = choice.Ready
 	}
-	h.table = New(h.now, fig, limits, discardOps{h})
-	h.apply(func() { h.table.UpdateDirectory(true, list) })
+	h.table = New(h.now, config, limits, discardOps{h})
+	h.apply(func() { h.table.UpdateBoxes(true, list) })
 	for i := range 1000 {
 		id := choice.SessID(fmt.Sprintf("p%04d", i))
 		h.apply(func() {
-			h.table.Adopt(id, Request{Group: 1, Title: "vents", StartCell: i % 300, Span: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
+			h.table.AddHandedOver(id, Request{Group: 1, Title: "vents", StartCell: i % 300, CellCount: 4, BestRung: 3}, choice.ServerID(100+i%300), 1)
 		})
 	}
-	return h, Config{fig, limits, []int{0, 1}}, list
+	return h, Config{config, limits, []int{0, 1}}, list
 }
 
 // BenchmarkReload measures how long a reload blocks the event loop.
@@ -697,7 +697,7 @@
 		h.now++
 		h.table.SetTime(h.now)
 		h.table.Reload(cfg, list, func(m choice.Snapshot) choice.Snapshot { return m })
-		h.table.Settle()
+		h.table.Reconcile()
 	}
 }
 
--- a/cmd/rainhaven/node.go
+++ b/cmd/rainhaven/node.go
@@ -40,7 +40,7 @@
 			if path == "" {
 				return failf("GW_CONFIG names no configuration file")
 			}
-			load := func() (*start.Start, error) { return start.Read(path) }
+			load := func() (*start.Config, error) { return start.Read(path) }
 			config, err := load()
 			if err != nil {
 				return failf("%s: %w", path, err)
--- a/internal/lab/day/run.go
+++ b/internal/lab/day/run.go
@@ -173,7 +173,7 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, zone, address) }}
 	if snapshot, ok := r.snapshots[i]; ok {
 		x := config.Choice
-		m, _ := restore.FromSnapshot(r.now(), snapshot, restore.Config{WindowSeconds: x.RetryWindow, BaseAllowance: x.BaseRetries, RetryShare: x.RetriesPerSession, WarmUpSeconds: x.WarmUp})
+		m, _ := restore.FromSnapshot(r.now(), snapshot, restore.Config{RetryWindow: x.RetryWindow, BaseRetries: x.BaseRetries, RetriesPerSession: x.RetriesPerSession, WarmUp: x.WarmUp})
 		o.Snapshot = &m
 	} else {
 		r.witness.FrontStarted(config.Name, r.now())
@@ -505,7 +505,7 @@
 	r.sabotage.alterConfig(&config)
 	p.reloads++ // used only by the goroutine of runEvents
 	config.Choice.MaxRetryAfter += float64(p.reloads%2) / 2
-	config.Limits.Sessions += p.reloads % 2
+	config.Limits.MaxSessions += p.reloads % 2
 	plan, err := p.front.Reload(config)
 	if err != nil || len(plan.Rejections) > 0 {
 		r.log.Info("reload rejected", zap.Strings("why", plan.Rejections), zap.Error(err))
@@ -524,7 +524,7 @@
 	r.mu.Unlock()
 	if r.options.RestoreState {
 		if m, ok := p.front.Snapshot(); ok {
-			r.snapshots[i] = restore.Snapshot{SavedAt: r.now(), Memory: m}
+			r.snapshots[i] = restore.Snapshot{SavedAt: r.now(), Choice: m}
 		}
 	}
 	r.witness.FrontKilled(frontName(i), r.now())
