--- a/cmd/rainhaven/soak.go
+++ b/cmd/rainhaven/soak.go
@@ -52,9 +52,7 @@
 				return exitError{exitFailed, err}
 			}
 			if !quiet {
-				o.OnFault = func(at time.Duration, description string) {
-					fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), description)
-				}
+				o.OnFault = func(at time.Duration, name string) { fmt.Fprintf(c.OutOrStdout(), "%7.2f s  %s\n", at.Seconds(), name) }
 			}
 			r, err := soak.Run(c.Context(), o)
 			if err != nil {
