--- a/choice/fleet/fleet.go
+++ b/choice/fleet/fleet.go
@@ -119,7 +119,7 @@
 		return
 	case code == exitUsage:
 		i.wanted = false
-		i.lastExit += "; not restarted"
+		i.lastExit += "; it is not started again"
 		return
 	case stable:
 		i.failures = 0
@@ -253,11 +253,11 @@
 		switch {
 		case i.killed:
 		case i.phase == Stopping && f.now >= i.phaseSince+f.config.DrainSeconds+exitTimeoutSeconds:
-			f.kill(n, "killed: did not exit in time")
+			f.kill(n, "it did not end")
 		case i.phase == Starting && f.now >= i.phaseSince+readyTimeoutSeconds:
-			f.kill(n, "killed: not ready in time")
+			f.kill(n, "it was not ready in time")
 		case i.phase == Up && f.now >= i.lastLiveAt+healthTimeoutSeconds:
-			f.kill(n, "killed: health check timed out")
+			f.kill(n, "its health was silent")
 		case (i.phase == Up || i.phase == Starting) && !i.wanted:
 			f.stop(n)
 		case i.phase == Down && i.wanted && f.now >= i.startAt && starting < f.maxUnavailable():
--- a/choice/health/health.go
+++ b/choice/health/health.go
@@ -54,11 +54,11 @@
 		reasons = append(reasons, fmt.Sprintf("none of %d boxes may get sessions", f.Boxes))
 	}
 	if f.MaxSessions > 0 && f.Sessions >= f.MaxSessions {
-		reasons = append(reasons, fmt.Sprintf("all of %d sessions in use", f.MaxSessions))
+		reasons = append(reasons, fmt.Sprintf("all of %d sessions taken", f.MaxSessions))
 	}
 	s.Reason = strings.Join(reasons, "; ")
 	if f.MaxSessions > 0 && float64(f.Sessions) >= nearlyFullShare*float64(f.MaxSessions) && f.Sessions < f.MaxSessions {
-		s.Degraded = append(s.Degraded, fmt.Sprintf("%d of %d sessions in use", f.Sessions, f.MaxSessions))
+		s.Degraded = append(s.Degraded, fmt.Sprintf("%d of %d sessions taken", f.Sessions, f.MaxSessions))
 	}
 	if f.Usable > 0 && 2*f.Usable < f.Boxes {
 		s.Degraded = append(s.Degraded, fmt.Sprintf("%d of %d boxes may get sessions", f.Usable, f.Boxes))
@@ -69,7 +69,7 @@
 	if f.StateError != "" {
 		s.Degraded = append(s.Degraded, "state is not kept: "+f.StateError)
 	} else if f.StateAge > maxStateAgeSeconds {
-		s.Degraded = append(s.Degraded, fmt.Sprintf("state was last saved %.0f s ago", f.StateAge))
+		s.Degraded = append(s.Degraded, fmt.Sprintf("state was last kept %.0f s ago", f.StateAge))
 	}
 	return s
 }
--- a/cmd/rainhaven/serve.go
+++ b/cmd/rainhaven/serve.go
@@ -44,7 +44,7 @@
 			if supervised {
 				parent = os.Stdin
 			}
-			code, err := daemon.Run(daemon.Options{LoadTerms: func() (settings.Config, error) { return settings.ReadInstanceConfig(configPath, instance) }, DrainTimeout: drain,
+			code, err := daemon.Run(daemon.Options{LoadConfig: func() (settings.Config, error) { return settings.ReadInstanceConfig(configPath, instance) }, DrainTimeout: drain,
 				Log: log, SetLogLevel: setLevel, Signals: signals, Parent: parent, Upgrade: upgrade})
 			var diagnostics settings.Diagnostics
 			if err == nil || errors.As(err, &diagnostics) {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -59,7 +59,7 @@
 	return lines, nil
 }
 
-func (c controlService) Drain()  { c.d.post(func() { c.d.machine.Terminate("drain requested") }) }
+func (c controlService) Drain()  { c.d.post(func() { c.d.machine.Terminate("asked to drain") }) }
 func (c controlService) Reload() { c.d.post(c.d.machine.RequestReload) }
 
 // startControl serves the control socket until the process ends.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,7 +34,7 @@
 
 // Options configures a front's process.
 type Options struct {
-	LoadTerms    func() (settings.Config, error) // returns validated settings; called at the start and at each reload
+	LoadConfig   func() (settings.Config, error) // returns validated settings; called at the start and at each reload
 	DrainTimeout time.Duration                   // how long sessions may continue after the process is told to stop
 	Log          *zap.Logger
 	SetLogLevel  func(name string)          // sets the minimum log level, an empty name the initial one; may be nil
@@ -104,7 +104,7 @@
 	if o.Parent != nil {
 		go func() { // not waited for: a pending read can't be cancelled
 			io.Copy(io.Discard, o.Parent)
-			d.post(func() { d.machine.Terminate("the parent process has exited") })
+			d.post(func() { d.machine.Terminate("whoever started it is gone") })
 		}()
 	}
 	d.loop()
@@ -163,7 +163,7 @@
 // the learned state from the running process instead of opening them.
 func (d *daemon) start() (lifecycle.ExitCode, error) {
 	var err error
-	if d.config, err = d.LoadTerms(); err != nil {
+	if d.config, err = d.LoadConfig(); err != nil {
 		return lifecycle.ExitFailed, err
 	}
 	t := &d.config
@@ -315,7 +315,7 @@
 // listenerStopped handles the end of a listener; an error starts a drain.
 func (d *daemon) listenerStopped(err error) {
 	if err != nil {
-		d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "accepting viewers: "+err.Error()) })
+		d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "taking viewers: "+err.Error()) })
 	}
 }
 
@@ -397,7 +397,7 @@
 func (d *daemon) Reload() {
 	d.wg.Go(func() {
 		rejection := ""
-		t, err := d.LoadTerms()
+		t, err := d.LoadConfig()
 		if err != nil {
 			rejection = err.Error()
 		} else if plan, err := d.front.Reload(t); err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -79,7 +79,7 @@
 	p := &process{t: t, configPath: file, signals: make(chan os.Signal, 4), exitCode: make(chan lifecycle.ExitCode, 1)}
 	up := make(chan struct{})
 	go func() {
-		code, err := Run(Options{LoadTerms: func() (settings.Config, error) { return settings.ReadConfig(file) }, DrainTimeout: 20 * time.Second, Signals: p.signals,
+		code, err := Run(Options{LoadConfig: func() (settings.Config, error) { return settings.ReadConfig(file) }, DrainTimeout: 20 * time.Second, Signals: p.signals,
 			Upgrade: upgrade, OnServing: func(listen, admin string) {
 				p.listen, p.admin = listen, admin
 				close(up)
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -141,7 +141,7 @@
 		}
 		l, err := net.FileListener(x.file)
 		if err != nil {
-			d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "serving again after a failed upgrade: "+err.Error()) })
+			d.post(func() { d.machine.Failed(lifecycle.ExitFailed, "taking sockets back: "+err.Error()) })
 			return
 		}
 		d.serve(x.use, l)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -74,9 +74,9 @@
 	answerGraceSeconds = 0.5
 )
 
-// Budget is the retry budget: within any window, the node may start BaseAllowance retries, plus RequestShare times the number
-// of requests read in that window. A window of 0 means no limit.
-type Budget struct{ BaseAllowance, RequestShare, WindowSeconds float64 }
+// Budget is the retry budget: within any window, the node may start BaseRetries retries, plus RetriesPerRequest times the
+// number of requests read in that window. A window of 0 means no limit.
+type Budget struct{ BaseRetries, RetriesPerRequest, WindowSeconds float64 }
 
 // Guard checks one node. It must be used by one goroutine only. Its tables hold the open requests, and the times of requests
 // and retries within one window of the budget.
@@ -145,7 +145,7 @@
 	}
 	if q.attempts > 0 && g.budget.WindowSeconds > 0 {
 		g.requestTimes, g.retryTimes = timesAfter(g.requestTimes, now-g.budget.WindowSeconds), timesAfter(g.retryTimes, now-g.budget.WindowSeconds)
-		if limit := g.budget.BaseAllowance + g.budget.RequestShare*float64(len(g.requestTimes)); float64(len(g.retryTimes)+1) > limit {
+		if limit := g.budget.BaseRetries + g.budget.RetriesPerRequest*float64(len(g.requestTimes)); float64(len(g.retryTimes)+1) > limit {
 			return g.violated(RetryBudget, id, "%d retries in %g s, %g allowed", len(g.retryTimes)+1, g.budget.WindowSeconds, limit)
 		}
 		g.retryTimes = append(g.retryTimes, now)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -41,7 +41,7 @@
 		{"closed unanswered", []step{func(g *Guard) bool { return g.Close("c", 1, true) }}, []Reason{CloseUnanswered}},
 	} {
 		var got []Reason
-		g := New(Budget{BaseAllowance: 1, RequestShare: 0.1, WindowSeconds: 10}, func(v Violation) { got = append(got, v.Reason) })
+		g := New(Budget{BaseRetries: 1, RetriesPerRequest: 0.1, WindowSeconds: 10}, func(v Violation) { got = append(got, v.Reason) })
 		for _, do := range c.steps {
 			do(g)
 		}
@@ -59,7 +59,7 @@
 // The budget's window slides: requests and retries before it no longer count.
 func TestBudgetSlides(t *testing.T) {
 	violations := 0
-	g := New(Budget{BaseAllowance: 1, RequestShare: 0, WindowSeconds: 10}, func(Violation) { violations++ })
+	g := New(Budget{BaseRetries: 1, RetriesPerRequest: 0, WindowSeconds: 10}, func(Violation) { violations++ })
 	for k, at := range []float64{0, 10, 19, 20} {
 		id := string(rune('a' + k))
 		g.RequestRead(at, id, false, at+2)
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -31,7 +31,7 @@
 	TitleLength      func(title string) float64 // seconds; 0 means endless
 	MaxSessions      int
 	WarmUp           float64 // seconds after a cold start
-	ColdShare        float64 // the SETUP limit of a cold box: see witness.Limit, as for the two below
+	ColdShare        float64 // the SETUP limit of a cold box: see witness.ColdSetupLimit, as for the two below
 	OverloadFactor   float64
 	OverloadTime     float64          // seconds over which SETUPs of a cold box are counted
 	ReportInterval   float64          // seconds between updates of the load report
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -381,7 +381,7 @@
 	}
 	defer src.close()
 	// Each transfer uses a new front: at full speed, a front takes sessions that are slowed down by a busy machine for an
-	// overloaded link, remembers that for half a minute and rejects new sessions, as it should.
+	// overloaded link, and for the next half minute it rejects new sessions, as it should.
 	transferViaFront := func() (float64, error) {
 		f, err := startFront(ctx, build, []string{src.address})
 		if err != nil {
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -8,7 +8,7 @@
 // retryBudget is the platform's retry budget, from the settings.
 func (n *Node) retryBudget() invariant.Budget {
 	config := n.config.Choice
-	return invariant.Budget{BaseAllowance: config.BaseRetries, RequestShare: config.RetriesPerSession, WindowSeconds: config.RetryWindow}
+	return invariant.Budget{BaseRetries: config.BaseRetries, RetriesPerRequest: config.RetriesPerSession, WindowSeconds: config.RetryWindow}
 }
 
 // logViolation logs a violation of an invariant. The guard counts them.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -183,7 +183,7 @@
 		return nil, err
 	}
 	if len(body) > maxBodyBytes {
-		return nil, fmt.Errorf("snapshot of %d bytes exceeds the limit of %d", len(body), maxBodyBytes)
+		return nil, fmt.Errorf("%d bytes, %d at most", len(body), maxBodyBytes)
 	}
 	b := fmt.Appendf(nil, "%s %d\n", formatName, formatVersion)
 	b = binary.BigEndian.AppendUint64(b, xxhash.Sum64(body))
