--- a/internal/node/network.go
+++ b/internal/node/network.go
@@ -30,7 +30,7 @@
 }
 
 // localErrors are the errors of socket(2), bind(2) and connect(2) that concern only the local machine: no descriptor,
-// port, memory or route is available, or its use is not permitted. Nothing was sent, and they say nothing about the
+// port, memory or route is available, or its use is not permitted. Nothing was sent, and they show nothing about the
 // peer.
 var localErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR}
@@ -45,9 +45,9 @@
 // resource is short for a moment, it retries for a while, or until a signal to end arrives.
 func (n *Node) listenWithRetry(addr string, signals <-chan os.Signal) (net.Listener, error) {
 	for startedAt := time.Now(); ; {
-		l, err := n.network.Listen(addr)
+		listener, err := n.network.Listen(addr)
 		if err == nil || !isLocalError(err) || time.Since(startedAt).Seconds() > share.ListenTimeout {
-			return l, err
+			return listener, err
 		}
 		select {
 		case <-signals:
